--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -4,11 +4,12 @@
 import random
 from collections.abc import Callable, Sequence
 
-from ..sidecar.allowance import Allowance
 from ..sidecar.frames import TokenGrant, TokenRequest
 from ..sidecar.model import Tenant
+from ..sidecar.periodic_scheduler import SPREAD, STEP_SECONDS
 from ..sidecar.quota import Quotas, TokenDecision
 from ..sidecar.rate_control import RENEW_SECONDS
+from ..sidecar.rate_tolerance import Allowance
 from ..sidecar.share_leases import (
     assign_holder,
     count_zone_holders,
@@ -17,7 +18,6 @@
     RemoteClock,
     ShareLender,
 )
-from ..sidecar.ticker import SPREAD, STEP_SECONDS
 from ..sidecar.token_broker import GrantHandler, TokenBroker
 from ..sidecar.token_pool import TokenPool
 from ..sidecar.token_requests import ASK_TIMEOUT_SECONDS
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -3,10 +3,10 @@
 import math
 
 from ..sidecar.backend import BackendAnswer
-from ..sidecar.entry import CallerFields
 from ..sidecar.frames import Call
 from ..sidecar.http_client import Answer
 from ..sidecar.http_messages import render_status_line, Reply, Request
+from ..sidecar.request_handler import CallerFields
 from ..verdicts import Reason, Refusal, Verdict
 from .names import (
     AUTHORIZATION,
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -12,7 +12,7 @@
 from ..observe.events import ENTRY_UNREADABLE, Journal
 from ..sidecar.http_client import Answer, ConnectionPool, ExchangeError
 from ..sidecar.model import NodeEntry, Policy
-from ..sidecar.policy_keeper import PolicyRecord, PositionGoneError, StoreError
+from ..sidecar.policy_tracker import PolicyRecord, PositionGoneError, StoreError
 from .operator_config import decode_policy
 
 CONNECT_SECONDS = 1.0
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -14,11 +14,11 @@
 )
 from ..verdicts import may_have_run, not_run, Reason, Refusal
 from .backend_queue import BackendQueue
-from .choice import Candidate
+from .call_ratios import OwnCalls
 from .frames import Call
 from .http_client import Answer, ConnectionPool, ExchangeError
+from .load_balancing import Candidate
 from .model import BackendState, StatusReport
-from .own_calls import OwnCalls
 
 CONNECT_SECONDS = 1.0
 # A call with less time left is not begun.
--- a/primroseglade/sidecar/leaves.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -10,7 +10,7 @@
 from .fleet import Fleet
 from .model import BackendState, StatusReport
 from .node_store import NodeStore
-from .policy_keeper import StoreError
+from .policy_tracker import StoreError
 
 # A backend server waits one second for the acknowledgement of its report.
 ACKNOWLEDGE_SECONDS = 0.8
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -1,15 +1,15 @@
 """Which services a request leads to, and with how many calls.
 
 Every node tells which calls its backend server makes for runs of each route
-(`own_calls.py`). Put together they give the whole tree below a route, whatever it
+(`call_ratios.py`). Put together they give the whole tree below a route, whatever it
 looks like: an upload that calls nobody is not refused because look-ups at the same
 service lead to one that is overloaded.
 """
 
 from collections.abc import Iterable, Mapping
 
+from .call_ratios import LEAST_CALLS, Ratios
 from .model import Route
-from .own_calls import LEAST_CALLS, Ratios
 
 # Deeper than any known graph; ends the walk where services call each other.
 DEEPEST = 20
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -9,12 +9,12 @@
 from .answer_sizes import AnswerSizes
 from .backend import Backend, BackendRefusal, Served
 from .call_graph import CallGraph
-from .choice import Candidate, price_failure, price_other_zone
 from .fleet import Fleet
 from .frames import Call
 from .http_messages import FIRST_FAILURE
-from .meter import Meter
+from .load_balancing import Candidate, price_failure, price_other_zone
 from .model import Route
+from .node_metrics import Meter
 from .retry_budget import RetryBudget
 from .zone_costs import ZoneCosts
 
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -6,8 +6,8 @@
 from ..observe.events import Journal, PEER_FORGOTTEN, PEER_LEARNT
 from ..supervisor import Supervisor
 from .admission import Load
-from .choice import Candidate, choose, estimate_trouble
 from .fleet_index import FleetIndex, Places
+from .load_balancing import Candidate, choose, estimate_trouble
 from .model import NodeEntry
 from .peer import Host, Peer
 from .zone_costs import Costs
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
+from .frame_compression import Packer, PackingError, Unpacker
 from .model import NodeEntry, NodeState
-from .packing import Packer, PackingError, Unpacker
 
 LENGTH = struct.Struct(">I")
 # Larger than any body that callers may send, with its head.
--- a/primroseglade/sidecar/load_watch.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -4,10 +4,10 @@
 from .admission import Admission, Load
 from .backend import Backend
 from .call_graph import CallGraph
-from .choice import estimate_trouble
+from .call_ratios import OwnCalls
 from .fleet import Fleet, Survey
-from .own_calls import OwnCalls
-from .policy_keeper import PolicyKeeper
+from .load_balancing import estimate_trouble
+from .policy_tracker import PolicyKeeper
 from .zone_costs import ZoneCosts
 
 # How often the graph is built anew; what backend servers call is told less often.
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -15,38 +15,38 @@
 )
 from ..supervisor import Supervisor
 from .admission import Admission
-from .allowance import Allowance
 from .answer_sizes import AnswerSizes
 from .backend import Backend, BackendDialect
+from .backend_registration import Leaves
 from .call_graph import CallGraph
-from .choice import price_other_zone
+from .call_ratios import OwnCalls
+from .cross_zone_bytes import BYTES_SECONDS, tell_crossed, ZoneBytes
 from .deadlines import Deadlines
 from .dispatch import Dispatcher
-from .entry import CallerDialect, Entry
 from .fleet import Fleet
 from .frames import PolicyAnswer, TokenGrant, TokenRequest
 from .http_server import build_local_server, HttpServer
-from .leaves import Leaves
-from .load_watch import LoadWatch
-from .meter import build_metrics, LONGEST_AGE_SECONDS, Meter
+from .load_balancing import price_other_zone
+from .load_monitor import LoadWatch
 from .model import (
     NodeEntry,
     NodeState,
 )
+from .node_metrics import build_metrics, LONGEST_AGE_SECONDS, Meter
 from .node_settings import NodeSettings
 from .node_store import NodeStore
-from .own_calls import OwnCalls
 from .peer import Peer
+from .peer_monitor import PeerWatch, READER_ASK_SECONDS
 from .peer_server import PeerServer
-from .peer_watch import PeerWatch, READER_ASK_SECONDS
-from .policy_keeper import PolicyKeeper, StoreError
+from .periodic_scheduler import Ticker
+from .policy_tracker import PolicyKeeper, StoreError
 from .rate_control import RateControl
-from .rate_watch import RATE_LOG_SECONDS
+from .rate_monitor import RATE_LOG_SECONDS
+from .rate_tolerance import Allowance
+from .request_handler import CallerDialect, Entry
 from .retry_budget import RetryBudget
 from .server_connection import Handler
-from .telling import TELL_SECONDS, Teller
-from .ticker import Ticker
-from .zone_bytes import BYTES_SECONDS, tell_crossed, ZoneBytes
+from .state_broadcast import TELL_SECONDS, Teller
 from .zone_costs import ZoneCosts
 
 STORE_RETRY_SECONDS = 0.5
--- a/primroseglade/sidecar/node_store.py
+++ b/primroseglade/sidecar/node_store.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from .model import NodeEntry
-from .policy_keeper import PolicyStore
+from .policy_tracker import PolicyStore
 
 
 class NodeStore(PolicyStore, Protocol):
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -10,6 +10,7 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal
 from .backend import BackendRefusal
 from .clock import read_age_clock
+from .cross_zone_bytes import ZoneBytes
 from .frames import (
     Call,
     CallAnswer,
@@ -34,7 +35,6 @@
 from .streams import FrameStream
 from .token_broker import GrantHandler
 from .token_requests import TokenRequests
-from .zone_bytes import ZoneBytes
 
 # A stream on which a call waits and nothing came for so long is asked for a sign of
 # life: where calls are answered, answers come in between.
--- a/primroseglade/sidecar/peer_watch.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from .fleet import Fleet
-from .policy_keeper import PolicyKeeper
+from .policy_tracker import PolicyKeeper
 
 # How often peers are asked how old the configuration is, in seconds: readers ask the
 # first of them, nodes ask the reader of their zone.
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -9,6 +9,7 @@
 from ..verdicts import Reason, Refusal, Verdict
 from .backend import BackendRefusal
 from .clock import read_age_clock
+from .cross_zone_bytes import ZoneBytes
 from .dispatch import Dispatcher
 from .frames import (
     Call,
@@ -28,9 +29,8 @@
     TokenRequest,
 )
 from .model import NodeEntry, NodeState
+from .one_way_delay import Transit
 from .streams import FrameStream
-from .transit import Transit
-from .zone_bytes import ZoneBytes
 
 
 class ServerHost(Protocol):
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -4,9 +4,9 @@
 import random
 from collections.abc import Callable, Iterator
 
-from .allowance import Allowance
 from .frames import TokenGrant, TokenLimits, TokenRequest
 from .model import Tenant
+from .rate_tolerance import Allowance
 from .retry_budget import SlidingCount
 from .token_broker import TokenBroker, TokenNetwork
 from .token_pool import DEMAND_SECONDS, GRANT_SECONDS
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from ..observe.events import Journal
-from .allowance import Allowance
 from .clock import read_age_clock
 from .fleet import Fleet
 from .frames import TokenGrant, TokenRequest
 from .model import NodeEntry
 from .quota import Quotas
-from .rate_watch import RateWatch
+from .rate_monitor import RateWatch
+from .rate_tolerance import Allowance
 from .share_leases import (
     assign_holder,
     count_zone_holders,
--- a/primroseglade/sidecar/entry.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -10,13 +10,13 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
 from .admission import Admission
 from .call_graph import CallGraph
+from .call_ratios import OwnCalls
 from .deadlines import Deadlines
 from .dispatch import Dispatcher, Outcome, OutgoingCall, spread_retry
 from .http_messages import Reply, Request
-from .meter import Meter
 from .model import rank_request, Route, Tenant
-from .own_calls import OwnCalls
-from .policy_keeper import PolicyKeeper
+from .node_metrics import Meter
+from .policy_tracker import PolicyKeeper
 from .quota import Quotas, TokenDecision
 from .retry_budget import RetryBudget
 
--- a/primroseglade/sidecar/telling.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -9,10 +9,10 @@
 import time
 from collections.abc import Callable
 
+from .call_ratios import OwnCalls
 from .fleet import Fleet
 from .frames import State, States
 from .model import NodeEntry, NodeState
-from .own_calls import OwnCalls
 from .peer_server import PeerServer
 
 # Every node tells its state this often, so that it is younger than what it decides.
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -5,6 +5,8 @@
 from collections.abc import Callable
 
 from ..sockets import set_dead_peer_options
+from .cross_zone_bytes import ZoneBytes
+from .frame_compression import Packer
 from .frames import (
     Call,
     CallAnswer,
@@ -17,8 +19,6 @@
     States,
 )
 from .http_client import KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS
-from .packing import Packer
-from .zone_bytes import ZoneBytes
 
 # Bytes that may wait unsent on a stream; a peer that does not read for as long as
 # they fill is cut off, so that it cannot take this process's memory.
--- a/tests/rates.py
+++ b/tests/rates.py
@@ -2,10 +2,10 @@
 
 import random
 
-from primroseglade.sidecar.allowance import Allowance
 from primroseglade.sidecar.frames import TokenRequest
 from primroseglade.sidecar.model import Tenant
 from primroseglade.sidecar.quota import Quotas, TokenDecision
+from primroseglade.sidecar.rate_tolerance import Allowance
 from primroseglade.sidecar.share_leases import LeaseBook
 from primroseglade.sidecar.token_broker import GrantHandler, TokenBroker
 from primroseglade.sidecar.token_pool import TokenPool
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -9,7 +9,7 @@
 )
 from primroseglade.sidecar.admission import Admission, Load
 from primroseglade.sidecar.model import Tenant
-from primroseglade.sidecar.ticker import STEP_SECONDS
+from primroseglade.sidecar.periodic_scheduler import STEP_SECONDS
 
 from .rates import OneHolder
 
--- a/tests/test_own_calls.py
+++ b/tests/test_call_ratios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from primroseglade.sidecar.own_calls import OwnCalls
+from primroseglade.sidecar.call_ratios import OwnCalls
 
 
 def play(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,10 +6,10 @@
 import pytest
 
 from primroseglade.observe.events import Journal
+from primroseglade.sidecar.cross_zone_bytes import ZoneBytes
 from primroseglade.sidecar.fleet import Fleet
 from primroseglade.sidecar.model import NodeEntry, NodeState
 from primroseglade.sidecar.peer import Peer
-from primroseglade.sidecar.zone_bytes import ZoneBytes
 
 
 class Host:
--- a/tests/test_packing.py
+++ b/tests/test_frame_compression.py
@@ -6,6 +6,8 @@
 import pytest
 from hypothesis import given, strategies as st
 
+from primroseglade.sidecar.cross_zone_bytes import ZoneBytes
+from primroseglade.sidecar.frame_compression import Packer
 from primroseglade.sidecar.frames import (
     Call,
     CallAnswer,
@@ -20,9 +22,7 @@
     State,
 )
 from primroseglade.sidecar.model import NodeState
-from primroseglade.sidecar.packing import Packer
 from primroseglade.sidecar.streams import FrameStream
-from primroseglade.sidecar.zone_bytes import ZoneBytes
 
 
 def build_call(number: int, body: bytes = b"") -> Call:
--- a/tests/test_choice.py
+++ b/tests/test_load_balancing.py
@@ -2,7 +2,7 @@
 
 import random
 
-from primroseglade.sidecar.choice import (
+from primroseglade.sidecar.load_balancing import (
     Candidate,
     choose,
     price_failure,
--- a/tests/test_transit.py
+++ b/tests/test_one_way_delay.py
@@ -1,6 +1,6 @@
 """Calls that were held up between two nodes."""
 
-from primroseglade.sidecar.transit import Transit, WINDOW_SECONDS
+from primroseglade.sidecar.one_way_delay import Transit, WINDOW_SECONDS
 
 
 def test_a_call_that_waited_on_a_full_link_has_less_time_left():
--- a/tests/test_peer_watch.py
+++ b/tests/test_peer_monitor.py
@@ -4,7 +4,7 @@
 import contextlib
 import time
 
-from primroseglade.sidecar.peer_watch import PeerWatch
+from primroseglade.sidecar.peer_monitor import PeerWatch
 
 
 class FakeFleet:
--- a/tests/test_ticker.py
+++ b/tests/test_periodic_scheduler.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from primroseglade.sidecar.ticker import STEP_SECONDS, Ticker
+from primroseglade.sidecar.periodic_scheduler import STEP_SECONDS, Ticker
 
 
 def test_duties_run_in_their_order_as_often_as_asked():
--- a/tests/test_telling.py
+++ b/tests/test_state_broadcast.py
@@ -1,9 +1,9 @@
 """What nodes tell each other of themselves, and hand on."""
 
+from primroseglade.sidecar.call_ratios import OwnCalls
 from primroseglade.sidecar.frames import Frame, State, States
 from primroseglade.sidecar.model import NodeEntry, NodeState
-from primroseglade.sidecar.own_calls import OwnCalls
-from primroseglade.sidecar.telling import DIRECT_NODES, Relay, Teller
+from primroseglade.sidecar.state_broadcast import DIRECT_NODES, Relay, Teller
 
 ZONES = ("a", "b", "c", "d")
 
--- a/tests/test_token_pool.py
+++ b/tests/test_token_pool.py
@@ -12,7 +12,7 @@
     TokenLimits,
     TokenRequest,
 )
-from primroseglade.sidecar.rate_watch import RateWatch
+from primroseglade.sidecar.rate_monitor import RateWatch
 from primroseglade.sidecar.share_leases import LeaseBook
 from primroseglade.sidecar.token_pool import TokenPool
 
