--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -6,21 +6,21 @@
 
 from ..sidecar.frames import TokenGrant, TokenRequest
 from ..sidecar.model import Tenant
-from ..sidecar.periodic_scheduler import SPREAD, STEP_SECONDS
+from ..sidecar.periodic_scheduler import STEP_JITTER_RATIO, STEP_SECONDS
 from ..sidecar.quota import Quotas, TokenDecision
 from ..sidecar.rate_control import RENEW_SECONDS
-from ..sidecar.rate_tolerance import Allowance
+from ..sidecar.rate_tolerance import RateTolerance
 from ..sidecar.share_leases import (
     assign_holder,
     count_zone_holders,
     LEASE_SECONDS,
-    LeaseBook,
+    LeaseTable,
     RemoteClock,
     ShareLender,
 )
 from ..sidecar.token_broker import GrantHandler, TokenBroker
 from ..sidecar.token_pool import TokenPool
-from ..sidecar.token_requests import ASK_TIMEOUT_SECONDS
+from ..sidecar.token_requests import REQUEST_TIMEOUT_SECONDS
 from .network import Cut, Network
 from .simulation import Simulation
 
@@ -50,13 +50,18 @@
         name = str(number)
         self.lender = ShareLender()
         self.clocks: dict[int, RemoteClock] = {}
-        self.leases = LeaseBook(lambda: fleet.size, simulation.now)
+        self.leases = LeaseTable(lambda: fleet.size, simulation.now)
         self.pool = TokenPool(self.leases, first_start)
         self.broker = TokenBroker(
             name, self.pool, self, simulation.read_clock, fleet.rng
         )
         self.quotas = Quotas(
-            name, self.broker, self, fleet.allowance, simulation.read_clock, fleet.rng
+            name,
+            self.broker,
+            self,
+            fleet.rate_tolerance,
+            simulation.read_clock,
+            fleet.rng,
         )
 
     def get_holder(self) -> str:
@@ -92,7 +97,7 @@
                 str(self._number), request, reply
             ),
         )
-        timeout = fleet.simulation.now + ASK_TIMEOUT_SECONDS
+        timeout = fleet.simulation.now + REQUEST_TIMEOUT_SECONDS
         fleet.simulation.schedule(timeout, lambda: finish(None))
 
     def renew(self) -> None:
@@ -106,14 +111,14 @@
         if holder == self._number:
             if may_lend:
                 self.leases.renew(str(self._number), now + LEASE_SECONDS, now)
-                self.lender.note_lent(str(holder), now)
+                self.lender.record_lease_sent(str(holder), now)
             return
         clock = self.clocks.setdefault(holder, RemoteClock())
         remote = clock.estimate(now)
         until = 0.0
         if remote is not None and may_lend:
             until = remote + LEASE_SECONDS
-            self.lender.note_lent(str(holder), now)
+            self.lender.record_lease_sent(str(holder), now)
         fleet.network.send(
             self._number, holder, lambda: fleet.take_ping(self._number, holder, until)
         )
@@ -140,7 +145,7 @@
         self.rng = random.Random(seed)
         self.simulation = Simulation()
         self.network = Network(self.simulation, zones, list(cuts), self.rng)
-        self.allowance = Allowance(OVERSHOOT, SLACK)
+        self.rate_tolerance = RateTolerance(OVERSHOOT, SLACK)
         self.nodes: list[RateNode] = []
         self._views: dict[int, tuple[float, tuple[str, list[str]]]] = {}
         for number in range(len(zones)):
@@ -178,15 +183,15 @@
         now = self.simulation.now
         self.nodes[holder].leases.renew(str(lender), until, now)
 
-        def note() -> None:
+        def record() -> None:
             node = self.nodes[lender]
             clock = node.clocks.setdefault(holder, RemoteClock())
             known = clock.estimate(self.simulation.now) is not None
-            clock.note(now, self.simulation.now)
+            clock.record(now, self.simulation.now)
             if not known:
                 node.renew()
 
-        self.network.send(holder, lender, note)
+        self.network.send(holder, lender, record)
 
     def call(self, number: int, tenant: Tenant, done: Callable[[bool], None]) -> None:
         """Have a call come to a node; one that is down or stands still refuses it."""
@@ -220,7 +225,9 @@
                 return
             if self.network.frozen_until[number] <= self.simulation.now:
                 node.renew()
-            pause = STEP_SECONDS * self.rng.uniform(1.0 - SPREAD, 1.0 + SPREAD)
+            pause = STEP_SECONDS * self.rng.uniform(
+                1.0 - STEP_JITTER_RATIO, 1.0 + STEP_JITTER_RATIO
+            )
             self.simulation.schedule(self.simulation.now + pause, renew)
 
         self.simulation.schedule(at, renew)
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -105,7 +105,7 @@
     def read_answer(self, answer: Answer) -> BackendAnswer:
         """Return what an answer says, and its head to hand on."""
         request_id = b""
-        sealed = not_executed = False
+        signed = not_executed = False
         dropped = HOP_BY_HOP
         lines = [render_status_line(answer.status)]
         for name, value in answer.headers:
@@ -113,7 +113,7 @@
             if lower == REQUEST_ID:
                 request_id = value
             elif lower == SIGNATURE:
-                sealed = True
+                signed = True
             elif lower == NOT_EXECUTED:
                 not_executed = True
             elif lower == CONNECTION:
@@ -123,7 +123,7 @@
             for header in answer.headers
             if header[0].lower() not in dropped
         ]
-        return BackendAnswer(b"".join(lines), request_id, sealed, not_executed)
+        return BackendAnswer(b"".join(lines), request_id, signed, not_executed)
 
 
 def _split_tokens(value: bytes) -> frozenset[bytes]:
--- a/primroseglade/platform/reports.py
+++ b/primroseglade/platform/reports.py
@@ -75,7 +75,9 @@
             return Reply(render_status_line(404), b"")
         instance = unquote(path[len(PREFIX) :].decode("latin-1"))
         if request.method == b"DELETE":
-            kept = await node.leaves.take_leave(instance, decode_leave(request.body))
+            kept = await node.registration.handle_deregistration(
+                instance, decode_leave(request.body)
+            )
             return Reply(OK, b"{}") if kept else Reply(UNAVAILABLE, b"")
         if request.method != b"PUT":
             return Reply(render_status_line(405), b"")
@@ -84,7 +86,7 @@
         except InputError as error:
             journal.emit(BACKEND_REPORT_REFUSED, backend=instance, reason=str(error))
             return Reply(render_status_line(400), b"")
-        kept = await node.leaves.take_report(report)
+        kept = await node.registration.handle_report(report)
         return Reply(OK, b"{}") if kept else Reply(UNAVAILABLE, b"")
 
     return handle
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -12,7 +12,7 @@
 from ..observe.events import ENTRY_UNREADABLE, Journal
 from ..sidecar.http_client import Answer, ConnectionPool, ExchangeError
 from ..sidecar.model import NodeEntry, Policy
-from ..sidecar.policy_tracker import PolicyRecord, PositionGoneError, StoreError
+from ..sidecar.policy_tracker import OffsetExpiredError, PolicyRecord, StoreError
 from .operator_config import decode_policy
 
 CONNECT_SECONDS = 1.0
@@ -104,7 +104,7 @@
         end, first = POSITIONS.unpack_from(data)
         if end < offset or first > offset:
             detail = f"position {offset} is not between {first} and {end}"
-            raise PositionGoneError(detail)
+            raise OffsetExpiredError(detail)
         records = split_records(data[POSITIONS.size :])
         if not records:
             return None
@@ -139,13 +139,15 @@
         """
         await self._write(NODES_TOPIC, entry.name, msgspec.json.encode(entry), timeout)
 
-    async def write_drain(self, instance: str, born: int, timeout: float) -> None:
+    async def write_drain(
+        self, instance: str, start_time_ms: int, timeout: float
+    ) -> None:
         """Keep that a backend server leaves.
 
         Raises:
             StoreError: It may not be kept.
         """
-        await self._write(DRAINS_TOPIC, instance, str(born).encode(), timeout)
+        await self._write(DRAINS_TOPIC, instance, str(start_time_ms).encode(), timeout)
 
     async def list_drains(self, timeout: float) -> dict[str, int]:
         """Return the backend servers that leave, with the start of their lifetime.
@@ -207,7 +209,7 @@
         except ExchangeError as error:
             raise StoreError(f"{path}: {error.detail}") from error
         if answer.status == GONE:
-            raise PositionGoneError(f"{path}: status {answer.status}")
+            raise OffsetExpiredError(f"{path}: status {answer.status}")
         if answer.status != 200:
             raise StoreError(f"{path}: status {answer.status}")
         return answer
--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -45,7 +45,7 @@
 LEAST_VISITS = 0.05
 
 
-class Load:
+class ServiceLoad:
     """How busy a service is, over all its backend servers.
 
     Each counts by what it gets done, its slots over its time of work. One of five that
@@ -69,24 +69,24 @@
         return self._known[1] * 1000
 
     @property
-    def pressure(self) -> float:
+    def utilization(self) -> float:
         """Calls at work and waiting for each slot."""
         weighted, weights = self._known if self._known[1] else self._unknown
         return weighted / weights if weights else 0.0
 
-    def add(self, occupied: float, slots: float, turn_ms: float) -> None:
+    def add(self, in_flight: float, slots: float, slot_ms: float) -> None:
         """Add a backend server.
 
         Args:
-            occupied: Calls at work and waiting there.
+            in_flight: Calls at work and waiting there.
             slots: Calls that it works on at once.
-            turn_ms: Usual milliseconds for which a call holds a slot, 0 before the
+            slot_ms: Usual milliseconds for which a call holds a slot, 0 before the
                 first.
         """
-        self.waiting += max(0.0, occupied - slots)
-        sums = self._known if turn_ms else self._unknown
-        sums[0] += occupied / (turn_ms or 1.0)
-        sums[1] += slots / (turn_ms or 1.0)
+        self.waiting += max(0.0, in_flight - slots)
+        sums = self._known if slot_ms else self._unknown
+        sums[0] += in_flight / (slot_ms or 1.0)
+        sums[1] += slots / (slot_ms or 1.0)
 
 
 class Admission:
@@ -109,11 +109,11 @@
         self._passed: dict[str, dict[int, float]] = {}
 
     @property
-    def levels(self) -> dict[str, float]:
+    def admission_levels(self) -> dict[str, float]:
         """Levels below 1, by service."""
         return self._levels
 
-    def note_demand(self, visits: Mapping[str, float], rank: int, now: float) -> None:
+    def record_demand(self, visits: Mapping[str, float], rank: int, now: float) -> None:
         """Count a request, admitted or not.
 
         Args:
@@ -130,7 +130,7 @@
                 count = ranks[rank] = SlidingCount(DEMAND_SECONDS)
             count.add(now, calls)
 
-    def describe_demand(self, now: float) -> dict[str, float]:
+    def measure_demand(self, now: float) -> dict[str, float]:
         """Return calls a second that requests here lead to, by service."""
         demand = {
             service: sum(count.total(now) for count in ranks.values()) / DEMAND_SECONDS
@@ -139,7 +139,7 @@
         return {service: round(calls, 1) for service, calls in demand.items() if calls}
 
     def update(
-        self, loads: Mapping[str, Load], demand: Mapping[str, float], now: float
+        self, loads: Mapping[str, ServiceLoad], demand: Mapping[str, float], now: float
     ) -> None:
         """Set the levels anew, once a step.
 
@@ -159,14 +159,14 @@
             for service, level in self._levels.items()
         }
 
-    def _reckon(self, service: str, load: Load, demand: float) -> float:
+    def _reckon(self, service: str, load: ServiceLoad, demand: float) -> float:
         """Return the part of the demand that a service can serve."""
         trim = self._trims.get(service, 1.0)
-        pressure = load.pressure
-        if pressure > TOO_BUSY:
+        utilization = load.utilization
+        if utilization > TOO_BUSY:
             trim *= 1.0 - TRIM_DOWN
-        elif pressure < ROOM and (trim < 1.0 or service in self._levels):
-            trim *= 1.0 + (TRIM_UP_EMPTY if pressure < EMPTY else TRIM_UP)
+        elif utilization < ROOM and (trim < 1.0 or service in self._levels):
+            trim *= 1.0 + (TRIM_UP_EMPTY if utilization < EMPTY else TRIM_UP)
         elif service not in self._levels:
             trim = min(trim, 1.0)
         self._trims[service] = min(MOST_TRIM, max(LEAST_TRIM, trim))
@@ -174,7 +174,7 @@
             return 1.0
         rate = self._trims[service] * FULL * load.capacity
         level = (rate - load.waiting / DRAIN_SECONDS) / demand
-        if level > SURE and pressure < ROOM and service not in self._levels:
+        if level > SURE and utilization < ROOM and service not in self._levels:
             return 1.0
         return level
 
--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -11,10 +11,10 @@
     """Bytes of answers, by route.
 
     >>> sizes = AnswerSizes()
-    >>> sizes.expect("photos")
+    >>> sizes.estimate("photos")
     0.0
-    >>> sizes.note("photos", 6000)
-    >>> sizes.expect("photos")
+    >>> sizes.record("photos", 6000)
+    >>> sizes.estimate("photos")
     6000.0
     """
 
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self._means: dict[str, float] = {}
 
-    def note(self, route: str, size: int) -> None:
+    def record(self, route: str, size: int) -> None:
         """Take in an answer's bytes."""
         mean = self._means.get(route)
         if mean is None:
@@ -32,6 +32,6 @@
             mean = float(size)
         self._means[route] = mean + SMOOTHING * (size - mean)
 
-    def expect(self, route: str) -> float:
+    def estimate(self, route: str) -> float:
         """Return the usual bytes of an answer, 0 before the first."""
         return self._means.get(route, 0.0)
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -14,7 +14,7 @@
 )
 from ..verdicts import may_have_run, not_run, Reason, Refusal
 from .backend_queue import BackendQueue
-from .call_ratios import OwnCalls
+from .call_ratios import CallRatioEstimator
 from .frames import Call
 from .http_client import Answer, ConnectionPool, ExchangeError
 from .load_balancing import Candidate
@@ -41,18 +41,18 @@
     Args:
         head: Status line and headers to hand on.
         request_id: Of the request that it answers.
-        sealed: Whether it bears the backend server's signature.
+        signed: Whether it bears the backend server's signature.
         not_executed: Whether it says that the request did not run.
     """
 
-    __slots__ = ("head", "not_executed", "request_id", "sealed")
+    __slots__ = ("head", "not_executed", "request_id", "signed")
 
     def __init__(
-        self, head: bytes, request_id: bytes, sealed: bool, not_executed: bool
+        self, head: bytes, request_id: bytes, signed: bool, not_executed: bool
     ):
         self.head = head
         self.request_id = request_id
-        self.sealed = sealed
+        self.signed = signed
         self.not_executed = not_executed
 
 
@@ -66,7 +66,7 @@
         """Return what an answer says."""
 
 
-class Served:
+class ServedAnswer:
     """A backend server's answer to a call."""
 
     __slots__ = ("answer", "body", "status")
@@ -88,9 +88,9 @@
         service: What the platform says it serves.
         address: Where the platform says it listens.
         dialect: How to speak to it.
-        own_calls: Counts its runs.
+        call_ratios: Counts its runs.
         journal: Where changes are told.
-        tell_state: Tells the other nodes at once what changed here.
+        broadcast_state: Tells the other nodes at once what changed here.
     """
 
     def __init__(
@@ -98,16 +98,16 @@
         service: str,
         address: str,
         dialect: BackendDialect,
-        own_calls: OwnCalls,
+        call_ratios: CallRatioEstimator,
         journal: Journal,
-        tell_state: Callable[[], None],
+        broadcast_state: Callable[[], None],
     ):
         self._service = service
         self._address = address
         self._dialect = dialect
-        self._own_calls = own_calls
+        self._call_ratios = call_ratios
         self._journal = journal
-        self._tell_state = tell_state
+        self._broadcast_state = broadcast_state
         self._report: StatusReport | None = None
         self._left: dict[str, int] = {}
         # Until when a leave that named no lifetime holds for the next report.
@@ -119,7 +119,7 @@
         self._gone = False
         self._stopping = False
         self._cold_until = 0.0
-        self._failing = 0.0
+        self._failure_ratio = 0.0
         self._pool = ConnectionPool(address, CONNECT_SECONDS)
         self.queue = BackendQueue(1)
 
@@ -139,8 +139,8 @@
     def slots(self) -> int:
         """Calls at work at once, as others should reckon with."""
         if time.monotonic() < self._cold_until:
-            return max(1, int(self.queue.limit * COLD_SHARE))
-        return self.queue.limit
+            return max(1, int(self.queue.concurrency_limit * COLD_SHARE))
+        return self.queue.concurrency_limit
 
     @property
     def service_ms(self) -> float:
@@ -150,28 +150,33 @@
         return round(self.queue.service_seconds * 1000, 2)
 
     @property
-    def turn_ms(self) -> float:
+    def slot_ms(self) -> float:
         """Usual milliseconds for which a call holds a slot, 0 before the first."""
         if not self.queue.measured:
             return 0.0
-        return round(self.queue.turn_seconds * 1000, 2)
+        return round(self.queue.slot_seconds * 1000, 2)
 
     @property
-    def failing(self) -> float:
+    def failure_ratio(self) -> float:
         """Share of calls that failed there lately."""
-        return self._failing
+        return self._failure_ratio
 
     @property
-    def born(self) -> int:
+    def start_time_ms(self) -> int:
         """Start of the lifetime that is known, 0 if none is."""
-        return self._report.born if self._report else 0
+        return self._report.start_time_ms if self._report else 0
 
-    def describe(self, node: str) -> Candidate | None:
+    def build_candidate(self, node: str) -> Candidate | None:
         """Return it as a place for calls of this node; None if it takes none."""
         if not self.instance:
             return None
         return Candidate(
-            node, True, self.slots, self.queue.occupied, self.service_ms, self._failing
+            node,
+            True,
+            self.slots,
+            self.queue.in_flight,
+            self.service_ms,
+            self._failure_ratio,
         )
 
     def stop(self) -> None:
@@ -181,17 +186,17 @@
     def is_stale(self, report: StatusReport) -> bool:
         """Whether a report is of an earlier lifetime, or late in this one."""
         known = self._report
-        if report.born and report.born < self._newest_left:
+        if report.start_time_ms and report.start_time_ms < self._newest_left:
             return True
         if known is None:
             return False
-        if report.born != known.born:
-            return report.born < known.born
+        if report.start_time_ms != known.start_time_ms:
+            return report.start_time_ms < known.start_time_ms
         if report.instance != known.instance:
             return False
         return report.sequence <= known.sequence
 
-    def accept(self, report: StatusReport) -> bool:
+    def apply_report(self, report: StatusReport) -> bool:
         """Take in a report and return whether it names the backend server here."""
         if report.service != self._service or report.address != self._address:
             self._journal.emit(
@@ -206,7 +211,7 @@
         another = (
             known is None
             or known.instance != report.instance
-            or known.born != report.born
+            or known.start_time_ms != report.start_time_ms
         )
         self._report = report
         if another:
@@ -214,7 +219,7 @@
         if self._has_left(report):
             self._leaving = True
         elif report.state is BackendState.DRAINING:
-            self.leave(report.instance, report.born)
+            self.drain(report.instance, report.start_time_ms)
         else:
             if self._leaving or self._gone:
                 self._journal.emit(BACKEND_ANNOUNCED, backend=report.instance)
@@ -228,11 +233,11 @@
             return False
         if time.monotonic() < self._unnamed_until.get(report.instance, 0.0):
             # The leave named no lifetime, and came before any report of it.
-            self._left[report.instance] = report.born
+            self._left[report.instance] = report.start_time_ms
             del self._unnamed_until[report.instance]
-        return self._left[report.instance] == report.born
+        return self._left[report.instance] == report.start_time_ms
 
-    def leave(self, instance: str, born: int) -> None:
+    def drain(self, instance: str, start_time_ms: int) -> None:
         """Send nothing more to a backend server that leaves.
 
         It binds for the lifetime: a report that was sent before and comes after,
@@ -240,17 +245,17 @@
         """
         known = self._report
         if known is not None and known.instance == instance:
-            born = born or known.born
+            start_time_ms = start_time_ms or known.start_time_ms
             if not self._leaving:
                 self._journal.emit(BACKEND_DRAINING, backend=instance)
-            if born == known.born:
+            if start_time_ms == known.start_time_ms:
                 self._leaving = True
-            self._newest_left = max(self._newest_left, born)
-        self._left[instance] = born
-        if not born:
+            self._newest_left = max(self._newest_left, start_time_ms)
+        self._left[instance] = start_time_ms
+        if not start_time_ms:
             self._unnamed_until[instance] = time.monotonic() + LATE_REPORT_SECONDS
 
-    async def serve(self, call: Call, remaining: float) -> Served:
+    async def serve(self, call: Call, remaining: float) -> ServedAnswer:
         """Run a call on the backend server.
 
         Raises:
@@ -259,15 +264,17 @@
         self._check_instance(call)
         deadline = time.monotonic() + remaining
         _check_time(remaining)
-        turn = await self.queue.acquire(call.target_ms / 1000, remaining, call.nested)
+        slot = await self.queue.acquire(
+            call.latency_target_ms / 1000, remaining, call.nested
+        )
         started = time.monotonic()
-        whole = False
-        self._own_calls.note_start(call.route, started)
+        completed = False
+        self._call_ratios.record_start(call.route, started)
         try:
             # It may have left while the call waited.
             self._check_instance(call)
             served = await self._exchange(call, deadline)
-            whole = True
+            completed = True
             return served
         except asyncio.CancelledError:
             # Its caller gave up. Where it waited for much longer than usual, nothing
@@ -278,13 +285,13 @@
             raise
         finally:
             now = time.monotonic()
-            self._own_calls.note_end(call.route, now)
-            self.queue.release(turn, now - started, whole)
+            self._call_ratios.record_end(call.route, now)
+            self.queue.release(slot, now - started, completed)
 
     def _start_lifetime(self, report: StatusReport) -> None:
         self._pool.close_idle()
         self._leaving = True
-        self._failing = 0.0
+        self._failure_ratio = 0.0
         self._cold_until = time.monotonic() + report.cold_remaining
         self.queue.resize(report.slots)
 
@@ -301,7 +308,7 @@
         self._gone = True
         self._pool.close_idle()
         self._journal.emit(BACKEND_GONE, backend=self._report and self._report.instance)
-        self._tell_state()
+        self._broadcast_state()
 
     def _check_instance(self, call: Call) -> None:
         if not self.instance:
@@ -309,7 +316,7 @@
         if call.instance != self.instance:
             raise not_run(Reason.DRAINING, "another backend server is here now")
 
-    async def _exchange(self, call: Call, deadline: float) -> Served:
+    async def _exchange(self, call: Call, deadline: float) -> ServedAnswer:
         read: BackendAnswer | None = None
 
         def accept(answer: Answer) -> bool:
@@ -343,7 +350,7 @@
         assert read is not None
         return self._judge(answer, read)
 
-    def _judge(self, answer: Answer, read: BackendAnswer) -> Served:
+    def _judge(self, answer: Answer, read: BackendAnswer) -> ServedAnswer:
         """Tell an answer from a refusal of the backend server."""
         if read.not_executed or answer.status == 421:
             self._note_outcome(failed=True)
@@ -353,15 +360,15 @@
                 raise BackendRefusal(Reason.DRAINING, detail="another instance")
             detail = "the backend server refused it"
             raise BackendRefusal(Reason.OVERLOADED, detail=detail)
-        if answer.status < 300 and not read.sealed:
+        if answer.status < 300 and not read.signed:
             self._note_outcome(failed=True)
             detail = "an answer without the backend server's signature"
             raise may_have_run(Reason.ANSWER_BROKEN, detail)
         self._note_outcome(failed=answer.status >= 500)
-        return Served(answer.status, read, answer.body)
+        return ServedAnswer(answer.status, read, answer.body)
 
     def _note_outcome(self, failed: bool) -> None:
-        self._failing += FAILURE_SMOOTHING * (float(failed) - self._failing)
+        self._failure_ratio += FAILURE_SMOOTHING * (float(failed) - self._failure_ratio)
 
 
 def _check_time(remaining: float) -> None:
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -68,12 +68,12 @@
         self.resize(slots)
 
     @property
-    def limit(self) -> int:
+    def concurrency_limit(self) -> int:
         """Calls at work at once."""
         return self._limit
 
     @property
-    def occupied(self) -> int:
+    def in_flight(self) -> int:
         """Calls at work and waiting."""
         return self._running + self._live
 
@@ -93,7 +93,7 @@
         return self._service_seconds
 
     @property
-    def turn_seconds(self) -> float:
+    def slot_seconds(self) -> float:
         """Usual time for which a call holds its turn."""
         return self._turn_seconds
 
@@ -102,13 +102,13 @@
         self._limit = max(1, int(slots * USED_SLOTS))
         self._let_go()
 
-    def take_average(self) -> float:
+    def take_average_in_flight(self) -> float:
         """Return the calls at work and waiting since the last time, on average."""
         now = time.monotonic()
         self._end_silent_turns(now)
         self._note_change(now)
         span = now - self._started
-        average = self._area / span if span > 0 else float(self.occupied)
+        average = self._area / span if span > 0 else float(self.in_flight)
         self._area = 0.0
         self._started = now
         return average
@@ -141,51 +141,51 @@
         if wait + self._service_seconds > longest:
             raise not_run(Reason.OVERLOADED, f"{ahead} calls go before it")
         loop = asyncio.get_running_loop()
-        turn: asyncio.Future[int] = loop.create_future()
-        entry = (late_at, next(self._numbers), now + remaining, turn)
+        slot: asyncio.Future[int] = loop.create_future()
+        entry = (late_at, next(self._numbers), now + remaining, slot)
         heapq.heappush(self._waiting, entry)
         self._live += 1
         # Ahead of the caller's own timeout, which would not know whether it ran.
         latest = now + remaining - self._service_seconds / 2
-        timer = loop.call_at(latest, self._expire, turn)
+        timer = loop.call_at(latest, self._expire, slot)
         try:
-            return await turn
+            return await slot
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled() and turn.exception() is None:
+            if slot.done() and not slot.cancelled() and slot.exception() is None:
                 # Its turn came in the moment in which its caller left.
-                self.release(turn.result(), 0.0, whole=False)
-            elif turn.cancelled() or not turn.done():
-                turn.cancel()
+                self.release(slot.result(), 0.0, completed=False)
+            elif slot.cancelled() or not slot.done():
+                slot.cancel()
                 self._live -= 1
             raise
         finally:
             timer.cancel()
 
-    def release(self, number: int, seconds: float, whole: bool = True) -> None:
+    def release(self, number: int, seconds: float, completed: bool = True) -> None:
         """Give a turn back.
 
         Args:
             number: Of the turn.
             seconds: Time of work so far.
-            whole: Whether the call ended; otherwise its work would have taken longer.
-                A backend server that is slower than its callers' timeouts ends none,
-                and would look as fast as it was before.
+            completed: Whether the call ended; otherwise its work would have taken
+                longer. A backend server that is slower than its callers' timeouts ends
+                none, and would look as fast as it was before.
         """
         self._note_change(time.monotonic())
         del self._turns[number]
-        self._measure(seconds, whole)
+        self._measure(seconds, completed)
         if number in self._silent:
             self._silent.discard(number)
             return
         self._running -= 1
         self._let_go()
 
-    def _measure(self, seconds: float, whole: bool) -> None:
-        if not whole and seconds <= self._service_seconds:
+    def _measure(self, seconds: float, completed: bool) -> None:
+        if not completed and seconds <= self._service_seconds:
             return
         weight = SMOOTHING if self._measured else 1.0
         self._service_seconds += weight * (seconds - self._service_seconds)
-        if whole:
+        if completed:
             self._whole_seconds += weight * (seconds - self._whole_seconds)
         held = min(seconds, HOLD_FACTOR * self._whole_seconds)
         self._turn_seconds += weight * (held - self._turn_seconds)
@@ -210,11 +210,11 @@
                 self._running -= 1
         self._let_go()
 
-    def _expire(self, turn: "asyncio.Future[int]") -> None:
-        if not turn.done():
+    def _expire(self, slot: "asyncio.Future[int]") -> None:
+        if not slot.done():
             self._live -= 1
             error = not_run(Reason.OVERLOADED, "its time passed in the queue")
-            turn.set_exception(error)
+            slot.set_exception(error)
 
     def _count_ahead(self, late_at: float) -> int:
         if self._live < 16:
@@ -226,20 +226,20 @@
 
     def _let_go(self) -> None:
         while self._waiting and self._running < self._limit:
-            _, _, latest, turn = heapq.heappop(self._waiting)
-            if turn.done():
+            _, _, latest, slot = heapq.heappop(self._waiting)
+            if slot.done():
                 continue
             self._live -= 1
             now = time.monotonic()
             left = latest - now
             if left < self._service_seconds / 2:
                 error = not_run(Reason.OVERLOADED, "its time passed in the queue")
-                turn.set_exception(error)
+                slot.set_exception(error)
                 continue
-            turn.set_result(self._start_turn(now))
+            slot.set_result(self._start_turn(now))
 
     def _note_change(self, now: float) -> None:
         if not self._measured_at:
             self._started = self._measured_at = now
-        self._area += self.occupied * (now - self._measured_at)
+        self._area += self.in_flight * (now - self._measured_at)
         self._measured_at = now
--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -24,7 +24,7 @@
 MOST_REMEMBERED = 512
 
 
-class Leaves:
+class BackendRegistration:
     """Takes reports of the backend server, and keeps that it leaves.
 
     An acknowledged leave binds: no request may reach the backend server some seconds
@@ -39,7 +39,7 @@
         journal: Where failures are told.
         rng: Picks the nodes that remember.
         first_start: Whether the whole fleet starts for the first time.
-        tell_state: Tells the other nodes at once what changed here.
+        broadcast_state: Tells the other nodes at once what changed here.
     """
 
     def __init__(
@@ -51,7 +51,7 @@
         journal: Journal,
         rng: random.Random,
         first_start: bool,
-        tell_state: Callable[[], None],
+        broadcast_state: Callable[[], None],
     ):
         self._backend = backend
         self._fleet = fleet
@@ -59,29 +59,29 @@
         self._supervisor = supervisor
         self._journal = journal
         self._rng = rng
-        self._tell_state = tell_state
+        self._broadcast_state = broadcast_state
         self._known = first_start
         self._kept: set[str] = set()
-        self._remembered: dict[str, int] = {}
+        self._recorded_drains: dict[str, int] = {}
 
     @property
-    def remembered(self) -> dict[str, int]:
+    def recorded_drains(self) -> dict[str, int]:
         """Backend servers beside other nodes that leave, kept for those."""
-        return self._remembered
+        return self._recorded_drains
 
-    def remember(self, instance: str, born: int) -> None:
+    def record_drain(self, instance: str, start_time_ms: int) -> None:
         """Remember that a backend server beside another node leaves."""
-        while len(self._remembered) >= MOST_REMEMBERED:
-            self._remembered.pop(next(iter(self._remembered)))
-        self._remembered[instance] = born
+        while len(self._recorded_drains) >= MOST_REMEMBERED:
+            self._recorded_drains.pop(next(iter(self._recorded_drains)))
+        self._recorded_drains[instance] = start_time_ms
 
-    def learn(self, drains: dict[str, int]) -> None:
+    def apply_drains(self, drains: dict[str, int]) -> None:
         """Take in which backend servers leave, as a peer remembers."""
         self._known = True
-        for instance, born in drains.items():
-            self._backend.leave(instance, born)
+        for instance, start_time_ms in drains.items():
+            self._backend.drain(instance, start_time_ms)
 
-    async def take_report(self, report: StatusReport) -> bool:
+    async def handle_report(self, report: StatusReport) -> bool:
         """Take in a status report; return whether to acknowledge it."""
         was = self._backend.instance
         if not was and not self._known:
@@ -90,22 +90,22 @@
         if self._backend.is_stale(report):
             if draining:
                 # Overtaken by a later report; what is acknowledged below binds.
-                self._backend.leave(report.instance, report.born)
-        elif not self._backend.accept(report):
+                self._backend.drain(report.instance, report.start_time_ms)
+        elif not self._backend.apply_report(report):
             return False
         if self._backend.instance != was:
-            self._tell_state()
+            self._broadcast_state()
         if draining:
-            return await self._keep(report.instance, report.born)
+            return await self._keep(report.instance, report.start_time_ms)
         return True
 
-    async def take_leave(self, instance: str, born: int) -> bool:
+    async def handle_deregistration(self, instance: str, start_time_ms: int) -> bool:
         """Take in that a backend server leaves; return whether to acknowledge it."""
         was = self._backend.instance
-        self._backend.leave(instance, born)
+        self._backend.drain(instance, start_time_ms)
         if was and not self._backend.instance:
-            self._tell_state()
-        return await self._keep(instance, born or self._backend.born)
+            self._broadcast_state()
+        return await self._keep(instance, start_time_ms or self._backend.start_time_ms)
 
     async def _ask_store(self) -> None:
         try:
@@ -115,19 +115,21 @@
             # acknowledged leave is the store or one of them.
             self._journal.emit(STORE_WRITE_FAILED, what="drains", error=str(error))
             return
-        self.learn(drains)
+        self.apply_drains(drains)
 
-    async def _keep(self, instance: str, born: int) -> bool:
+    async def _keep(self, instance: str, start_time_ms: int) -> bool:
         """Have a leave kept, and return whether it is."""
         if instance in self._kept:
             return True
         self._supervisor.start_once(
-            f"drain of {instance}", lambda: self._write(instance, born)
+            f"drain of {instance}", lambda: self._write(instance, start_time_ms)
         )
         peers = self._fleet.list_connected()
         self._rng.shuffle(peers)
         witnesses = [
-            asyncio.create_task(peer.note_drain(instance, born, ACKNOWLEDGE_SECONDS))
+            asyncio.create_task(
+                peer.replicate_drain(instance, start_time_ms, ACKNOWLEDGE_SECONDS)
+            )
             for peer in peers[:WITNESSES]
         ]
         try:
@@ -141,10 +143,12 @@
         seen = any(not isinstance(result, BaseException) for result in results)
         return seen or instance in self._kept
 
-    async def _write(self, instance: str, born: int) -> None:
+    async def _write(self, instance: str, start_time_ms: int) -> None:
         while True:
             try:
-                await self._store.write_drain(instance, born, STORE_TIMEOUT_SECONDS)
+                await self._store.write_drain(
+                    instance, start_time_ms, STORE_TIMEOUT_SECONDS
+                )
                 self._kept.add(instance)
                 return
             except StoreError as error:
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -8,27 +8,27 @@
 
 from collections.abc import Iterable, Mapping
 
-from .call_ratios import LEAST_CALLS, Ratios
+from .call_ratios import CallRatios, MIN_CALL_RATIO
 from .model import Route
 
 # Deeper than any known graph; ends the walk where services call each other.
 DEEPEST = 20
 
 # A route, and the service that serves it.
-Place = tuple[str, str]
+ServiceRoute = tuple[str, str]
 
 
 class CallGraph:
     """The routes' calls to each other, put together from all nodes."""
 
     def __init__(self) -> None:
-        self._below: dict[Place, Ratios] = {}
+        self._below: dict[ServiceRoute, CallRatios] = {}
         self._routes: Mapping[str, Route] = {}
-        self._visits: dict[Place, dict[str, float]] = {}
+        self._visits: dict[ServiceRoute, dict[str, float]] = {}
 
     def rebuild(
         self,
-        told: Iterable[tuple[str, Mapping[str, Ratios]]],
+        told: Iterable[tuple[str, Mapping[str, CallRatios]]],
         routes: Mapping[str, Route],
     ) -> None:
         """Take what nodes tell.
@@ -38,8 +38,8 @@
                 average over all runs under ``""``.
             routes: In force, by name, for who serves the calls.
         """
-        sums: dict[Place, Ratios] = {}
-        nodes: dict[Place, int] = {}
+        sums: dict[ServiceRoute, CallRatios] = {}
+        nodes: dict[ServiceRoute, int] = {}
         for service, by_route in told:
             for route, below in by_route.items():
                 place = (route, service)
@@ -67,7 +67,9 @@
             visits = self._visits[place] = self._sum_levels(place)
         return visits
 
-    def list_below(self, place: Place) -> list[tuple[Place, float]]:
+    def list_downstream_calls(
+        self, place: ServiceRoute
+    ) -> list[tuple[ServiceRoute, float]]:
         """Return the calls of one run, each with how often it is made."""
         below = self._below.get(place)
         if below is None:
@@ -80,7 +82,7 @@
             if service != place[1]
         ]
 
-    def _sum_levels(self, root: Place) -> dict[str, float]:
+    def _sum_levels(self, root: ServiceRoute) -> dict[str, float]:
         """Add up the calls at each depth.
 
         Level by level and not path by path: routes that move leave a few calls from
@@ -90,11 +92,11 @@
         visits = {root[1]: 1.0}
         level = {root: 1.0}
         for _ in range(DEEPEST):
-            below: dict[Place, float] = {}
+            below: dict[ServiceRoute, float] = {}
             for place, count in level.items():
-                for called, ratio in self.list_below(place):
+                for called, ratio in self.list_downstream_calls(place):
                     below[called] = below.get(called, 0.0) + count * ratio
-            level = {place: n for place, n in below.items() if n >= LEAST_CALLS}
+            level = {place: n for place, n in below.items() if n >= MIN_CALL_RATIO}
             if not level:
                 break
             for (_, service), count in level.items():
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -22,12 +22,12 @@
 # Runs of a route below which nothing is told of it alone.
 LEAST_RUNS = 5.0
 # Fewer calls for each run than this are not told: strays of a moved route.
-LEAST_CALLS = 0.02
+MIN_CALL_RATIO = 0.02
 # Calls of a step that belong to runs of the step before or after, for each call.
 STRAY_SHARE = 0.4
 
 # Calls for each run, by the route of the calls.
-Ratios = dict[str, float]
+CallRatios = dict[str, float]
 
 
 class _Step:
@@ -41,7 +41,7 @@
         self.calls: dict[str, float] = {}
 
 
-class OwnCalls:
+class CallRatioEstimator:
     """Runs at the own backend server and the calls that began there, by route."""
 
     def __init__(self) -> None:
@@ -52,24 +52,24 @@
         # Sums over steps, each pair of routes: runs times runs, and runs times calls.
         self._runs_runs: dict[tuple[str, str], float] = {}
         self._runs_calls: dict[tuple[str, str], float] = {}
-        self._told: dict[str, Ratios] = {}
+        self._told: dict[str, CallRatios] = {}
 
-    def note_start(self, route: str, now: float) -> None:
+    def record_start(self, route: str, now: float) -> None:
         """Count the start of a run as half of it: its calls lie between both ends."""
         runs = self._get_step(now).runs
         runs[route] = runs.get(route, 0.0) + 0.5
 
-    def note_end(self, route: str, now: float) -> None:
+    def record_end(self, route: str, now: float) -> None:
         """Count the end of a run as the other half."""
         runs = self._get_step(now).runs
         runs[route] = runs.get(route, 0.0) + 0.5
 
-    def note_call(self, route: str, now: float) -> None:
+    def record_call(self, route: str, now: float) -> None:
         """Count a call that the backend server makes."""
         calls = self._get_step(now).calls
         calls[route] = calls.get(route, 0.0) + 1.0
 
-    def describe(self, now: float) -> dict[str, Ratios]:
+    def get_ratios(self, now: float) -> dict[str, CallRatios]:
         """Return calls for each run, by the run's route; the average under ``""``.
 
         Args:
@@ -104,21 +104,21 @@
         for called, calls in step.calls.items():
             self._calls[called] = self._calls.get(called, 0.0) + calls
 
-    def _estimate(self) -> dict[str, Ratios]:
+    def _estimate(self) -> dict[str, CallRatios]:
         runs = sum(self._runs.values())
         if runs < LEAST_RUNS:
             return {}
         routes = sorted(self._runs, key=self._runs.__getitem__, reverse=True)
         routes = [r for r in routes[:MOST_ROUTES] if self._runs[r] >= LEAST_RUNS]
-        told: dict[str, Ratios] = {"": {}} | {route: {} for route in routes}
+        told: dict[str, CallRatios] = {"": {}} | {route: {} for route in routes}
         for called, calls in self._calls.items():
             average = calls / runs
-            if average < LEAST_CALLS:
+            if average < MIN_CALL_RATIO:
                 continue
             told[""][called] = round(average, 3)
             ratios = self._fit(routes, called, average, runs)
             for route, ratio in zip(routes, ratios, strict=True):
-                if ratio >= LEAST_CALLS:
+                if ratio >= MIN_CALL_RATIO:
                     told[route][called] = round(ratio, 3)
         return told
 
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -8,17 +8,17 @@
 MOST_ROUTES = 200
 OTHER_ROUTES = "other"
 # How often the log has what crossed, in seconds, and how many lines of it.
-BYTES_SECONDS = 10.0
+BYTES_LOG_SECONDS = 10.0
 LINES_TOLD = 12
 
 
-class ZoneBytes:
+class CrossZoneBytes:
     """Bytes by kind of frame and by route.
 
-    >>> crossed = ZoneBytes()
-    >>> crossed.note("Call", "photos", 300)
-    >>> crossed.note("Call", "photos", 200)
-    >>> crossed.list_all()
+    >>> cross_zone_bytes = CrossZoneBytes()
+    >>> cross_zone_bytes.record("Call", "photos", 300)
+    >>> cross_zone_bytes.record("Call", "photos", 200)
+    >>> cross_zone_bytes.list_all()
     [('Call', 'photos', 500)]
     """
 
@@ -28,7 +28,7 @@
         self._counts: collections.Counter[tuple[str, str]] = collections.Counter()
         self._routes: set[str] = set()
 
-    def note(self, frame: str, route: str, size: int) -> None:
+    def record(self, frame: str, route: str, size: int) -> None:
         """Count a frame that was sent."""
         if route not in self._routes:
             if len(self._routes) >= MOST_ROUTES:
@@ -42,8 +42,8 @@
         return [(frame, route, n) for (frame, route), n in self._counts.most_common()]
 
 
-def tell_crossed(crossed: ZoneBytes, journal: Journal) -> None:
+def log_cross_zone_bytes(cross_zone_bytes: CrossZoneBytes, journal: Journal) -> None:
     """Log what crossed to other zones."""
-    most = crossed.list_all()[:LINES_TOLD]
+    most = cross_zone_bytes.list_all()[:LINES_TOLD]
     if most:
         journal.emit(ZONE_BYTES, most=most)
--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -16,19 +16,19 @@
     """The time at which a task is to end.
 
     Attributes:
-        passed: Whether the task was cancelled for it.
+        expired: Whether the task was cancelled for it.
     """
 
-    __slots__ = ("at", "passed", "task")
+    __slots__ = ("at", "expired", "task")
 
     def __init__(self, at: float, task: "asyncio.Task[object]"):
         self.at = at
         self.task = task
-        self.passed = False
+        self.expired = False
 
-    def is_reason(self) -> bool:
+    def caused_cancellation(self) -> bool:
         """Whether a cancellation of the task comes from here and from nobody else."""
-        return self.passed and self.task.uncancel() <= 0
+        return self.expired and self.task.uncancel() <= 0
 
 
 class Deadlines:
@@ -70,7 +70,7 @@
         """Cancel what is over its time."""
         now = time.monotonic()
         for deadline in [d for d in self._open if d.at <= now]:
-            deadline.passed = True
+            deadline.expired = True
             self._open.discard(deadline)
             deadline.task.cancel()
         self._wakes_at = math.inf
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -7,14 +7,18 @@
 from ..observe.events import CALL_REPEATED, Journal
 from ..verdicts import not_run, Reason, Refusal, Verdict
 from .answer_sizes import AnswerSizes
-from .backend import Backend, BackendRefusal, Served
+from .backend import Backend, BackendRefusal, ServedAnswer
 from .call_graph import CallGraph
 from .fleet import Fleet
 from .frames import Call
-from .http_messages import FIRST_FAILURE
-from .load_balancing import Candidate, price_failure, price_other_zone
+from .http_messages import MIN_FAILURE_STATUS
+from .load_balancing import (
+    Candidate,
+    compute_cross_zone_cost_ms,
+    compute_failure_cost_ms,
+)
 from .model import Route
-from .node_metrics import Meter
+from .node_metrics import NodeMetrics
 from .retry_budget import RetryBudget
 from .zone_costs import ZoneCosts
 
@@ -76,13 +80,13 @@
 class Outcome:
     """An answer, and how it was had."""
 
-    __slots__ = ("attempts", "body", "head", "node", "sealed", "status")
+    __slots__ = ("attempts", "body", "head", "node", "signed", "status")
 
-    def __init__(self, status: int, head: bytes, body: bytes, sealed: bool, node: str):
+    def __init__(self, status: int, head: bytes, body: bytes, signed: bool, node: str):
         self.status = status
         self.head = head
         self.body = body
-        self.sealed = sealed
+        self.signed = signed
         self.node = node
         self.attempts = 1
 
@@ -117,7 +121,7 @@
         self.reason = ""
         self.verdict = Verdict.NOT_RUN
 
-    def note_failure(self, outcome: Outcome) -> None:
+    def record_failure(self, outcome: Outcome) -> None:
         """Note that a backend server answered with a failure of its own."""
         self._failure = outcome
         self.verdict = Verdict.RAN
@@ -125,7 +129,7 @@
         self.arrivals += 1
         self.last_arrived = True
 
-    def note_refusal(self, refusal: Refusal) -> None:
+    def record_refusal(self, refusal: Refusal) -> None:
         """Note that there was no answer."""
         self._refusal = refusal
         self.reason = refusal.reason.code
@@ -157,12 +161,12 @@
         node: This node's name.
         backend: The own backend server.
         fleet: The others.
-        budget: Of repeats.
+        retry_budget: Of repeats.
         graph: Which calls a repeat makes again.
         zone_costs: What the calls below a call cost.
         answer_sizes: Learnt from answers.
         journal: Where repeats are told.
-        meter: Counts repeats.
+        node_metrics: Counts repeats.
     """
 
     def __init__(
@@ -170,20 +174,20 @@
         node: str,
         backend: Backend,
         fleet: Fleet,
-        budget: RetryBudget,
+        retry_budget: RetryBudget,
         graph: CallGraph,
         zone_costs: ZoneCosts,
         answer_sizes: AnswerSizes,
         journal: Journal,
-        meter: Meter,
+        node_metrics: NodeMetrics,
     ):
         self._node = node
         self._backend = backend
         self._fleet = fleet
-        self._budget = budget
+        self._retry_budget = retry_budget
         self._graph = graph
         self._journal = journal
-        self._meter = meter
+        self._node_metrics = node_metrics
         self._zone_costs = zone_costs
         self._answer_sizes = answer_sizes
 
@@ -233,13 +237,13 @@
         try:
             outcome = await self._send(call, candidate)
         except Refusal as refusal:
-            attempts.note_refusal(refusal)
+            attempts.record_refusal(refusal)
             return None
         size = len(outcome.head) + len(outcome.body)
-        self._answer_sizes.note(call.route.name, size)
-        if outcome.status < FIRST_FAILURE or not call.route.idempotent:
+        self._answer_sizes.record(call.route.name, size)
+        if outcome.status < MIN_FAILURE_STATUS or not call.route.idempotent:
             return outcome
-        attempts.note_failure(outcome)
+        attempts.record_failure(outcome)
         return None
 
     def _may_go_on(self, call: OutgoingCall, attempts: "Attempts") -> bool:
@@ -252,7 +256,7 @@
     def _tell_repeat(
         self, call: OutgoingCall, candidate: Candidate, attempts: "Attempts"
     ) -> None:
-        self._meter.note_repeat(attempts.reason)
+        self._node_metrics.record_retry(attempts.reason)
         self._journal.emit(
             CALL_REPEATED,
             request=call.request_id.decode("latin-1"),
@@ -267,29 +271,31 @@
             return False
         if call.deadline - time.monotonic() < self._backend.queue.service_seconds / 4:
             return False
-        if call.nested and self._fleet.get_failing(call.service) > MOST_FAILING:
+        if call.nested and self._fleet.get_failure_ratio(call.service) > MOST_FAILING:
             return False
         visits = self._graph.get_visits(call.route.name, call.service)
-        return self._budget.take(visits, len(self._fleet), time.monotonic())
+        return self._retry_budget.try_spend(visits, len(self._fleet), time.monotonic())
 
     def _choose(self, call: OutgoingCall, tried: set[str]) -> Candidate | None:
-        below = self._zone_costs.get_below(call.route.name, call.service)
+        downstream_costs = self._zone_costs.get_downstream_costs(
+            call.route.name, call.service
+        )
         own: Candidate | None = None
         if self._backend.service == call.service:
-            own = self._backend.describe(self._node)
+            own = self._backend.build_candidate(self._node)
             if own is not None:
-                own.below_ms = below.get(self._fleet.zone, 0.0)
+                own.downstream_ms = downstream_costs.get(self._fleet.zone, 0.0)
         size = len(call.head) + len(call.body)
-        size += self._answer_sizes.expect(call.route.name)
+        size += self._answer_sizes.estimate(call.route.name)
         target = call.route.target_latency
-        patience = call.route.patience
+        latency_tolerance = call.route.latency_tolerance
         return self._fleet.choose(
             call.service,
             own,
             tried,
-            price_other_zone(patience, size),
-            price_failure(target),
-            below,
+            compute_cross_zone_cost_ms(latency_tolerance, size),
+            compute_failure_cost_ms(target),
+            downstream_costs,
         )
 
     async def _send(self, call: OutgoingCall, candidate: Candidate) -> Outcome:
@@ -322,18 +328,18 @@
         if peer is not None:
             answer = await peer.call(message)
             return Outcome(
-                answer.status, answer.head, answer.body, answer.sealed, candidate.name
+                answer.status, answer.head, answer.body, answer.signed, candidate.name
             )
         served = await self.serve(message)
         return Outcome(
             served.status,
             served.answer.head,
             served.body,
-            served.answer.sealed,
+            served.answer.signed,
             candidate.name,
         )
 
-    async def serve(self, message: Call) -> Served:
+    async def serve(self, message: Call) -> ServedAnswer:
         """Run a call on the own backend server, for this node or another.
 
         Raises:
@@ -345,7 +351,7 @@
         return await self._backend.serve(message, remaining)
 
 
-def spread_retry(remaining: float, rng: random.Random) -> float:
+def draw_retry_after(remaining: float, rng: random.Random) -> float:
     """Return seconds after which a refused caller should come back.
 
     Callers wait as told for up to a third of what they have left, and are served in
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -5,12 +5,12 @@
 
 from ..observe.events import Journal, PEER_FORGOTTEN, PEER_LEARNT
 from ..supervisor import Supervisor
-from .admission import Load
-from .fleet_index import FleetIndex, Places
-from .load_balancing import Candidate, choose, estimate_trouble
+from .admission import ServiceLoad
+from .fleet_index import FleetIndex, ServicePeers
+from .load_balancing import Candidate, choose, estimate_penalty_ms
 from .model import NodeEntry
-from .peer import Host, Peer
-from .zone_costs import Costs
+from .peer import Peer, PeerHost
+from .zone_costs import ZoneCostsMs
 
 # Nodes looked at for a call, in this node's zone and in others: the best of a few at
 # random is nearly as good as the best of all, and costs the same in any fleet.
@@ -23,15 +23,15 @@
 
     Attributes:
         loads: How busy the backend servers are.
-        cheapest: What a call costs beyond its work, by zone.
+        min_costs: What a call costs beyond its work, by zone.
         demand: Calls a second that the nodes' callers ask for.
     """
 
-    __slots__ = ("cheapest", "demand", "loads")
+    __slots__ = ("demand", "loads", "min_costs")
 
     def __init__(self) -> None:
-        self.loads: dict[str, Load] = {}
-        self.cheapest: dict[str, Costs] = {}
+        self.loads: dict[str, ServiceLoad] = {}
+        self.min_costs: dict[str, ZoneCostsMs] = {}
         self.demand: dict[str, float] = {}
 
     def add(self, peer: Peer) -> None:
@@ -41,27 +41,31 @@
             self.demand[service] = self.demand.get(service, 0.0) + calls
         if state.instance:
             service = peer.entry.service
-            load = self.loads.setdefault(service, Load())
-            load.add(state.occupied, state.slots, state.turn_ms)
-            self.note_cost(service, peer.entry.zone, estimate_trouble(describe(peer)))
+            load = self.loads.setdefault(service, ServiceLoad())
+            load.add(state.in_flight, state.slots, state.slot_ms)
+            self.record_cost(
+                service, peer.entry.zone, estimate_penalty_ms(build_candidate(peer))
+            )
 
-    def note_cost(self, service: str, zone: str, cost: float) -> None:
+    def record_cost(self, service: str, zone: str, cost: float) -> None:
         """Take in what a call costs at one backend server."""
-        zones = self.cheapest.setdefault(service, {})
+        zones = self.min_costs.setdefault(service, {})
         zones[zone] = min(cost, zones.get(zone, cost))
 
 
-def describe(peer: Peer, same_zone: bool = False, below_ms: float = 0.0) -> Candidate:
+def build_candidate(
+    peer: Peer, same_zone: bool = False, downstream_ms: float = 0.0
+) -> Candidate:
     """Return a node as a place for a call."""
     state = peer.state
     return Candidate(
         peer.entry.name,
         same_zone,
         state.slots,
-        peer.occupied,
+        peer.in_flight,
         state.service_ms,
-        peer.failing,
-        below_ms,
+        peer.failure_ratio,
+        downstream_ms,
     )
 
 
@@ -76,7 +80,11 @@
     """
 
     def __init__(
-        self, host: Host, supervisor: Supervisor, journal: Journal, rng: random.Random
+        self,
+        host: PeerHost,
+        supervisor: Supervisor,
+        journal: Journal,
+        rng: random.Random,
     ):
         self._host = host
         self._supervisor = supervisor
@@ -108,7 +116,7 @@
         """Return a node by its name."""
         return self._peers.get(name)
 
-    def learn(self, entry: NodeEntry) -> None:
+    def update_node(self, entry: NodeEntry) -> None:
         """Take in how a node is found; the newest start of a name counts."""
         if entry.name == self._host.entry.name:
             return
@@ -125,9 +133,9 @@
         self._supervisor.start(f"peer {entry.name}", lambda: self._run(peer))
 
     @property
-    def waits(self) -> bool:
+    def has_pending_calls(self) -> bool:
         """Whether calls wait for an answer of another node."""
-        return any(peer.waits for peer in self._peers.values())
+        return any(peer.has_pending_calls for peer in self._peers.values())
 
     def check_silence(self, now: float) -> None:
         """Look for streams on which nothing comes any more."""
@@ -152,9 +160,9 @@
         service: str,
         own: Candidate | None,
         tried: Collection[str],
-        other_zone_ms: float,
-        failure_ms: float,
-        below: Costs,
+        cross_zone_cost_ms: float,
+        failure_cost_ms: float,
+        downstream_costs: ZoneCostsMs,
     ) -> Candidate | None:
         """Return where a call to a service goes next.
 
@@ -162,32 +170,45 @@
             service: What is called.
             own: This node, where its backend server serves it.
             tried: Names of nodes that are not to be asked again.
-            other_zone_ms: By how much another availability zone has to be better.
-            failure_ms: What a failed call costs.
-            below: What the calls below it cost, by zone.
+            cross_zone_cost_ms: By how much another availability zone has to be better.
+            failure_cost_ms: What a failed call costs.
+            downstream_costs: What the calls below it cost, by zone.
         """
-        places = self.index.get_places(service)
-        near = self._sample(places.near, NEAR_SAMPLE, tried, below)
+        service_peers = self.index.get_service_peers(service)
+        same_zone_peers = self._sample(
+            service_peers.same_zone_peers,
+            NEAR_SAMPLE,
+            tried,
+            downstream_costs,
+        )
         if own is not None and own.name not in tried:
-            near.append(own)
-        least_far = min(below.values(), default=0.0)
+            same_zone_peers.append(own)
+        min_cross_zone_downstream_ms = min(downstream_costs.values(), default=0.0)
         chosen = choose(
-            near,
-            lambda: self._sample(places.far, FAR_SAMPLE, tried, below),
-            other_zone_ms,
-            least_far,
-            failure_ms,
+            same_zone_peers,
+            lambda: self._sample(
+                service_peers.cross_zone_peers,
+                FAR_SAMPLE,
+                tried,
+                downstream_costs,
+            ),
+            cross_zone_cost_ms,
+            min_cross_zone_downstream_ms,
+            failure_cost_ms,
             self._rng,
         )
-        return chosen or self._find_suspect(places, tried, below)
+        return chosen or self._find_suspect(service_peers, tried, downstream_costs)
 
     def _find_suspect(
-        self, places: Places, tried: Collection[str], below: Costs
+        self,
+        service_peers: ServicePeers,
+        tried: Collection[str],
+        downstream_costs: ZoneCostsMs,
     ) -> Candidate | None:
         """Return a node that is silent, where no other serves a call."""
-        for peer in places.near + places.far:
+        for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
             if peer.usable and peer.entry.name not in tried:
-                return self._describe(peer, below)
+                return self._describe(peer, downstream_costs)
         return None
 
     def _sample(
@@ -195,7 +216,7 @@
         peers: list[Peer],
         most: int,
         tried: Collection[str],
-        below: Costs,
+        downstream_costs: ZoneCostsMs,
     ) -> list[Candidate]:
         """Return some nodes that may be asked, others with each call."""
         found: list[Candidate] = []
@@ -205,21 +226,21 @@
         for peer in peers:
             if not peer.usable or peer.entry.name in tried or peer.suspect:
                 continue
-            found.append(self._describe(peer, below))
+            found.append(self._describe(peer, downstream_costs))
             if len(found) == most:
                 break
         return found
 
-    def _describe(self, peer: Peer, below: Costs) -> Candidate:
+    def _describe(self, peer: Peer, downstream_costs: ZoneCostsMs) -> Candidate:
         zone = peer.entry.zone
-        return describe(peer, zone == self.zone, below.get(zone, 0.0))
+        return build_candidate(peer, zone == self.zone, downstream_costs.get(zone, 0.0))
 
-    def get_failing(self, service: str) -> float:
+    def get_failure_ratio(self, service: str) -> float:
         """Return the share of calls that fail at a service, over its nodes."""
-        places = self.index.get_places(service)
+        service_peers = self.index.get_service_peers(service)
         told = [
-            peer.state.failing
-            for peer in places.near + places.far
+            peer.state.failure_ratio
+            for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers
             if peer.state.instance
         ]
         return sum(told) / len(told) if told else 0.0
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -6,17 +6,17 @@
 from .peer import Peer
 
 
-class Places:
+class ServicePeers:
     """The nodes of one service, in this node's zone and in others."""
 
-    __slots__ = ("far", "near")
+    __slots__ = ("cross_zone_peers", "same_zone_peers")
 
     def __init__(self) -> None:
-        self.near: list[Peer] = []
-        self.far: list[Peer] = []
+        self.same_zone_peers: list[Peer] = []
+        self.cross_zone_peers: list[Peer] = []
 
 
-NOWHERE = Places()
+NOWHERE = ServicePeers()
 
 
 class FleetIndex:
@@ -31,15 +31,19 @@
 
     def __init__(self, own: NodeEntry, peers: Iterable[Peer]):
         self._own = own
-        self._places: dict[str, Places] = {}
+        self._places: dict[str, ServicePeers] = {}
         # The names of a zone's nodes in order; None stands for this node.
         self._zones: dict[str, list[tuple[str, Peer | None]]] = {
             own.zone: [(own.name, None)]
         }
         for peer in peers:
             entry = peer.entry
-            places = self._places.setdefault(entry.service, Places())
-            (places.near if entry.zone == own.zone else places.far).append(peer)
+            service_peers = self._places.setdefault(entry.service, ServicePeers())
+            (
+                service_peers.same_zone_peers
+                if entry.zone == own.zone
+                else service_peers.cross_zone_peers
+            ).append(peer)
             self._zones.setdefault(entry.zone, []).append((entry.name, peer))
         for names in self._zones.values():
             names.sort(key=lambda item: item[0])
@@ -49,7 +53,7 @@
         """Number of availability zones."""
         return len(self._zones)
 
-    def get_places(self, service: str) -> Places:
+    def get_service_peers(self, service: str) -> ServicePeers:
         """Return the nodes of a service."""
         return self._places.get(service, NOWHERE)
 
--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -9,7 +9,7 @@
 import struct
 import zlib
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 # What went before is remembered for some heads, as raw deflate; each end of a stream
 # keeps memory for it.
 WINDOW_BITS = -11
@@ -21,11 +21,11 @@
 HEAD_BYTES = 16 * 1024 * 1024
 
 
-class PackingError(Exception):
+class DecompressionError(Exception):
     """Bytes that cannot be unpacked."""
 
 
-class Packer:
+class FrameCompressor:
     """The sending end of a stream."""
 
     __slots__ = ("_deflate",)
@@ -35,18 +35,19 @@
             LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL
         )
 
-    def pack(self, head: bytes, body: bytes = b"") -> bytes:
+    def compress_frame(self, head: bytes, body: bytes = b"") -> bytes:
         """Return a frame's bytes, but for its length."""
         packed = self._deflate.compress(head) + self._deflate.flush(zlib.Z_SYNC_FLUSH)
         packed = packed[: -len(SYNC_MARK)]
-        return LENGTH.pack(len(packed)) + packed + body
+        return LENGTH_PREFIX.pack(len(packed)) + packed + body
 
 
-class Unpacker:
+class FrameDecompressor:
     """The receiving end of a stream.
 
-    >>> packer, unpacker = Packer(), Unpacker()
-    >>> unpacker.unpack(packer.pack(b"head", b"body"))
+    >>> compressor = FrameCompressor()
+    >>> decompressor = FrameDecompressor()
+    >>> decompressor.decompress_frame(compressor.compress_frame(b"head", b"body"))
     (b'head', b'body')
     """
 
@@ -55,23 +56,25 @@
     def __init__(self) -> None:
         self._inflate = zlib.decompressobj(WINDOW_BITS)
 
-    def unpack(self, payload: bytes) -> tuple[bytes, bytes]:
+    def decompress_frame(self, payload: bytes) -> tuple[bytes, bytes]:
         """Return a frame's head and body.
 
         Raises:
-            PackingError: The bytes are none of a packer's.
+            DecompressionError: The bytes are none of a packer's.
         """
-        if len(payload) < LENGTH.size:
-            raise PackingError("a packed frame without a length")
-        (length,) = LENGTH.unpack_from(payload)
-        end = LENGTH.size + length
+        if len(payload) < LENGTH_PREFIX.size:
+            raise DecompressionError("a packed frame without a length")
+        (length,) = LENGTH_PREFIX.unpack_from(payload)
+        end = LENGTH_PREFIX.size + length
         if end > len(payload):
-            raise PackingError("a packed frame that is cut short")
+            raise DecompressionError("a packed frame that is cut short")
         try:
-            packed = payload[LENGTH.size : end] + SYNC_MARK
+            packed = payload[LENGTH_PREFIX.size : end] + SYNC_MARK
             head = self._inflate.decompress(packed, HEAD_BYTES)
         except zlib.error as error:
-            raise PackingError(str(error)) from error
+            raise DecompressionError(str(error)) from error
         if self._inflate.unconsumed_tail or self._inflate.eof:
-            raise PackingError("a packed frame that is too large, or ends the stream")
+            raise DecompressionError(
+                "a packed frame that is too large, or ends the stream"
+            )
         return head, payload[end:]
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -8,14 +8,14 @@
 
 import msgspec
 
-from .frame_compression import Packer, PackingError, Unpacker
+from .frame_compression import DecompressionError, FrameCompressor, FrameDecompressor
 from .model import NodeEntry, NodeState
 
-LENGTH = struct.Struct(">I")
+LENGTH_PREFIX = struct.Struct(">I")
 # Larger than any body that callers may send, with its head.
 FRAME_BYTES = 80 * 1024 * 1024
 # Added to the length of a frame that is packed.
-PACKED = 1 << 31
+COMPRESSED_FLAG = 1 << 31
 
 
 class Hello(msgspec.Struct, array_like=True, tag=1):
@@ -90,7 +90,7 @@
         route: Name of the route that it takes.
         request_id: Repeated by the backend server in its answer.
         remaining_ms: Milliseconds for which its caller still waits.
-        target_ms: Milliseconds until its answer is late; below 0 if it is.
+        latency_target_ms: Milliseconds until its answer is late; below 0 if it is.
         idempotent: Whether it may run more than once.
         nested: Whether a backend server makes it while it serves another.
         head: Request line and headers, but for those that the receiver sets.
@@ -103,7 +103,7 @@
     route: str
     request_id: bytes
     remaining_ms: float
-    target_ms: float
+    latency_target_ms: float
     idempotent: bool
     nested: bool
     head: bytes
@@ -125,16 +125,16 @@
         status: HTTP status.
         head: Status line and headers, but for those of the connection.
         body: The whole body.
-        sealed: Whether the answer bears the backend server's signature.
-        occupied: Calls at work and waiting there.
+        signed: Whether the answer bears the backend server's signature.
+        in_flight: Calls at work and waiting there.
     """
 
     id: int
     status: int
     head: bytes
     body: bytes
-    sealed: bool
-    occupied: int
+    signed: bool
+    in_flight: int
 
 
 class CallRefused(msgspec.Struct, array_like=True, tag=7):
@@ -143,18 +143,18 @@
     Attributes:
         id: Of the call.
         reason: Code of a ``verdicts.Reason``.
-        ran: Whether it may have run.
-        arrived: Whether the backend server saw it, and refused it itself.
+        may_have_run: Whether it may have run.
+        reached_backend: Whether the backend server saw it, and refused it itself.
         detail: One sentence.
-        occupied: Calls at work and waiting there.
+        in_flight: Calls at work and waiting there.
     """
 
     id: int
     reason: str
-    ran: bool
-    arrived: bool
+    may_have_run: bool
+    reached_backend: bool
     detail: str
-    occupied: int
+    in_flight: int
 
 
 class PolicyRequest(msgspec.Struct, array_like=True, tag=8):
@@ -177,7 +177,7 @@
 
     id: int
     instance: str
-    born: int
+    start_time_ms: int
 
 
 class DrainNoted(msgspec.Struct, array_like=True, tag=11):
@@ -235,12 +235,12 @@
         id: Of the request.
         tokens: Granted; each is good for one call. Holders lend parts of tokens to
             each other.
-        left: Tokens that the sender has left.
+        remaining_tokens: Tokens that the sender has left.
     """
 
     id: int
     tokens: float
-    left: float
+    remaining_tokens: float
 
 
 Frame = (
@@ -272,19 +272,19 @@
 def encode_frame(frame: Frame) -> bytes:
     """Return a frame's bytes."""
     payload = _encoder.encode(frame)
-    return LENGTH.pack(len(payload)) + payload
+    return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
-def pack_frame(frame: Frame, packer: Packer) -> bytes:
+def encode_compressed_frame(frame: Frame, compressor: FrameCompressor) -> bytes:
     """Return a frame's bytes for a stream between availability zones."""
     body = b""
     if isinstance(frame, Call | CallAnswer):
         body = frame.body
         frame.body = b""
-    payload = packer.pack(_encoder.encode(frame), body)
+    payload = compressor.compress_frame(_encoder.encode(frame), body)
     if body:
         frame.body = body  # type: ignore[union-attr]
-    return LENGTH.pack(len(payload) | PACKED) + payload
+    return LENGTH_PREFIX.pack(len(payload) | COMPRESSED_FLAG) + payload
 
 
 class FrameReader:
@@ -294,7 +294,7 @@
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._unpacker: Unpacker | None = None
+        self._unpacker: FrameDecompressor | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
         """Return the frames that are whole by now.
@@ -303,7 +303,9 @@
             FrameError: The bytes are no frames of this protocol.
 
         >>> reader = FrameReader()
-        >>> data = encode_frame(Cancel(1)) + pack_frame(Cancel(2), Packer())
+        >>> data = encode_frame(Cancel(1)) + encode_compressed_frame(
+        ...     Cancel(2), FrameCompressor()
+        ... )
         >>> reader.feed(data[:5])
         []
         >>> reader.feed(data[5:])
@@ -313,16 +315,16 @@
         buffer += data
         frames: list[Frame] = []
         start = 0
-        while len(buffer) - start >= LENGTH.size:
-            (length,) = LENGTH.unpack_from(buffer, start)
-            packed = bool(length & PACKED)
-            length &= ~PACKED
+        while len(buffer) - start >= LENGTH_PREFIX.size:
+            (length,) = LENGTH_PREFIX.unpack_from(buffer, start)
+            packed = bool(length & COMPRESSED_FLAG)
+            length &= ~COMPRESSED_FLAG
             if length > FRAME_BYTES:
                 raise FrameError(f"a frame of {length} bytes")
-            end = start + LENGTH.size + length
+            end = start + LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
-            payload = bytes(memoryview(buffer)[start + LENGTH.size : end])
+            payload = bytes(memoryview(buffer)[start + LENGTH_PREFIX.size : end])
             frames.append(self._decode(payload, packed))
             start = end
         if start:
@@ -334,10 +336,10 @@
             if not packed:
                 return _decoder.decode(payload)
             if self._unpacker is None:
-                self._unpacker = Unpacker()
-            head, body = self._unpacker.unpack(payload)
+                self._unpacker = FrameDecompressor()
+            head, body = self._unpacker.decompress_frame(payload)
             frame = _decoder.decode(head)
-        except (msgspec.MsgspecError, PackingError) as error:
+        except (msgspec.MsgspecError, DecompressionError) as error:
             raise FrameError(str(error)) from error
         if body:
             if not isinstance(frame, Call | CallAnswer):
--- a/primroseglade/sidecar/http_messages.py
+++ b/primroseglade/sidecar/http_messages.py
@@ -3,7 +3,7 @@
 from http import HTTPStatus
 
 # Statuses from here on are failures of the backend server, HTTP's server errors.
-FIRST_FAILURE = 500
+MIN_FAILURE_STATUS = 500
 
 RawHeaders = list[tuple[bytes, bytes]]
 
@@ -29,7 +29,15 @@
 class Request:
     """A whole request of a caller."""
 
-    __slots__ = ("arrived", "body", "headers", "keep_alive", "method", "peer", "target")
+    __slots__ = (
+        "arrived_at",
+        "body",
+        "headers",
+        "keep_alive",
+        "method",
+        "peer",
+        "target",
+    )
 
     def __init__(
         self,
@@ -39,7 +47,7 @@
         body: bytes,
         keep_alive: bool,
         peer: str,
-        arrived: float,
+        arrived_at: float,
     ):
         self.method = method
         self.target = target
@@ -47,7 +55,7 @@
         self.body = body
         self.keep_alive = keep_alive
         self.peer = peer
-        self.arrived = arrived
+        self.arrived_at = arrived_at
 
 
 class Reply:
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -28,7 +28,7 @@
         sweep_seconds: How often what stands idle is looked for.
 
     Attributes:
-        late: Whether this process stood still a moment ago, so that what it reads is
+        stalled: Whether this process stood still a moment ago, so that what it reads is
             old.
     """
 
@@ -43,7 +43,7 @@
         self._handler = handler
         self._get_limits = get_limits
         self._sweep_seconds = sweep_seconds
-        self.late = False
+        self.stalled = False
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
         self._stopping = False
@@ -88,7 +88,7 @@
         finally:
             self._server.close()
 
-    def ask_to_close(self) -> None:
+    def request_connection_close(self) -> None:
         """Ask callers with each answer to go elsewhere: the process stops."""
         self._stopping = True
 
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -38,18 +38,18 @@
         name: The node's.
         same_zone: Whether it is in this node's availability zone.
         slots: Calls that its backend server works on at once.
-        occupied: Calls at work and waiting there.
+        in_flight: Calls at work and waiting there.
         service_ms: Usual milliseconds of work; 0 before the first call, which makes
             a new backend server be tried until its first answer.
-        failing: Share of failed calls.
-        below_ms: What the calls below a call cost from there (`zone_costs.py`).
+        failure_ratio: Share of failed calls.
+        downstream_ms: What the calls below a call cost from there (`zone_costs.py`).
     """
 
     __slots__ = (
-        "below_ms",
-        "failing",
+        "downstream_ms",
+        "failure_ratio",
+        "in_flight",
         "name",
-        "occupied",
         "same_zone",
         "service_ms",
         "slots",
@@ -60,21 +60,21 @@
         name: str,
         same_zone: bool,
         slots: int,
-        occupied: float,
+        in_flight: float,
         service_ms: float,
-        failing: float,
-        below_ms: float = 0.0,
+        failure_ratio: float,
+        downstream_ms: float = 0.0,
     ):
         self.name = name
         self.same_zone = same_zone
         self.slots = slots
-        self.occupied = occupied
+        self.in_flight = in_flight
         self.service_ms = service_ms
-        self.failing = failing
-        self.below_ms = below_ms
+        self.failure_ratio = failure_ratio
+        self.downstream_ms = downstream_ms
 
 
-def price_other_zone(target: float, size: float) -> float:
+def compute_cross_zone_cost_ms(target: float, size: float) -> float:
     """Return by how many milliseconds another availability zone has to be better.
 
     Args:
@@ -85,7 +85,7 @@
     return OTHER_ZONE_MS + part * target * 1000
 
 
-def price_failure(target: float) -> float:
+def compute_failure_cost_ms(target: float) -> float:
     """Return how many milliseconds a failed call costs.
 
     Args:
@@ -102,70 +102,74 @@
     >>> estimate_cost(full) > 2 * estimate_cost(idle)
     True
     """
-    used = (candidate.occupied + 1) / max(1, candidate.slots)
+    used = (candidate.in_flight + 1) / max(1, candidate.slots)
     waiting = max(0.0, used - 1.0)
     return max(1.0, candidate.service_ms) * (1.0 + min(used, 1.0) ** 2 + waiting)
 
 
-def estimate_trouble(candidate: Candidate) -> float:
+def estimate_penalty_ms(candidate: Candidate) -> float:
     """Return the milliseconds that a call costs there beyond its work.
 
     Waiting and failures: callers see nothing of a backend server that is slower than
     others, as long as their answers come within the target.
 
-    >>> estimate_trouble(Candidate("slow", True, 20, 10, 40.0, 0.0))
+    >>> estimate_penalty_ms(Candidate("slow", True, 20, 10, 40.0, 0.0))
     0.0
-    >>> estimate_trouble(Candidate("full", True, 20, 39, 15.0, 0.0))
+    >>> estimate_penalty_ms(Candidate("full", True, 20, 39, 15.0, 0.0))
     15.0
     """
-    used = (candidate.occupied + 1) / max(1, candidate.slots)
+    used = (candidate.in_flight + 1) / max(1, candidate.slots)
     work = max(1.0, candidate.service_ms)
     cost = work * max(1.0, used)
-    return cost * (1.0 + FAILURE_FACTOR * candidate.failing) - work
+    return cost * (1.0 + FAILURE_FACTOR * candidate.failure_ratio) - work
 
 
 def choose(
-    near: list[Candidate],
-    list_far: Callable[[], list[Candidate]],
-    other_zone_ms: float,
-    least_far_ms: float,
-    failure_ms: float,
+    same_zone_candidates: list[Candidate],
+    list_cross_zone_candidates: Callable[[], list[Candidate]],
+    cross_zone_cost_ms: float,
+    min_cross_zone_downstream_ms: float,
+    failure_cost_ms: float,
     rng: random.Random,
 ) -> Candidate | None:
     """Return where the next attempt goes, or None if nothing is left to try.
 
     Args:
-        near: Nodes in the own availability zone that may be asked.
-        list_far: Returns those in others; not called where none can be better.
-        other_zone_ms: Of `price_other_zone`.
-        least_far_ms: What the calls below the call cost elsewhere, at the least.
-        failure_ms: Of `price_failure`.
+        same_zone_candidates: Nodes in the own availability zone that may be asked.
+        list_cross_zone_candidates: Returns those in others; not called where none
+            can be better.
+        cross_zone_cost_ms: Of `compute_cross_zone_cost_ms`.
+        min_cross_zone_downstream_ms: What the calls below the call cost elsewhere, at
+            the least.
+        failure_cost_ms: Of `compute_failure_cost_ms`.
         rng: Breaks ties.
     """
-    if len(near) > 1 and rng.random() < EXPLORED:
+    if len(same_zone_candidates) > 1 and rng.random() < EXPLORED:
         # Nodes of other zones hear what becomes of it.
-        roomy = [i for i in near if i.occupied < ROOM_TO_EXPLORE * i.slots]
+        roomy = [
+            i for i in same_zone_candidates if i.in_flight < ROOM_TO_EXPLORE * i.slots
+        ]
         if roomy:
             return rng.choice(roomy)
-    best, least = _find_cheapest(near, failure_ms, rng)
-    crossing = other_zone_ms * rng.uniform(1.0 - PRICE_SPREAD, 1.0 + PRICE_SPREAD)
-    if best is not None and least <= crossing + least_far_ms:
+    best, least = _find_cheapest(same_zone_candidates, failure_cost_ms, rng)
+    crossing = cross_zone_cost_ms * rng.uniform(1.0 - PRICE_SPREAD, 1.0 + PRICE_SPREAD)
+    if best is not None and least <= crossing + min_cross_zone_downstream_ms:
         return best
-    other, cost = _find_cheapest(list_far(), failure_ms, rng)
+    other, cost = _find_cheapest(list_cross_zone_candidates(), failure_cost_ms, rng)
     if best is None or (other is not None and cost + crossing < least):
         return other
     return best
 
 
 def _find_cheapest(
-    candidates: list[Candidate], failure_ms: float, rng: random.Random
+    candidates: list[Candidate], failure_cost_ms: float, rng: random.Random
 ) -> tuple[Candidate | None, float]:
     """Return the cheapest place for a call, and what the call costs there."""
     best: Candidate | None = None
     least = 0.0
     for item in candidates:
         cost = estimate_cost(item) * (1.0 + JITTER * rng.random())
-        cost += failure_ms * item.failing + item.below_ms
+        cost += failure_cost_ms * item.failure_ratio + item.downstream_ms
         if best is None or cost < least:
             best = item
             least = cost
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -1,13 +1,13 @@
 """Looks at how busy services are, and sets what admission goes by."""
 
 from ..observe.events import Journal, LEVELS_SET
-from .admission import Admission, Load
+from .admission import Admission, ServiceLoad
 from .backend import Backend
 from .call_graph import CallGraph
-from .call_ratios import OwnCalls
+from .call_ratios import CallRatioEstimator
 from .fleet import Fleet, Survey
-from .load_balancing import estimate_trouble
-from .policy_tracker import PolicyKeeper
+from .load_balancing import estimate_penalty_ms
+from .policy_tracker import PolicyTracker
 from .zone_costs import ZoneCosts
 
 # How often the graph is built anew; what backend servers call is told less often.
@@ -16,7 +16,7 @@
 LEVELS_TOLD_SECONDS = 1.0
 
 
-class LoadWatch:
+class LoadMonitor:
     """Puts together what this node and the others know of load.
 
     Args:
@@ -25,7 +25,7 @@
         admission: Gets loads and demand.
         graph: Gets what backend servers call.
         zone_costs: Gets what calls cost in each zone.
-        own_calls: What the own one calls.
+        call_ratios: What the own one calls.
         policies: For the routes in force.
         journal: Where levels are told.
     """
@@ -37,8 +37,8 @@
         admission: Admission,
         graph: CallGraph,
         zone_costs: ZoneCosts,
-        own_calls: OwnCalls,
-        policies: PolicyKeeper,
+        call_ratios: CallRatioEstimator,
+        policies: PolicyTracker,
         journal: Journal,
     ):
         self._backend = backend
@@ -46,20 +46,20 @@
         self._admission = admission
         self._graph = graph
         self._zone_costs = zone_costs
-        self._own_calls = own_calls
+        self._call_ratios = call_ratios
         self._policies = policies
         self._journal = journal
         self._levels_told = False
         self._levels_told_at = 0.0
         self._graph_built_at = 0.0
-        self.occupied_lately = 0.0
+        self.average_in_flight = 0.0
 
-    def look(self, now: float) -> None:
+    def update(self, now: float) -> None:
         """Look once, at every step of the ticker."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
         self._tell_levels(survey, now)
-        self._zone_costs.refresh(survey.cheapest)
+        self._zone_costs.refresh(survey.min_costs)
         if now - self._graph_built_at > GRAPH_SECONDS:
             self._graph_built_at = now
             self._rebuild_graph(now)
@@ -68,30 +68,30 @@
         """Return what the other nodes told, with this node's part."""
         survey = self._fleet.survey()
         backend = self._backend
-        self.occupied_lately = backend.queue.take_average()
-        own = backend.describe("")
+        self.average_in_flight = backend.queue.take_average_in_flight()
+        own = backend.build_candidate("")
         if own is not None:
-            load = survey.loads.setdefault(backend.service, Load())
-            load.add(self.occupied_lately, backend.slots, backend.turn_ms)
-            cost = estimate_trouble(own)
-            survey.note_cost(backend.service, self._fleet.zone, cost)
-        for service, calls in self._admission.describe_demand(now).items():
+            load = survey.loads.setdefault(backend.service, ServiceLoad())
+            load.add(self.average_in_flight, backend.slots, backend.slot_ms)
+            cost = estimate_penalty_ms(own)
+            survey.record_cost(backend.service, self._fleet.zone, cost)
+        for service, calls in self._admission.measure_demand(now).items():
             survey.demand[service] = survey.demand.get(service, 0.0) + calls
         return survey
 
     def _tell_levels(self, survey: Survey, now: float) -> None:
-        levels = self._admission.levels
-        if not levels and not self._levels_told:
+        admission_levels = self._admission.admission_levels
+        if not admission_levels and not self._levels_told:
             return
-        if now - self._levels_told_at < LEVELS_TOLD_SECONDS and levels:
+        if now - self._levels_told_at < LEVELS_TOLD_SECONDS and admission_levels:
             return
         self._levels_told_at = now
-        self._levels_told = bool(levels)
+        self._levels_told = bool(admission_levels)
         loads = survey.loads
         self._journal.emit(
             LEVELS_SET,
-            levels={name: round(level, 2) for name, level in levels.items()},
-            pressure={name: round(load.pressure, 2) for name, load in loads.items()},
+            levels={name: round(level, 2) for name, level in admission_levels.items()},
+            pressure={name: round(load.utilization, 2) for name, load in loads.items()},
             capacity={name: round(load.capacity) for name, load in loads.items()},
             demand={name: round(calls) for name, calls in survey.demand.items()},
             calls=self._graph.get_visits("", self._backend.service),
@@ -99,11 +99,11 @@
 
     def _rebuild_graph(self, now: float) -> None:
         told = [
-            (peer.entry.service, peer.state.calls_below)
+            (peer.entry.service, peer.state.downstream_calls)
             for peer in self._fleet
-            if peer.connected and peer.state.calls_below
+            if peer.connected and peer.state.downstream_calls
         ]
-        own = self._own_calls.describe(now)
+        own = self._call_ratios.get_ratios(now)
         if own:
             told.append((self._backend.service, own))
         self._graph.rebuild(told, self._policies.routes.by_name)
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -84,7 +84,7 @@
         return self.kind is RouteKind.SAFE
 
     @property
-    def patience(self) -> float:
+    def latency_tolerance(self) -> float:
         """Seconds that an answer may usually take without loss to its caller."""
         return min(self.target_latency, self.timeout / 2)
 
@@ -107,7 +107,7 @@
         self.rate = rate
         self.burst = burst
 
-    def allows(self, other: "Tenant") -> bool:
+    def is_higher_than(self, other: "Tenant") -> bool:
         """Whether these limits are higher than those of another version."""
         if self.rate <= 0 or other.rate <= 0:
             return self.rate <= 0 < other.rate
@@ -189,17 +189,17 @@
         demand: Calls a second that requests of its callers lead to, admitted or not,
             by service.
         sequence: Grows with each report of one lifetime.
-        born: Unix milliseconds of its start; 0 where it does not say.
+        start_time_ms: Unix milliseconds of its start; 0 where it does not say.
     """
 
     __slots__ = (
         "address",
-        "born",
         "cold_remaining",
         "instance",
         "sequence",
         "service",
         "slots",
+        "start_time_ms",
         "state",
     )
 
@@ -212,7 +212,7 @@
         state: BackendState,
         cold_remaining: float,
         sequence: int,
-        born: int,
+        start_time_ms: int,
     ):
         self.instance = instance
         self.service = service
@@ -221,7 +221,7 @@
         self.state = state
         self.cold_remaining = cold_remaining
         self.sequence = sequence
-        self.born = born
+        self.start_time_ms = start_time_ms
 
 
 class NodeEntry(msgspec.Struct, array_like=True, frozen=True):
@@ -233,13 +233,13 @@
     service: str
     started: int
 
-    def is_found_by(self, other: "NodeEntry") -> bool:
+    def has_same_location(self, other: "NodeEntry") -> bool:
         """Whether another entry leads to this node, if perhaps to an earlier process.
 
         >>> entry = NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 2)
-        >>> entry.is_found_by(NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 1))
+        >>> entry.has_same_location(NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 1))
         True
-        >>> entry.is_found_by(NodeEntry("n-1", "127.0.0.1:2", "a", "deep", 1))
+        >>> entry.has_same_location(NodeEntry("n-1", "127.0.0.1:2", "a", "deep", 1))
         False
         """
         return (self.name, self.address, self.zone, self.service) == (
@@ -256,14 +256,14 @@
     Attributes:
         instance: The backend server's id; empty while there is none to use.
         slots: Calls that it works on at once.
-        occupied: Calls at work and waiting there, averaged over a heartbeat.
+        in_flight: Calls at work and waiting there, averaged over a heartbeat.
         service_ms: Usual milliseconds of work of a call.
-        turn_ms: Usual milliseconds for which it holds one of the slots.
-        failing: Share of calls that failed there lately.
+        slot_ms: Usual milliseconds for which it holds one of the slots.
+        failure_ratio: Share of calls that failed there lately.
         policy_version: Version of the configuration in force.
-        calls_below: Calls for each run, by the run's route and the calls' route;
+        downstream_calls: Calls for each run, by the run's route and the calls' route;
             the average over all runs under ``""``; None for as told before.
-        whole: Whether it is the first on a stream; a node that was started again
+        is_full: Whether it is the first on a stream; a node that was started again
             begins with a lower sequence.
         sequence: Grows with each state that changes another; by it one that was
             handed on by a slow neighbour is told from a newer one.
@@ -271,15 +271,15 @@
 
     instance: str = ""
     slots: int = 0
-    occupied: float = 0.0
+    in_flight: float = 0.0
     service_ms: float = 0.0
-    failing: float = 0.0
+    failure_ratio: float = 0.0
     policy_version: int = 0
-    calls_below: dict[str, dict[str, float]] | None = None
-    whole: bool = False
+    downstream_calls: dict[str, dict[str, float]] | None = None
+    is_full: bool = False
     sequence: int = 0
     demand: dict[str, float] = {}
-    turn_ms: float = 0.0
+    slot_ms: float = 0.0
 
     def copy(self) -> "NodeState":
         """Return a state that can be added to."""
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -17,36 +17,36 @@
 from .admission import Admission
 from .answer_sizes import AnswerSizes
 from .backend import Backend, BackendDialect
-from .backend_registration import Leaves
+from .backend_registration import BackendRegistration
 from .call_graph import CallGraph
-from .call_ratios import OwnCalls
-from .cross_zone_bytes import BYTES_SECONDS, tell_crossed, ZoneBytes
+from .call_ratios import CallRatioEstimator
+from .cross_zone_bytes import BYTES_LOG_SECONDS, CrossZoneBytes, log_cross_zone_bytes
 from .deadlines import Deadlines
 from .dispatch import Dispatcher
 from .fleet import Fleet
 from .frames import PolicyAnswer, TokenGrant, TokenRequest
 from .http_server import build_local_server, HttpServer
-from .load_balancing import price_other_zone
-from .load_monitor import LoadWatch
+from .load_balancing import compute_cross_zone_cost_ms
+from .load_monitor import LoadMonitor
 from .model import (
     NodeEntry,
     NodeState,
 )
-from .node_metrics import build_metrics, LONGEST_AGE_SECONDS, Meter
+from .node_metrics import build_metrics, MAX_REPORTED_AGE_SECONDS, NodeMetrics
 from .node_settings import NodeSettings
 from .node_store import NodeStore
 from .peer import Peer
-from .peer_monitor import PeerWatch, READER_ASK_SECONDS
+from .peer_monitor import PeerMonitor, READER_POLL_SECONDS
 from .peer_server import PeerServer
-from .periodic_scheduler import Ticker
-from .policy_tracker import PolicyKeeper, StoreError
+from .periodic_scheduler import PeriodicScheduler
+from .policy_tracker import PolicyTracker, StoreError
 from .rate_control import RateControl
 from .rate_monitor import RATE_LOG_SECONDS
-from .rate_tolerance import Allowance
-from .request_handler import CallerDialect, Entry
+from .rate_tolerance import RateTolerance
+from .request_handler import CallerDialect, RequestHandler
 from .retry_budget import RetryBudget
 from .server_connection import Handler
-from .state_broadcast import TELL_SECONDS, Teller
+from .state_broadcast import BROADCAST_SECONDS, StateBroadcaster
 from .zone_costs import ZoneCosts
 
 STORE_RETRY_SECONDS = 0.5
@@ -105,25 +105,25 @@
             int(time.time() * 1000),
         )
         self._supervisor = Supervisor("node", journal)
-        self.policies = PolicyKeeper(
+        self.policies = PolicyTracker(
             store,
             settings.revoke,
             settings.config_apply,
             settings.first_start,
             journal,
-            self._tell_all,
+            self._broadcast_state,
         )
-        self.own_calls = OwnCalls()
+        self.call_ratios = CallRatioEstimator()
         self.backend = Backend(
             settings.service,
             settings.backend,
             dialect,
-            self.own_calls,
+            self.call_ratios,
             journal,
-            self._tell_all,
+            self._broadcast_state,
         )
         self.fleet = Fleet(self, self._supervisor, journal, self._rng)
-        self.leaves = Leaves(
+        self.registration = BackendRegistration(
             self.backend,
             self.fleet,
             store,
@@ -131,14 +131,14 @@
             journal,
             self._rng,
             settings.first_start,
-            self._tell_all,
+            self._broadcast_state,
         )
         self.rates = RateControl(
             self._entry,
             self.fleet,
             self._count_nodes,
             settings.first_start,
-            Allowance(
+            RateTolerance(
                 settings.quota_overshoot, settings.quota_slack, settings.quota_window
             ),
             journal,
@@ -147,64 +147,64 @@
         self.admission = Admission(self._rng)
         self.graph = CallGraph()
         self.answer_sizes = AnswerSizes()
-        self.zone_costs = ZoneCosts(self.graph, self._price_crossing)
-        self.meter = Meter()
-        self.crossed = ZoneBytes()
-        self.budget = RetryBudget(
+        self.zone_costs = ZoneCosts(self.graph, self._estimate_cross_zone_cost_ms)
+        self.node_metrics = NodeMetrics()
+        self.cross_zone_bytes = CrossZoneBytes()
+        self.retry_budget = RetryBudget(
             settings.retry_ratio, settings.retry_fixed, settings.retry_window
         )
         self.dispatcher = Dispatcher(
             settings.name,
             self.backend,
             self.fleet,
-            self.budget,
+            self.retry_budget,
             self.graph,
             self.zone_costs,
             self.answer_sizes,
             journal,
-            self.meter,
+            self.node_metrics,
         )
-        self._load_watch = LoadWatch(
+        self._load_monitor = LoadMonitor(
             self.backend,
             self.fleet,
             self.admission,
             self.graph,
             self.zone_costs,
-            self.own_calls,
+            self.call_ratios,
             self.policies,
             journal,
         )
         self._deadlines = Deadlines()
-        self.entry_point = Entry(
+        self.request_handler = RequestHandler(
             settings.service,
             dialect,
             self.policies,
             self.rates.quotas,
             self.admission,
             self.graph,
-            self.own_calls,
-            self.budget,
+            self.call_ratios,
+            self.retry_budget,
             self.dispatcher,
             self._deadlines,
             journal,
-            self.meter,
+            self.node_metrics,
             self._rng,
         )
-        self._peer_watch = PeerWatch(
-            settings.name, self.fleet, self.policies, self._note_late
+        self._peer_monitor = PeerMonitor(
+            settings.name, self.fleet, self.policies, self._report_stall
         )
         self._peer_server = PeerServer(settings.peers, self, self.dispatcher, journal)
-        self._teller = Teller(
+        self._state_broadcaster = StateBroadcaster(
             self._entry,
             self.fleet,
             self._peer_server,
             self._build_load,
-            self.own_calls,
+            self.call_ratios,
         )
-        self._ticker = self._build_ticker()
+        self._scheduler = self._build_scheduler()
         self._outbound = HttpServer(
             settings.outbound,
-            self.entry_point.handle,
+            self.request_handler.handle,
             lambda: self.policies.limits,
         )
         self._ready = build_local_server(settings.ready, build_ready(self))
@@ -219,12 +219,12 @@
     @property
     def drains(self) -> dict[str, int]:
         """Backend servers beside other nodes that leave, kept for those."""
-        return self.leaves.remembered
+        return self.registration.recorded_drains
 
     @property
-    def occupied(self) -> int:
+    def in_flight(self) -> int:
         """Calls at work and waiting at the backend server."""
-        return self.backend.queue.occupied
+        return self.backend.queue.in_flight
 
     @property
     def ready(self) -> bool:
@@ -259,57 +259,57 @@
         self._deadlines.close()
         await self._store.close()
 
-    def build_state(self) -> NodeState:
+    def build_full_state(self) -> NodeState:
         """Return all that this node tells of itself."""
-        return self._teller.build_whole()
+        return self._state_broadcaster.build_full_state()
 
-    def note_state(self, peer: Peer) -> None:
+    def handle_state(self, peer: Peer) -> None:
         """Take in what a peer told of itself."""
         if peer.state.policy_version > self.policies.version:
             self._supervisor.start_once(
-                "newer policy", lambda: self.policies.note_newer(peer)
+                "newer policy", lambda: self.policies.fetch_newer(peer)
             )
 
-    def hand_on(self, peer: Peer) -> None:
+    def relay_state(self, peer: Peer) -> None:
         """Tell the neighbours what a peer told."""
-        self._teller.hand_on(peer.entry.name, peer.state)
+        self._state_broadcaster.relay_state(peer.entry.name, peer.state)
 
-    def take_handed_on(self, name: str, state: NodeState) -> None:
+    def apply_relayed_state(self, name: str, state: NodeState) -> None:
         """Take in what a peer told, from one that handed it on."""
         peer = self.fleet.get(name)
         if peer is not None:
-            peer.take_state(state)
+            peer.apply_state(state)
 
-    def note_policy_age(self, version: int, age: float, asked_at: float) -> None:
+    def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
         """Take in how old a peer's configuration is, asked at that moment."""
-        self.policies.note_peer_age(version, age, asked_at)
+        self.policies.record_peer_age(version, age, asked_at)
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the configuration in force."""
-        age = int(min(self.policies.age, LONGEST_AGE_SECONDS) * 1000) + 1
+        age = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
         return PolicyAnswer(
             request_id, self.policies.version, age, self.policies.record
         )
 
-    def note_drain(self, instance: str, born: int) -> None:
+    def record_drain(self, instance: str, start_time_ms: int) -> None:
         """Remember that a backend server beside another node leaves."""
-        self.leaves.remember(instance, born)
+        self.registration.record_drain(instance, start_time_ms)
 
-    def count_busy(self) -> int:
+    def count_in_flight(self) -> int:
         """Return the requests under way here, of callers and of other nodes."""
         return self._outbound.busy + self._peer_server.busy
 
-    def learn_drains(self, drains: dict[str, int]) -> None:
+    def apply_drains(self, drains: dict[str, int]) -> None:
         """Take in which backend servers leave, as a peer remembers."""
-        self.leaves.learn(drains)
+        self.registration.apply_drains(drains)
 
-    def note_clock(self) -> None:
+    def record_peer_clock(self) -> None:
         """Take in that a peer's clock is known from now on."""
         self.rates.renew_lease(time.monotonic())
 
-    def note_lease(self, lender: NodeEntry, lease_ms: int) -> None:
+    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
         """Take in that a node lends its share of all rates."""
-        self.rates.note_lease(lender, lease_ms)
+        self.rates.record_lease(lender, lease_ms)
 
     def answer_token_request(
         self, sender: str, request: TokenRequest, send: Callable[[TokenGrant], None]
@@ -317,10 +317,10 @@
         """Answer a node's request for tokens, at once or later."""
         self.rates.answer(sender, request, send)
 
-    def greet(self, entry: NodeEntry) -> None:
+    def handle_hello(self, entry: NodeEntry) -> None:
         """Take in a node that introduces itself."""
-        self.rates.note_start(entry)
-        self.fleet.learn(entry)
+        self.rates.record_node_start(entry)
+        self.fleet.update_node(entry)
 
     def _start(self) -> None:
         parts: tuple[tuple[str, Callable[[], Awaitable[None]]], ...] = (
@@ -332,8 +332,8 @@
             ("policy", self.policies.follow),
             ("policy age", self.policies.confirm),
             ("introduction", self._introduce),
-            ("ticker", self._ticker.run),
-            ("silence", self._peer_watch.run_silence),
+            ("ticker", self._scheduler.run),
+            ("silence", self._peer_monitor.run_silence_checks),
         )
         for name, work in parts:
             self._supervisor.start(name, work)
@@ -344,17 +344,20 @@
             first_start=self._settings.first_start,
         )
 
-    def _build_ticker(self) -> Ticker:
-        ticker = Ticker(self._rng)
-        ticker.add(self._load_watch.look)
-        ticker.add(self._teller.hand_on_waiting)
-        ticker.add(self._teller.tell, TELL_SECONDS)
+    def _build_scheduler(self) -> PeriodicScheduler:
+        scheduler = PeriodicScheduler(self._rng)
+        scheduler.add(self._load_monitor.update)
+        scheduler.add(self._state_broadcaster.relay_pending)
+        scheduler.add(self._state_broadcaster.broadcast, BROADCAST_SECONDS)
         # Before the peers are asked: the question to the reader carries the lease.
-        ticker.add(self.rates.renew_lease)
-        ticker.add(self._peer_watch.ask, READER_ASK_SECONDS)
-        ticker.add(self.rates.watch.log_buckets, RATE_LOG_SECONDS)
-        ticker.add(lambda _: tell_crossed(self.crossed, self._journal), BYTES_SECONDS)
-        return ticker
+        scheduler.add(self.rates.renew_lease)
+        scheduler.add(self._peer_monitor.poll_policy_age, READER_POLL_SECONDS)
+        scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_SECONDS)
+        scheduler.add(
+            lambda _: log_cross_zone_bytes(self.cross_zone_bytes, self._journal),
+            BYTES_LOG_SECONDS,
+        )
+        return scheduler
 
     async def _stop(self) -> None:
         """Stop without cutting a call off.
@@ -364,16 +367,16 @@
         """
         started = time.monotonic()
         self._stopping = True
-        self._journal.emit(NODE_STOPPING, in_flight=self.count_busy())
+        self._journal.emit(NODE_STOPPING, in_flight=self.count_in_flight())
         self.backend.stop()
-        self._tell_all()
-        self._outbound.ask_to_close()
+        self._broadcast_state()
+        self._outbound.request_connection_close()
         latest = started + self._settings.grace - STOP_MARGIN_SECONDS
         earliest = min(started + LAME_DUCK_SECONDS, latest)
-        choosy_after = started + CHOOSY_PART * self._settings.grace
-        self.entry_point.stop(choosy_after, latest)
+        deadline_check_after = started + CHOOSY_PART * self._settings.grace
+        self.request_handler.stop(deadline_check_after, latest)
         while time.monotonic() < latest:
-            if time.monotonic() >= earliest and not self.count_busy():
+            if time.monotonic() >= earliest and not self.count_in_flight():
                 break
             await asyncio.sleep(IDLE_POLL_SECONDS)
         self._outbound.close_idle()
@@ -381,7 +384,7 @@
         self._peer_server.finish()
         self._journal.emit(
             NODE_STOPPED,
-            cut=self.count_busy(),
+            cut=self.count_in_flight(),
             seconds=round(time.monotonic() - started, 2),
         )
         await self._supervisor.close()
@@ -402,12 +405,12 @@
                     await self._store.write_node(self._entry, STORE_TIMEOUT_SECONDS)
                     written = True
                 entries = await self._store.list_nodes(STORE_TIMEOUT_SECONDS)
-                if not written and not any(map(self._entry.is_found_by, entries)):
+                if not written and not any(map(self._entry.has_same_location, entries)):
                     await self._store.write_node(self._entry, STORE_TIMEOUT_SECONDS)
                     written = True
                     continue
                 for entry in entries:
-                    self.fleet.learn(entry)
+                    self.fleet.update_node(entry)
                 self._introduced = True
                 self.rates.renew_lease(time.monotonic())
                 return
@@ -424,21 +427,23 @@
         return NodeState(
             backend.instance,
             backend.slots,
-            round(self._load_watch.occupied_lately, 2),
+            round(self._load_monitor.average_in_flight, 2),
             backend.service_ms,
-            round(backend.failing, 3),
+            round(backend.failure_ratio, 3),
             self.policies.version,
-            demand=self.admission.describe_demand(time.monotonic()),
-            turn_ms=backend.turn_ms,
+            demand=self.admission.measure_demand(time.monotonic()),
+            slot_ms=backend.slot_ms,
         )
 
-    def _price_crossing(self, name: str) -> float:
+    def _estimate_cross_zone_cost_ms(self, name: str) -> float:
         route = self.policies.routes.by_name.get(name)
-        patience = route.patience if route is not None else 0.0
-        return price_other_zone(patience, self.answer_sizes.expect(name))
+        latency_tolerance = route.latency_tolerance if route is not None else 0.0
+        return compute_cross_zone_cost_ms(
+            latency_tolerance, self.answer_sizes.estimate(name)
+        )
 
-    def _note_late(self, late: bool) -> None:
-        self._outbound.late = late
+    def _report_stall(self, stalled: bool) -> None:
+        self._outbound.stalled = stalled
 
-    def _tell_all(self) -> None:
-        self._teller.tell_all()
+    def _broadcast_state(self) -> None:
+        self._state_broadcaster.broadcast_now()
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -17,7 +17,21 @@
     from .node import SidecarNode
 
 # Upper bounds in seconds: targets of usual routes lie between 0.1 and 1.5 s.
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0, 10.0)
+BUCKETS = (
+    0.005,
+    0.01,
+    0.025,
+    0.05,
+    0.1,
+    0.2,
+    0.3,
+    0.5,
+    0.8,
+    1.2,
+    2.0,
+    5.0,
+    10.0,
+)
 # Routes that are counted by name; the rest is counted together, so that a
 # configuration of thousands of routes does not fill the memory.
 ROUTES_NAMED = 200
@@ -26,7 +40,7 @@
 WORKSPACES_NAMED = 200
 # An age that is not known is told as this one, some days: neither a metric nor a
 # message holds an infinity.
-LONGEST_AGE_SECONDS = 1e6
+MAX_REPORTED_AGE_SECONDS = 1e6
 PREFIX = "primroseglade_"
 
 
@@ -45,7 +59,7 @@
         self.total += seconds
 
 
-class Meter:
+class NodeMetrics:
     """What a node counts."""
 
     def __init__(self) -> None:
@@ -53,7 +67,7 @@
         self._repeats: collections.Counter[str] = collections.Counter()
         self._latencies: dict[str, Latencies] = {}
 
-    def note_end(self, route: str, outcome: str, seconds: float) -> None:
+    def record_request(self, route: str, outcome: str, seconds: float) -> None:
         """Count a request of a caller or of the own backend server.
 
         Args:
@@ -69,7 +83,7 @@
         latencies.observe(seconds)
         self._outcomes[route, outcome] += 1
 
-    def note_repeat(self, reason: str) -> None:
+    def record_retry(self, reason: str) -> None:
         """Count a further attempt."""
         self._repeats[reason] += 1
 
@@ -105,14 +119,14 @@
         for route, latencies in self._latencies.items():
             seconds.add_metric([route], _cumulate(latencies), latencies.total)
         yield seconds
-        crossed = core.CounterMetricFamily(
+        cross_zone_bytes = core.CounterMetricFamily(
             PREFIX + "zone_bytes",
             "Bytes sent to other availability zones.",
             labels=["frame", "route"],
         )
-        for frame, route, size in node.crossed.list_all():
-            crossed.add_metric([frame, route], size)
-        yield crossed
+        for frame, route, size in node.cross_zone_bytes.list_all():
+            cross_zone_bytes.add_metric([frame, route], size)
+        yield cross_zone_bytes
         yield from _collect_workspaces(node)
         for name, text, value in _list_gauges(node):
             yield core.GaugeMetricFamily(PREFIX + name, text, value=value)
@@ -121,13 +135,13 @@
 class _Collector:
     """Hands a meter's metrics to the library."""
 
-    def __init__(self, meter: Meter, node: "SidecarNode"):
-        self._meter = meter
+    def __init__(self, node_metrics: NodeMetrics, node: "SidecarNode"):
+        self._node_metrics = node_metrics
         self._node = node
 
     def collect(self) -> Iterator[Any]:
         """Yield all metrics."""
-        return self._meter.collect(self._node)
+        return self._node_metrics.collect(self._node)
 
 
 def _collect_workspaces(node: "SidecarNode") -> Iterator[Any]:
@@ -158,17 +172,17 @@
     """Return name, meaning and value of what is measured now."""
     backend = node.backend
     queue = backend.queue
-    age = min(node.policies.age, LONGEST_AGE_SECONDS)
+    age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
     streams = len(node.fleet.list_connected())
     return [
-        ("occupied", "Calls at work and waiting there.", node.occupied),
-        ("slots", "Calls that it is given at once.", queue.limit),
+        ("occupied", "Calls at work and waiting there.", node.in_flight),
+        ("slots", "Calls that it is given at once.", queue.concurrency_limit),
         ("service_seconds", "Usual time of work there.", queue.service_seconds),
-        ("failing_ratio", "Share of calls that failed there.", backend.failing),
+        ("failing_ratio", "Share of calls that failed there.", backend.failure_ratio),
         ("peers", "Nodes to which a stream is open.", streams),
         ("policy_version", "Configuration in force.", node.policies.version),
         ("policy_age_seconds", "For which a newer one may exist unseen.", age),
-        ("in_flight", "Requests under way at this node.", node.count_busy()),
+        ("in_flight", "Requests under way at this node.", node.count_in_flight()),
     ]
 
 
@@ -186,6 +200,6 @@
 
     async def handle(request: Request) -> Reply:
         head = render_status_line(200) + b"Content-Type: text/plain; version=0.0.4\r\n"
-        return Reply(head, node.meter.render(node))
+        return Reply(head, node.node_metrics.render(node))
 
     return handle
--- a/primroseglade/sidecar/node_store.py
+++ b/primroseglade/sidecar/node_store.py
@@ -15,7 +15,9 @@
     async def write_node(self, entry: NodeEntry, timeout: float) -> None:
         """Make a node known."""
 
-    async def write_drain(self, instance: str, born: int, timeout: float) -> None:
+    async def write_drain(
+        self, instance: str, start_time_ms: int, timeout: float
+    ) -> None:
         """Keep that a backend server leaves."""
 
     async def list_drains(self, timeout: float) -> dict[str, int]:
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -11,18 +11,18 @@
 
 # The quickest call is looked for in this many seconds, twice: clocks of machines drift
 # by less than a millisecond in that time.
-WINDOW_SECONDS = 10.0
+MIN_DELAY_WINDOW_SECONDS = 10.0
 # Waits below this are the usual unevenness of links and loops.
 LEAST_SECONDS = 0.02
 
 
-class Transit:
+class OneWayDelay:
     """The calls that come on one stream.
 
-    >>> transit = Transit()
-    >>> transit.measure(sent=100.0, now=7.0)
+    >>> delay = OneWayDelay()
+    >>> delay.measure_excess(sent=100.0, now=7.0)
     0.0
-    >>> round(transit.measure(sent=101.0, now=9.5), 3)
+    >>> round(delay.measure_excess(sent=101.0, now=9.5), 3)
     1.5
     """
 
@@ -33,14 +33,14 @@
         self._before = math.inf
         self._since = 0.0
 
-    def measure(self, sent: float, now: float) -> float:
+    def measure_excess(self, sent: float, now: float) -> float:
         """Return for how many seconds a call waited on its way.
 
         Args:
             sent: Seconds on the sender's clock.
             now: Seconds on the own one; both count while a machine is suspended.
         """
-        if now - self._since > WINDOW_SECONDS:
+        if now - self._since > MIN_DELAY_WINDOW_SECONDS:
             self._before, self._least = self._least, math.inf
             self._since = now
         apart = now - sent
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -10,7 +10,7 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal
 from .backend import BackendRefusal
 from .clock import read_age_clock
-from .cross_zone_bytes import ZoneBytes
+from .cross_zone_bytes import CrossZoneBytes
 from .frames import (
     Call,
     CallAnswer,
@@ -29,7 +29,7 @@
     TokenGrant,
     TokenRequest,
 )
-from .http_messages import FIRST_FAILURE
+from .http_messages import MIN_FAILURE_STATUS
 from .model import NodeEntry, NodeState
 from .share_leases import RemoteClock
 from .streams import FrameStream
@@ -56,7 +56,7 @@
 FORGET_SECONDS = 120.0
 
 
-class Host(Protocol):
+class PeerHost(Protocol):
     """What a peer needs of the node that it belongs to."""
 
     @property
@@ -64,25 +64,25 @@
         """How this node is found."""
 
     @property
-    def crossed(self) -> ZoneBytes:
+    def cross_zone_bytes(self) -> CrossZoneBytes:
         """Counts what is sent to other availability zones."""
 
-    def learn_drains(self, drains: dict[str, int]) -> None:
+    def apply_drains(self, drains: dict[str, int]) -> None:
         """Take in which backend servers leave, as a peer remembers."""
 
-    def note_state(self, peer: "Peer") -> None:
+    def handle_state(self, peer: "Peer") -> None:
         """Take in what a peer told of itself."""
 
-    def hand_on(self, peer: "Peer") -> None:
+    def relay_state(self, peer: "Peer") -> None:
         """Tell the neighbours what a peer told."""
 
-    def take_handed_on(self, name: str, state: NodeState) -> None:
+    def apply_relayed_state(self, name: str, state: NodeState) -> None:
         """Take in what a peer told, from one that handed it on."""
 
-    def note_policy_age(self, version: int, age: float, asked_at: float) -> None:
+    def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
         """Take in how old a peer's configuration is, asked at that moment."""
 
-    def note_clock(self) -> None:
+    def record_peer_clock(self) -> None:
         """Take in that a peer's clock is known from now on."""
 
 
@@ -95,13 +95,13 @@
         journal: Where lost and regained streams are told.
     """
 
-    def __init__(self, entry: NodeEntry, host: Host, journal: Journal):
+    def __init__(self, entry: NodeEntry, host: PeerHost, journal: Journal):
         self.entry = entry
         self.state = NodeState()
         self._loop = asyncio.get_running_loop()
-        self.occupied = 0.0
+        self.in_flight = 0.0
         #: Share of calls that fail there: as told, and as seen since.
-        self.failing = 0.0
+        self.failure_ratio = 0.0
         self._host = host
         self._journal = journal
         self._stream: FrameStream | None = None
@@ -128,7 +128,7 @@
         return bool(self.state.instance) and self.connected
 
     @property
-    def waits(self) -> bool:
+    def has_pending_calls(self) -> bool:
         """Whether calls wait for its answer."""
         return bool(self._pending)
 
@@ -138,7 +138,7 @@
         if not self._ping_id or not self._pending:
             return False
         stream = self._stream
-        if stream is None or stream.heard_at >= self._ping_sent_at:
+        if stream is None or stream.last_received_at >= self._ping_sent_at:
             return False
         return time.monotonic() - self._ping_sent_at > SUSPECT_SECONDS
 
@@ -163,21 +163,21 @@
             await asyncio.sleep(random.uniform(delay / 2, delay))
             delay = min(LONGEST_RETRY_SECONDS, delay * 2)
 
-    def take_state(self, state: NodeState) -> bool:
+    def apply_state(self, state: NodeState) -> bool:
         """Take in what the node told; return whether it was new."""
-        if not state.whole and state.sequence <= self.state.sequence:
+        if not state.is_full and state.sequence <= self.state.sequence:
             return False
-        if state.calls_below is None:
-            state.calls_below = self.state.calls_below
+        if state.downstream_calls is None:
+            state.downstream_calls = self.state.downstream_calls
         self.state = state
-        self.note_load(state.occupied)
-        self.failing = state.failing
-        self._host.note_state(self)
+        self.record_load(state.in_flight)
+        self.failure_ratio = state.failure_ratio
+        self._host.handle_state(self)
         return True
 
-    def note_load(self, occupied: float) -> None:
+    def record_load(self, in_flight: float) -> None:
         """Take in how busy its backend server is."""
-        self.occupied = occupied
+        self.in_flight = in_flight
 
     async def call(self, call: Call) -> CallAnswer:
         """Have the node run a call on its backend server.
@@ -187,7 +187,7 @@
         """
         if not self.connected:
             raise not_run(Reason.CONNECTION_LOST, "no stream to the node")
-        self.occupied += 1
+        self.in_flight += 1
         call.sent_ms = int(read_age_clock() * 1000)
         try:
             reply = await self._ask(call)
@@ -196,13 +196,13 @@
             raise
         except ConnectionError as error:
             raise may_have_run(Reason.CONNECTION_LOST, str(error)) from error
-        failed = not isinstance(reply, CallAnswer) or reply.status >= FIRST_FAILURE
-        self.failing += FAILURE_SMOOTHING * (failed - self.failing)
+        failed = not isinstance(reply, CallAnswer) or reply.status >= MIN_FAILURE_STATUS
+        self.failure_ratio += FAILURE_SMOOTHING * (failed - self.failure_ratio)
         if isinstance(reply, CallAnswer):
-            self.note_load(reply.occupied)
+            self.record_load(reply.in_flight)
             return reply
         assert isinstance(reply, CallRefused)
-        self.note_load(reply.occupied)
+        self.record_load(reply.in_flight)
         raise self._build_refusal(reply)
 
     async def fetch_policy(self, timeout: float) -> PolicyAnswer:
@@ -217,7 +217,9 @@
         assert isinstance(reply, PolicyAnswer)
         return reply
 
-    async def note_drain(self, instance: str, born: int, timeout: float) -> None:
+    async def replicate_drain(
+        self, instance: str, start_time_ms: int, timeout: float
+    ) -> None:
         """Have the node remember that a backend server leaves.
 
         Raises:
@@ -225,7 +227,7 @@
             TimeoutError: No answer in time.
         """
         async with asyncio.timeout(timeout):
-            await self._ask(DrainNote(0, instance, born))
+            await self._ask(DrainNote(0, instance, start_time_ms))
 
     def request_tokens(self, request: TokenRequest, done: GrantHandler) -> None:
         """Ask for tokens of a workspace; ``done`` is called in any case."""
@@ -273,10 +275,10 @@
         if stream is None:
             return
         if self._ping_id and now - self._ping_sent_at > SILENT_SECONDS:
-            if stream.heard_at < self._ping_sent_at:
+            if stream.last_received_at < self._ping_sent_at:
                 self._drop("silent")
         elif self._pending:
-            if now - max(stream.heard_at, self._busy_since) > ASK_SECONDS:
+            if now - max(stream.last_received_at, self._busy_since) > ASK_SECONDS:
                 self.ask_policy_age()
 
     def _may_ask_again(self, now: float) -> bool:
@@ -285,14 +287,14 @@
         While nothing was heard, a new question would hide for how long.
         """
         stream = self._stream
-        heard = stream is not None and stream.heard_at >= self._ping_sent_at
+        heard = stream is not None and stream.last_received_at >= self._ping_sent_at
         return heard and now - self._ping_sent_at >= SILENT_SECONDS
 
     def _build_refusal(self, reply: CallRefused) -> Refusal:
         reason = Reason.from_code(reply.reason) or Reason.OVERLOADED
-        if reply.ran:
+        if reply.may_have_run:
             return may_have_run(reason, reply.detail)
-        if reply.arrived:
+        if reply.reached_backend:
             return BackendRefusal(reason, detail=reply.detail)
         return not_run(reason, reply.detail)
 
@@ -320,7 +322,7 @@
             )
         self._stream = stream
         if self.entry.zone != self._host.entry.zone:
-            stream.cross_zones(self._host.crossed)
+            stream.mark_cross_zone(self._host.cross_zone_bytes)
         stream.send(Hello(self._host.entry))
         self.ask_policy_age()
 
@@ -342,11 +344,11 @@
         elif isinstance(frame, TokenGrant):
             self._token_requests.answer(frame)
         elif isinstance(frame, State):
-            if self.take_state(frame.state) and frame.relay:
-                self._host.hand_on(self)
+            if self.apply_state(frame.state) and frame.relay:
+                self._host.relay_state(self)
         elif isinstance(frame, States):
             for name, state in frame.states:
-                self._host.take_handed_on(name, state)
+                self._host.apply_relayed_state(name, state)
         elif isinstance(frame, Pong):
             self._take_policy_age(frame)
         elif isinstance(frame, Hello):
@@ -360,9 +362,9 @@
         self.entry = hello.entry
         self._greeted = True
         self._journal.emit(PEER_CONNECTED, peer=self.entry.name)
-        self._host.learn_drains(hello.drains)
+        self._host.apply_drains(hello.drains)
         if hello.state is not None:
-            self.take_state(hello.state)
+            self.apply_state(hello.state)
 
     def _take_policy_age(self, pong: Pong) -> None:
         if pong.id != self._ping_id:
@@ -370,11 +372,11 @@
         self._ping_id = 0
         now = read_age_clock()
         known = self._clock.estimate(now) is not None
-        self._clock.note(pong.clock_ms / 1000, now)
+        self._clock.record(pong.clock_ms / 1000, now)
         if not known:
-            self._host.note_clock()
+            self._host.record_peer_clock()
         age = pong.policy_age_ms / 1000
-        self._host.note_policy_age(pong.policy_version, age, self._ping_asked_at)
+        self._host.record_policy_age(pong.policy_version, age, self._ping_asked_at)
 
     def _note_lost(self, stream: FrameStream, reason: str) -> None:
         if stream is self._stream:
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 
 from .fleet import Fleet
-from .policy_tracker import PolicyKeeper
+from .policy_tracker import PolicyTracker
 
 # How often peers are asked how old the configuration is, in seconds: readers ask the
 # first of them, nodes ask the reader of their zone.
-READER_ASK_SECONDS = 0.25
+READER_POLL_SECONDS = 0.25
 ASK_SECONDS = 0.5
 # How often streams are looked at for silence, in seconds, while calls wait for answers;
 # and while none do, to see whether this process stood still.
@@ -21,37 +21,37 @@
 CATCH_UP_SECONDS = 0.5
 
 
-class PeerWatch:
+class PeerMonitor:
     """Two duties of a node towards the others.
 
     Args:
         node: This node's name.
         fleet: The others.
         policies: Learns whether this node reads the store for others.
-        note_late: Told whether this process stood still a moment ago.
+        report_stall: Told whether this process stood still a moment ago.
     """
 
     def __init__(
         self,
         node: str,
         fleet: Fleet,
-        policies: PolicyKeeper,
-        note_late: Callable[[bool], None],
+        policies: PolicyTracker,
+        report_stall: Callable[[bool], None],
     ):
         self._node = node
         self._fleet = fleet
         self._policies = policies
-        self._note_late = note_late
+        self._report_stall = report_stall
         self._late_until = 0.0
         self._turns = 0
 
-    def ask(self, now: float) -> None:
+    def poll_policy_age(self, now: float) -> None:
         """Ask how old the configuration is: near, and farther where that is no use."""
         readers = self._fleet.list_readers()
         rank = readers.index(self._node) if self._node in readers else None
-        self._policies.set_rank(rank)
+        self._policies.set_reader_rank(rank)
         self._turns += 1
-        if rank is None and self._turns % (ASK_SECONDS / READER_ASK_SECONDS):
+        if rank is None and self._turns % (ASK_SECONDS / READER_POLL_SECONDS):
             return
         overdue = self._policies.is_overdue
         for place, name in enumerate(readers):
@@ -62,10 +62,14 @@
             if overdue or first or peer.entry.zone == self._fleet.zone:
                 peer.ask_policy_age()
 
-    async def run_silence(self) -> None:
+    async def run_silence_checks(self) -> None:
         """Look for streams on which nothing comes any more, again and again."""
         while True:
-            pause = SILENCE_SECONDS if self._fleet.waits else IDLE_SILENCE_SECONDS
+            pause = (
+                SILENCE_SECONDS
+                if self._fleet.has_pending_calls
+                else IDLE_SILENCE_SECONDS
+            )
             due = time.monotonic() + pause
             await asyncio.sleep(pause)
             now = time.monotonic()
@@ -76,4 +80,4 @@
             self._fleet.check_silence(due)
             if now - due >= LATE_SECONDS:
                 self._late_until = now + CATCH_UP_SECONDS
-            self._note_late(now < self._late_until)
+            self._report_stall(now < self._late_until)
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -9,7 +9,7 @@
 from ..verdicts import Reason, Refusal, Verdict
 from .backend import BackendRefusal
 from .clock import read_age_clock
-from .cross_zone_bytes import ZoneBytes
+from .cross_zone_bytes import CrossZoneBytes
 from .dispatch import Dispatcher
 from .frames import (
     Call,
@@ -29,7 +29,7 @@
     TokenRequest,
 )
 from .model import NodeEntry, NodeState
-from .one_way_delay import Transit
+from .one_way_delay import OneWayDelay
 from .streams import FrameStream
 
 
@@ -41,7 +41,7 @@
         """How this node is found."""
 
     @property
-    def crossed(self) -> ZoneBytes:
+    def cross_zone_bytes(self) -> CrossZoneBytes:
         """Counts what is sent to other availability zones."""
 
     @property
@@ -49,22 +49,22 @@
         """Backend servers beside other nodes that leave."""
 
     @property
-    def occupied(self) -> int:
+    def in_flight(self) -> int:
         """Calls at work and waiting at the backend server."""
 
-    def build_state(self) -> NodeState:
+    def build_full_state(self) -> NodeState:
         """Return all that this node tells of itself."""
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the configuration in force."""
 
-    def note_drain(self, instance: str, born: int) -> None:
+    def record_drain(self, instance: str, start_time_ms: int) -> None:
         """Remember that a backend server beside another node leaves."""
 
-    def greet(self, entry: NodeEntry) -> None:
+    def handle_hello(self, entry: NodeEntry) -> None:
         """Take in a node that introduces itself."""
 
-    def note_lease(self, lender: NodeEntry, lease_ms: int) -> None:
+    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
         """Take in that a node lends its share of all rates."""
 
     def answer_token_request(
@@ -84,7 +84,11 @@
     """
 
     def __init__(
-        self, address: str, host: ServerHost, dispatcher: Dispatcher, journal: Journal
+        self,
+        address: str,
+        host: ServerHost,
+        dispatcher: Dispatcher,
+        journal: Journal,
     ):
         self._loop = asyncio.get_running_loop()
         self._address = address
@@ -93,7 +97,7 @@
         self._journal = journal
         self._streams: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
         self._greeted: dict[FrameStream, NodeEntry] = {}
-        self._transits: dict[FrameStream, Transit] = {}
+        self._one_way_delays: dict[FrameStream, OneWayDelay] = {}
 
     @property
     def busy(self) -> int:
@@ -128,7 +132,7 @@
         for stream, entry in self._greeted.items():
             if not wanted(entry):
                 continue
-            if stream.crosses_zones:
+            if stream.is_cross_zone:
                 stream.send(frame)
             else:
                 stream.send_encoded(data)
@@ -147,9 +151,9 @@
         tasks = self._streams.setdefault(stream, {})
         if isinstance(frame, Call):
             # What it waited on its way is gone from its caller's time.
-            waited = self._measure_transit(stream, frame.sent_ms) * 1000
+            waited = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
             frame.remaining_ms -= waited
-            frame.target_ms -= waited
+            frame.latency_target_ms -= waited
             task = self._loop.create_task(self._serve(stream, frame))
             tasks[frame.id] = task
             task.add_done_callback(lambda _: tasks.pop(frame.id, None))
@@ -159,15 +163,15 @@
                 task.cancel()
         elif isinstance(frame, Ping):
             # Each stream begins with one, so that its first call has a measure.
-            self._measure_transit(stream, frame.sent_ms)
+            self._measure_queueing_delay(stream, frame.sent_ms)
             self._answer_ping(stream, frame)
         elif isinstance(frame, Hello):
             if frame.entry.zone != self._host.entry.zone:
-                stream.cross_zones(self._host.crossed)
-            state = self._host.build_state()
+                stream.mark_cross_zone(self._host.cross_zone_bytes)
+            state = self._host.build_full_state()
             stream.send(Hello(self._host.entry, state, self._host.drains))
             self._greeted[stream] = frame.entry
-            self._host.greet(frame.entry)
+            self._host.handle_hello(frame.entry)
         elif isinstance(frame, PolicyRequest):
             stream.send(self._host.build_policy_answer(frame.id))
         elif isinstance(frame, TokenRequest):
@@ -175,19 +179,19 @@
             if sender is not None:
                 self._host.answer_token_request(sender.name, frame, stream.send)
         elif isinstance(frame, DrainNote):
-            self._host.note_drain(frame.instance, frame.born)
+            self._host.record_drain(frame.instance, frame.start_time_ms)
             stream.send(DrainNoted(frame.id))
 
-    def _measure_transit(self, stream: FrameStream, sent_ms: int) -> float:
+    def _measure_queueing_delay(self, stream: FrameStream, sent_ms: int) -> float:
         """Return for how many seconds a frame waited on its way."""
-        transit = self._transits.get(stream)
-        if transit is None:
-            transit = self._transits[stream] = Transit()
-        return transit.measure(sent_ms / 1000, read_age_clock())
+        one_way_delay = self._one_way_delays.get(stream)
+        if one_way_delay is None:
+            one_way_delay = self._one_way_delays[stream] = OneWayDelay()
+        return one_way_delay.measure_excess(sent_ms / 1000, read_age_clock())
 
     def _note_lost(self, stream: FrameStream, reason: str) -> None:
         self._greeted.pop(stream, None)
-        self._transits.pop(stream, None)
+        self._one_way_delays.pop(stream, None)
         # The node that sent them is gone, or nothing reaches it: nobody waits.
         for task in list(self._streams.pop(stream, {}).values()):
             task.cancel()
@@ -195,7 +199,7 @@
     def _answer_ping(self, stream: FrameStream, ping: Ping) -> None:
         lender = self._greeted.get(stream)
         if ping.lease_ms and lender is not None:
-            self._host.note_lease(lender, ping.lease_ms)
+            self._host.record_lease(lender, ping.lease_ms)
         answer = self._host.build_policy_answer(ping.id)
         clock_ms = int(read_age_clock() * 1000)
         stream.send(Pong(ping.id, answer.version, answer.age_ms, clock_ms))
@@ -221,8 +225,8 @@
                 served.status,
                 served.answer.head,
                 served.body,
-                served.answer.sealed,
-                self._host.occupied,
+                served.answer.signed,
+                self._host.in_flight,
             ),
             call.route,
         )
@@ -234,5 +238,5 @@
             refusal.verdict is not Verdict.NOT_RUN,
             isinstance(refusal, BackendRefusal),
             refusal.detail,
-            self._host.occupied,
+            self._host.in_flight,
         )
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -12,13 +12,13 @@
 # Seconds from one step to the next; as often as levels of admission are set.
 STEP_SECONDS = 0.25
 # So much more or less, so that nodes started together do not wake together.
-SPREAD = 0.05
+STEP_JITTER_RATIO = 0.05
 
 # Called with seconds on the loop's clock.
 Duty = Callable[[float], None]
 
 
-class Ticker:
+class PeriodicScheduler:
     """Runs duties again and again, in the order in which they were added.
 
     Args:
@@ -42,7 +42,7 @@
                 others of the step.
         """
         while True:
-            spread = self._rng.uniform(1.0 - SPREAD, 1.0 + SPREAD)
+            spread = self._rng.uniform(1.0 - STEP_JITTER_RATIO, 1.0 + STEP_JITTER_RATIO)
             await asyncio.sleep(STEP_SECONDS * spread)
             self.step(time.monotonic())
 
--- a/primroseglade/sidecar/pipeline.py
+++ b/primroseglade/sidecar/pipeline.py
@@ -14,7 +14,7 @@
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS", b"TRACE"})
 # Requests of one connection worked on at once. More would let a caller with one
 # connection take the place of many.
-AT_ONCE = 4
+MAX_CONCURRENT_REQUESTS = 4
 
 
 class Exchange:
@@ -45,7 +45,7 @@
         self.started = 0
 
     @property
-    def ends(self) -> bool:
+    def closes_connection(self) -> bool:
         """Whether the last request asked for the connection to end after it."""
         return bool(self._exchanges) and not self._exchanges[-1].request.keep_alive
 
@@ -70,7 +70,7 @@
         self.started += 1
         return exchange
 
-    def take_answered(self) -> Exchange | None:
+    def pop_answered(self) -> Exchange | None:
         """Return the first request if it has its answer, and forget it."""
         if not self._exchanges or self._exchanges[0].reply is None:
             return None
@@ -89,7 +89,7 @@
 
     def _may_join(self) -> bool:
         """Whether the next request may be worked on beside those under way."""
-        if self.started >= AT_ONCE:
+        if self.started >= MAX_CONCURRENT_REQUESTS:
             return False
         last = self._exchanges[self.started - 1].request
         following = self._exchanges[self.started].request
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -43,7 +43,7 @@
     """The platform's store gave no usable answer."""
 
 
-class PositionGoneError(StoreError):
+class OffsetExpiredError(StoreError):
     """The store no longer has what came after a position."""
 
 
@@ -69,7 +69,7 @@
         """Return what was published since, None if nothing was.
 
         Raises:
-            PositionGoneError: What came since is not there any more.
+            OffsetExpiredError: What came since is not there any more.
             StoreError: No usable answer.
         """
 
@@ -81,7 +81,7 @@
         """
 
 
-class PolicyKeeper:
+class PolicyTracker:
     """Follows the configuration, and knows how old that knowledge is.
 
     Args:
@@ -90,7 +90,8 @@
         apply_seconds: Within which a configuration must be in force.
         first_start: Whether the whole fleet starts for the first time.
         journal: Where changes are told.
-        tell_news: Tells the other nodes at once that the store had a newer version.
+        broadcast_state: Tells the other nodes at once that the store had a newer
+            version.
     """
 
     def __init__(
@@ -100,13 +101,13 @@
         apply_seconds: float,
         first_start: bool,
         journal: Journal,
-        tell_news: Callable[[], None],
+        broadcast_state: Callable[[], None],
     ):
         self._store = store
         self._oldest = revoke_seconds * USED_AGE
         self._first_start = first_start
         self._journal = journal
-        self._tell_news = tell_news
+        self._broadcast_state = broadcast_state
         self._freshness = Freshness()
         self._policy: Policy | None = None
         self._in_force_since = 0.0
@@ -116,7 +117,7 @@
         self._fetching = False
         self._lost = False
         self._schedule = ReadSchedule(apply_seconds, random.Random())
-        self._follows = asyncio.Event()
+        self._long_polls = asyncio.Event()
 
     @property
     def policy(self) -> Policy | None:
@@ -171,7 +172,7 @@
         """
         delay = FIRST_RETRY_SECONDS
         while True:
-            await self._follows.wait()
+            await self._long_polls.wait()
             try:
                 await self._follow_once()
                 self._note_store(lost=False)
@@ -188,7 +189,7 @@
         while True:
             if self._policy is not None:
                 # What is known grows old by a second a second at the most.
-                due = min(schedule.age - self.age, schedule.longest_sleep)
+                due = min(schedule.age - self.age, schedule.max_sleep)
                 await asyncio.sleep(max(CHECK_SECONDS, due))
                 if self.age < schedule.age:
                     continue
@@ -196,17 +197,17 @@
                 await self._check()
             except StoreError as error:
                 self._note_store(lost=True, error=str(error))
-                await asyncio.sleep(schedule.note_failure())
+                await asyncio.sleep(schedule.record_failure())
             else:
                 self._note_store(lost=False)
-                schedule.note_answer()
+                schedule.record_success()
                 if self._policy is None:
                     await asyncio.sleep(CHECK_SECONDS)
 
     async def _wait_for_first(self) -> None:
         """Give other nodes some time to tell their configuration."""
-        wait = self._schedule.draw_first_wait(self._first_start)
-        while wait > 0 and self._policy is None and not self._follows.is_set():
+        wait = self._schedule.draw_initial_wait(self._first_start)
+        while wait > 0 and self._policy is None and not self._long_polls.is_set():
             step = min(FIRST_POLL_SECONDS, wait)
             await asyncio.sleep(step)
             wait -= step
@@ -229,24 +230,24 @@
         assert self._next_offset is not None
         try:
             return await self._store.read_since(self._next_offset, wait, timeout)
-        except PositionGoneError:
+        except OffsetExpiredError:
             self._next_offset = None
             raise
 
-    def set_rank(self, rank: int | None) -> None:
+    def set_reader_rank(self, rank: int | None) -> None:
         """Take in this node's place among those whom others ask; None for none."""
-        self._schedule.set_rank(rank)
-        if self._schedule.follows:
-            self._follows.set()
+        self._schedule.set_reader_rank(rank)
+        if self._schedule.long_polls:
+            self._long_polls.set()
         else:
-            self._follows.clear()
+            self._long_polls.clear()
 
-    def note_peer_age(self, version: int, age: float, asked_at: float) -> None:
+    def record_peer_age(self, version: int, age: float, asked_at: float) -> None:
         """Take in how old a peer's knowledge is, in answer to a question sent then."""
         if self.version and version == self.version:
             self._freshness.confirm(asked_at, age)
 
-    async def note_newer(self, peer: Peer) -> None:
+    async def fetch_newer(self, peer: Peer) -> None:
         """Take a newer version from a peer that has one."""
         if self._fetching:
             return
@@ -314,7 +315,7 @@
             keys=len(policy.tenants or ()),
         )
         if source == STORE:
-            self._tell_news()
+            self._broadcast_state()
 
     def _note_store(self, lost: bool, error: str = "") -> None:
         if lost != self._lost:
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -6,7 +6,7 @@
 
 from .frames import TokenGrant, TokenLimits, TokenRequest
 from .model import Tenant
-from .rate_tolerance import Allowance
+from .rate_tolerance import RateTolerance
 from .retry_budget import SlidingCount
 from .token_broker import TokenBroker, TokenNetwork
 from .token_pool import DEMAND_SECONDS, GRANT_SECONDS
@@ -28,15 +28,15 @@
     Args:
         granted: Whether it may go.
         holder: Node that was asked for a token last; empty if none was.
-        left: Tokens that it had left.
+        remaining_tokens: Tokens that it had left.
     """
 
-    __slots__ = ("granted", "holder", "left")
+    __slots__ = ("granted", "holder", "remaining_tokens")
 
-    def __init__(self, granted: bool, holder: str = "", left: float = 0.0):
+    def __init__(self, granted: bool, holder: str = "", remaining_tokens: float = 0.0):
         self.granted = granted
         self.holder = holder
-        self.left = left
+        self.remaining_tokens = remaining_tokens
 
 
 # Called with the decision; returns whether the call is still there to use it.
@@ -132,7 +132,7 @@
         name: Of this node.
         broker: Answers where this node is the token holder.
         network: The token holders.
-        allowance: Beyond the rates.
+        rate_tolerance: Beyond the rates.
         clock: Returns seconds on the monotonic clock.
         rng: Draws which calls refused by admission get their token back.
     """
@@ -142,14 +142,14 @@
         name: str,
         broker: TokenBroker,
         network: TokenNetwork,
-        allowance: Allowance,
+        rate_tolerance: RateTolerance,
         clock: Callable[[], float],
         rng: random.Random,
     ):
         self._name = name
         self._broker = broker
         self._network = network
-        self._allowance = allowance
+        self._rate_tolerance = rate_tolerance
         self._clock = clock
         self._rng = rng
         self._stocks: dict[str, Stock] = {}
@@ -189,19 +189,19 @@
             stock.waiting.append(done)
             self._ask(stock, now)
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund(self, tenant: Tenant) -> None:
         """Take back the token of a call that did not run."""
         stock = self._stocks.get(tenant.name)
         if stock is not None and stock.tenant.rate > 0:
             stock.return_one()
 
-    def give_back_refused(self, tenant: Tenant) -> None:
+    def refund_refused(self, tenant: Tenant) -> None:
         """Take back the token of a call that admission refused, or void it."""
         stock = self._stocks.get(tenant.name)
         if stock is None or stock.tenant.rate <= 0:
             return
         if self._rng.random() < RETURNED_PART:
-            self.give_back(tenant)
+            self.refund(tenant)
         else:
             stock.admitted -= 1
 
@@ -209,10 +209,10 @@
         stock = self._stocks.get(tenant.name)
         if stock is not None and version == stock.limits.version:
             return stock
-        limits = self._allowance.widen(tenant, version)
+        limits = self._rate_tolerance.compute_enforced_limits(tenant, version)
         if stock is None:
             stock = self._stocks[tenant.name] = Stock(tenant, limits)
-        elif settled or not stock.tenant.allows(tenant):
+        elif settled or not stock.tenant.is_higher_than(tenant):
             stock.set_limits(tenant, limits)
         return stock
 
@@ -274,7 +274,9 @@
         if grant.tokens > 0 or not request.needed:
             self._ask(stock, now)
         else:
-            self._take_refusal(stock, TokenDecision(False, holder, grant.left), now)
+            self._take_refusal(
+                stock, TokenDecision(False, holder, grant.remaining_tokens), now
+            )
 
     def _take_refusal(self, stock: Stock, refusal: TokenDecision, now: float) -> None:
         """Refuse the calls that wait, and those that come in a moment."""
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -10,13 +10,13 @@
 from .frames import TokenGrant, TokenRequest
 from .model import NodeEntry
 from .quota import Quotas
-from .rate_monitor import RateWatch
-from .rate_tolerance import Allowance
+from .rate_monitor import RateMonitor
+from .rate_tolerance import RateTolerance
 from .share_leases import (
     assign_holder,
     count_zone_holders,
     LEASE_SECONDS,
-    LeaseBook,
+    LeaseTable,
     ShareLender,
 )
 from .token_broker import GrantHandler, TokenBroker
@@ -39,7 +39,7 @@
         count_nodes: Returns the number of nodes among which rates are divided; 0 while
             it is unknown.
         first_start: Whether the whole fleet starts for the first time.
-        allowance: Beyond the rates.
+        rate_tolerance: Beyond the rates.
         journal: Receives events.
         rng: Chooses among other holders.
     """
@@ -50,7 +50,7 @@
         fleet: Fleet,
         count_nodes: Callable[[], int],
         first_start: bool,
-        allowance: Allowance,
+        rate_tolerance: RateTolerance,
         journal: Journal,
         rng: random.Random,
     ):
@@ -62,13 +62,13 @@
         self._settled_at = time.monotonic() + SETTLE_SECONDS
         self._holders = [entry.name]
         self._assigned = entry.name
-        self._leases = LeaseBook(count_nodes, time.monotonic())
+        self._leases = LeaseTable(count_nodes, time.monotonic())
         self.pool = TokenPool(self._leases, first_start)
         self.broker = TokenBroker(entry.name, self.pool, self, time.monotonic, rng)
         self.quotas = Quotas(
-            entry.name, self.broker, self, allowance, time.monotonic, rng
+            entry.name, self.broker, self, rate_tolerance, time.monotonic, rng
         )
-        self.watch = RateWatch(self.pool, journal)
+        self.monitor = RateMonitor(self.pool, journal)
 
     def get_holder(self) -> str:
         """Return the holder that this node asks."""
@@ -112,14 +112,14 @@
             return
         if holder == self._entry.name:
             self._leases.renew(holder, now + LEASE_SECONDS, now)
-            self._lender.note_lent(holder, now)
+            self._lender.record_lease_sent(holder, now)
             return
         peer = self._fleet.get(holder)
         if peer is not None and peer.lend_share(LEASE_SECONDS):
             # Not before it was sent: it must have ended when the next one begins.
-            self._lender.note_lent(holder, time.monotonic())
+            self._lender.record_lease_sent(holder, time.monotonic())
 
-    def note_lease(self, lender: NodeEntry, lease_ms: int) -> None:
+    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
         """Take in that a node lends its share.
 
         Args:
@@ -131,7 +131,7 @@
         until = now + lease_ms / 1000 - read_age_clock()
         self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
 
-    def note_start(self, entry: NodeEntry) -> None:
+    def record_node_start(self, entry: NodeEntry) -> None:
         """End the lease of a node's former process."""
         if self._lender_starts.get(entry.name, entry.started) < entry.started:
             del self._lender_starts[entry.name]
--- a/primroseglade/sidecar/rate_monitor.py
+++ b/primroseglade/sidecar/rate_monitor.py
@@ -9,7 +9,7 @@
 WORKSPACES_LOGGED = 8
 
 
-class RateWatch:
+class RateMonitor:
     """Logs buckets with less than half of their tokens left, at their holder.
 
     Args:
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -4,7 +4,7 @@
 from .model import Tenant
 
 
-class Allowance:
+class RateTolerance:
     """The limits that the fleet enforces, above those of the operator's configuration.
 
     Operators tolerate an overshoot in any window. Most of it goes to callers, as a
@@ -29,10 +29,12 @@
         self._slack = slack
         self._window = window
 
-    def widen(self, tenant: Tenant, version: int) -> TokenLimits:
+    def compute_enforced_limits(self, tenant: Tenant, version: int) -> TokenLimits:
         """Return the limits to enforce.
 
-        >>> limits = Allowance(0.1, 20).widen(Tenant("north", 1, 100.0, 50.0), 1)
+        >>> tolerance = RateTolerance(0.1, 20)
+        >>> tenant = Tenant("north", 1, 100.0, 50.0)
+        >>> limits = tolerance.compute_enforced_limits(tenant, 1)
         >>> round(limits.rate, 3), round(limits.burst, 3), round(limits.initial, 3)
         (105.25, 76.25, 15.0)
         """
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -12,7 +12,7 @@
 LONE_PARTS = (0.8, 0.92)
 # What is known grows older by this much on the way from the first reader to a node:
 # readers ask it four times a second, nodes ask readers twice a second.
-WAY_SECONDS = 0.85
+PROPAGATION_SECONDS = 0.85
 # Each further reader takes over from the first one a step later.
 FIRST_STEP_SECONDS = 0.4
 STEP_SECONDS = 0.1
@@ -22,7 +22,7 @@
 # Pauses between questions while the store fails.
 FIRST_PAUSE_SECONDS = 0.2
 LONGEST_PAUSE_SECONDS = 1.0
-LONGEST_LONE_PAUSE_SECONDS = 2.0
+MAX_NON_READER_PAUSE_SECONDS = 2.0
 # A node that was just started gives others this long to tell it a configuration; longer
 # while the whole fleet starts for the first time and hardly any node has one.
 FIRST_WAIT_SECONDS = (0.15, 0.6)
@@ -56,40 +56,40 @@
         """Age above which all readers are asked, not only the usual ones."""
         first = self._count_first_age()
         if self._rank is None:
-            return first + WAY_SECONDS
+            return first + PROPAGATION_SECONDS
         return first + FIRST_STEP_SECONDS
 
     @property
-    def follows(self) -> bool:
+    def long_polls(self) -> bool:
         """Whether this node waits in the store for news."""
         return self._rank is not None and self._rank < FOLLOWERS
 
     @property
-    def longest_sleep(self) -> float:
+    def max_sleep(self) -> float:
         """Seconds in which what is known can grow old enough to ask."""
         return LONE_PARTS[0] * self._apply_seconds
 
-    def set_rank(self, rank: int | None) -> None:
+    def set_reader_rank(self, rank: int | None) -> None:
         """Take in this node's place among the readers; None if it is none."""
         if rank != self._rank:
             self._rank = rank
             self._age = self._draw_age()
 
-    def draw_first_wait(self, first_start: bool) -> float:
+    def draw_initial_wait(self, first_start: bool) -> float:
         """Return for how long to wait for a configuration of another node."""
         waits = FIRST_START_WAIT_SECONDS if first_start else FIRST_WAIT_SECONDS
         return self._rng.uniform(*waits)
 
-    def note_answer(self) -> None:
+    def record_success(self) -> None:
         """Take in that the store answered."""
         self._pause = 0.0
         self._age = self._draw_age()
 
-    def note_failure(self) -> float:
+    def record_failure(self) -> float:
         """Take in that the store failed; return how long not to ask it."""
         longest = LONGEST_PAUSE_SECONDS
         if self._rank is None:
-            longest = LONGEST_LONE_PAUSE_SECONDS
+            longest = MAX_NON_READER_PAUSE_SECONDS
         self._pause = min(longest, max(FIRST_PAUSE_SECONDS, 2.0 * self._pause))
         return self._rng.uniform(0.75, 1.0) * self._pause
 
@@ -105,4 +105,4 @@
     def _count_first_age(self) -> float:
         """Return the age at which the first reader asks."""
         lone = LONE_PARTS[0] * self._apply_seconds
-        return max(LEAST_AGE_SECONDS, lone - WAY_SECONDS)
+        return max(LEAST_AGE_SECONDS, lone - PROPAGATION_SECONDS)
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -10,13 +10,13 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
 from .admission import Admission
 from .call_graph import CallGraph
-from .call_ratios import OwnCalls
+from .call_ratios import CallRatioEstimator
 from .deadlines import Deadlines
-from .dispatch import Dispatcher, Outcome, OutgoingCall, spread_retry
+from .dispatch import Dispatcher, draw_retry_after, Outcome, OutgoingCall
 from .http_messages import Reply, Request
 from .model import rank_request, Route, Tenant
-from .node_metrics import Meter
-from .policy_tracker import PolicyKeeper
+from .node_metrics import NodeMetrics
+from .policy_tracker import PolicyTracker
 from .quota import Quotas, TokenDecision
 from .retry_budget import RetryBudget
 
@@ -67,7 +67,7 @@
         """Return the answer that tells a refusal."""
 
 
-class Entry:
+class RequestHandler:
     """Takes requests at the address that callers and the backend server use.
 
     Args:
@@ -77,12 +77,12 @@
         quotas: Of workspaces.
         admission: Refuses what overloaded services below cannot serve.
         graph: Which services a request leads to.
-        own_calls: Counts the backend server's calls.
-        budget: Counts first attempts.
+        call_ratios: Counts the backend server's calls.
+        retry_budget: Counts first attempts.
         dispatcher: Gets calls answered.
         deadlines: Ends calls whose time is up.
         journal: Where decisions are told.
-        meter: Counts outcomes.
+        node_metrics: Counts outcomes.
         rng: Spreads times to come back.
     """
 
@@ -90,16 +90,16 @@
         self,
         service: str,
         dialect: CallerDialect,
-        policies: PolicyKeeper,
+        policies: PolicyTracker,
         quotas: Quotas,
         admission: Admission,
         graph: CallGraph,
-        own_calls: OwnCalls,
-        budget: RetryBudget,
+        call_ratios: CallRatioEstimator,
+        retry_budget: RetryBudget,
         dispatcher: Dispatcher,
         deadlines: Deadlines,
         journal: Journal,
-        meter: Meter,
+        node_metrics: NodeMetrics,
         rng: random.Random,
     ):
         self._service = service
@@ -108,15 +108,15 @@
         self._quotas = quotas
         self._admission = admission
         self._graph = graph
-        self._own_calls = own_calls
-        self._budget = budget
+        self._call_ratios = call_ratios
+        self._retry_budget = retry_budget
         self._dispatcher = dispatcher
         self._deadlines = deadlines
         self._journal = journal
-        self._meter = meter
+        self._node_metrics = node_metrics
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._choosy_after = math.inf
+        self._deadline_check_after = math.inf
         self._end = math.inf
 
     async def handle(self, request: Request) -> Reply:
@@ -140,10 +140,10 @@
             )
             refusal = may_have_run(Reason.ANSWER_BROKEN, "the node failed")
             return self._refuse(request, fields, route.name, refusal)
-        seconds = time.monotonic() - request.arrived
+        seconds = time.monotonic() - request.arrived_at
         failed = outcome.status >= 500
         text = f"status-{outcome.status}" if failed else "served"
-        self._meter.note_end(route.name, text, seconds)
+        self._node_metrics.record_request(route.name, text, seconds)
         if failed:
             self._journal.emit(
                 CALL_ANSWERED,
@@ -159,8 +159,8 @@
     ) -> Outcome:
         tenant = self._find_tenant(route, fields)
         seconds = fields.seconds if fields.seconds is not None else DEFAULT_SECONDS
-        deadline = request.arrived + min(seconds, route.timeout)
-        self._check_stop(request.arrived, deadline)
+        deadline = request.arrived_at + min(seconds, route.timeout)
+        self._check_stop(request.arrived_at, deadline)
         if deadline - time.monotonic() < LEAST_REMAINING_SECONDS:
             raise not_run(Reason.OVERLOADED, "no time is left")
         if tenant is not None:
@@ -170,7 +170,7 @@
             call = self._let_in(request, fields, route, tenant, deadline)
         except Refusal:
             if tenant is not None:
-                self._quotas.give_back_refused(tenant)
+                self._quotas.refund_refused(tenant)
             raise
         return await self._get_answered(call, tenant)
 
@@ -193,11 +193,11 @@
         now = time.monotonic()
         service = self._policies.routes.choose_service(route)
         if nested:
-            self._own_calls.note_call(route.name, now)
+            self._call_ratios.record_call(route.name, now)
         else:
             rank = rank_request(route, tenant)
             self._admit(route, service, rank, deadline - now, now)
-            self._budget.note_first(service, now)
+            self._retry_budget.record_first_attempt(service, now)
         head = self._dialect.render_request(
             request, self._service, tenant.name if tenant is not None else ""
         )
@@ -209,7 +209,7 @@
             request.body,
             nested,
             deadline,
-            request.arrived + route.target_latency,
+            request.arrived_at + route.target_latency,
         )
 
     async def _get_answered(self, call: OutgoingCall, tenant: Tenant | None) -> Outcome:
@@ -218,7 +218,7 @@
         try:
             return await self._dispatcher.dispatch(call)
         except asyncio.CancelledError as error:
-            if not timer.is_reason():
+            if not timer.caused_cancellation():
                 raise
             detail = f"its time was up before {call.node or 'anybody'} answered"
             if not call.sent:
@@ -226,28 +226,29 @@
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         except Refusal as refusal:
             if refusal.verdict is Verdict.NOT_RUN and tenant is not None:
-                self._quotas.give_back(tenant)
+                self._quotas.refund(tenant)
             if refusal.verdict is Verdict.NOT_RUN and refusal.retry_after is None:
                 left = call.deadline - time.monotonic()
-                refusal.retry_after = spread_retry(left, self._rng)
+                refusal.retry_after = draw_retry_after(left, self._rng)
             raise
         finally:
             self._deadlines.end(timer)
 
-    def stop(self, choosy_after: float, end: float) -> None:
+    def stop(self, deadline_check_after: float, end: float) -> None:
         """Get ready for this node's end.
 
         Args:
-            choosy_after: From then on, on the loop's clock, only requests are taken
-                whose time is up before the end. Callers are gone by then, unless too
-                few other nodes are ready; what would be cut they had better ask again.
+            deadline_check_after: From then on, on the loop's clock, only requests are
+                taken whose time is up before the end. Callers are gone by then, unless
+                too few other nodes are ready; what would be cut they had better ask
+                again.
             end: When this node ends.
         """
-        self._choosy_after = choosy_after
+        self._deadline_check_after = deadline_check_after
         self._end = end
 
-    def _check_stop(self, arrived: float, deadline: float) -> None:
-        if arrived > self._choosy_after and deadline > self._end:
+    def _check_stop(self, arrived_at: float, deadline: float) -> None:
+        if arrived_at > self._deadline_check_after and deadline > self._end:
             detail = "this node stops before the request must have ended"
             raise not_run(Reason.DRAINING, detail, RETRY_STOPPED_SECONDS)
 
@@ -293,8 +294,10 @@
             return
         detail = f"{tenant.name} is over its rate"
         if decision.holder:
-            detail += f": {decision.holder} had {decision.left:g} tokens left"
-        retry = spread_retry(deadline - time.monotonic(), self._rng)
+            detail += (
+                f": {decision.holder} had {decision.remaining_tokens:g} tokens left"
+            )
+        retry = draw_retry_after(deadline - time.monotonic(), self._rng)
         raise not_run(Reason.RATE_EXCEEDED, detail, retry)
 
     async def _acquire(self, tenant: Tenant) -> TokenDecision:
@@ -315,17 +318,17 @@
         self, route: Route, service: str, rank: int, remaining: float, now: float
     ) -> None:
         visits = self._graph.get_visits(route.name, service)
-        self._admission.note_demand(visits, rank, now)
+        self._admission.record_demand(visits, rank, now)
         if not self._admission.admits(visits, rank):
-            retry = spread_retry(remaining, self._rng)
+            retry = draw_retry_after(remaining, self._rng)
             detail = "a service that it leads to is overloaded"
             raise not_run(Reason.OVERLOADED, detail, retry)
 
     def _refuse(
         self, request: Request, fields: CallerFields, route: str, refusal: Refusal
     ) -> Reply:
-        seconds = time.monotonic() - request.arrived
-        self._meter.note_end(route, refusal.reason.code, seconds)
+        seconds = time.monotonic() - request.arrived_at
+        self._node_metrics.record_request(route, refusal.reason.code, seconds)
         self._journal.emit(
             CALL_REFUSED,
             request=fields.request_id.decode("latin-1"),
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -30,11 +30,11 @@
         self._firsts: dict[str, SlidingCount] = {}
         self._repeats: dict[str, SlidingCount] = {}
 
-    def note_first(self, service: str, now: float) -> None:
+    def record_first_attempt(self, service: str, now: float) -> None:
         """Count a caller's request to a service."""
         self._get(self._firsts, service).add(now)
 
-    def take(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
+    def try_spend(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
         """Whether one more repeat may be sent; it is counted if so.
 
         A run that is repeated makes its calls again, and they count as repeats at the
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -29,10 +29,10 @@
     """What a connection needs of the server that accepted it.
 
     Attributes:
-        late: Whether this process stood still, so that what it reads is old.
+        stalled: Whether this process stood still, so that what it reads is old.
     """
 
-    late: bool
+    stalled: bool
 
     @property
     def stopping(self) -> bool:
@@ -187,7 +187,7 @@
         self._current = False
         self._body = []
         pipeline = self._pipeline
-        if pipeline.size and pipeline.ends:
+        if pipeline.size and pipeline.closes_connection:
             # The caller itself said that nothing follows.
             return
         pipeline.add(request)
@@ -261,7 +261,7 @@
             exchange.task = self._loop.create_task(self._work(exchange))
 
     async def _work(self, exchange: Exchange) -> None:
-        if self._fresh or self._server.late:
+        if self._fresh or self._server.stalled:
             # Lets the loop read on first. Where a connection was accepted late, or
             # this process stood still, the caller's leaving may be the next thing to
             # be read, and its request must not be passed on.
@@ -278,7 +278,7 @@
         """Send the answers whose turn it is."""
         pipeline = self._pipeline
         while pipeline.size:
-            exchange = pipeline.take_answered()
+            exchange = pipeline.pop_answered()
             if exchange is None:
                 break
             self._fresh = False
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -45,7 +45,7 @@
         self._told: float | None = None
         self._received_at = 0.0
 
-    def note(self, told: float, now: float) -> None:
+    def record(self, told: float, now: float) -> None:
         """Take in the other clock's time; it has advanced by the way here since."""
         self._told = told
         self._received_at = now
@@ -92,13 +92,13 @@
         """Whether the last lease is of another holder, or older than some seconds."""
         return holder != self._holder or now - self._lent_at >= seconds
 
-    def note_lent(self, holder: str, now: float) -> None:
+    def record_lease_sent(self, holder: str, now: float) -> None:
         """Record a lease that was sent."""
         self._holder = holder
         self._lent_at = now
 
 
-class LeaseBook:
+class LeaseTable:
     """Shares lent to this node.
 
     Args:
@@ -107,11 +107,11 @@
         started: When this node started, in seconds on the monotonic clock.
 
     Attributes:
-        note_lost: Called when a lease has ended; stored tokens are lost with it.
+        on_lease_lost: Called when a lease has ended; stored tokens are lost with it.
     """
 
     def __init__(self, count_nodes: Callable[[], int], started: float):
-        self.note_lost: Callable[[], None] = lambda: None
+        self.on_lease_lost: Callable[[], None] = lambda: None
         self._count_nodes = count_nodes
         self._expiries: dict[str, float] = {}
         self._next_expiry = math.inf
@@ -126,7 +126,7 @@
         return len(self._expiries)
 
     @property
-    def early_share(self) -> float:
+    def initial_share(self) -> float:
         """Share that was lent within `EARLY_SECONDS` of this node's start."""
         return self._early_share
 
@@ -137,17 +137,17 @@
         return min(1.0, len(self._expiries) / nodes) if nodes else 0.0
 
     @property
-    def share_seconds(self) -> float:
+    def accrued_seconds(self) -> float:
         """Seconds of the whole rate that accrued here, as of the last advance."""
         return self._share_seconds
 
     @property
-    def unbroken(self) -> bool:
+    def uninterrupted(self) -> bool:
         """Whether no lease has ended so far."""
         return self._unbroken
 
     @property
-    def unbroken_seconds(self) -> float:
+    def uninterrupted_seconds(self) -> float:
         """Seconds of the whole rate accrued since a lease was last lost."""
         return self._share_seconds - self._unbroken_from
 
@@ -188,4 +188,4 @@
         self._next_expiry = min(self._expiries.values(), default=math.inf)
         self._unbroken = False
         self._unbroken_from = self._share_seconds
-        self.note_lost()
+        self.on_lease_lost()
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -9,22 +9,22 @@
 import time
 from collections.abc import Callable
 
-from .call_ratios import OwnCalls
+from .call_ratios import CallRatioEstimator
 from .fleet import Fleet
 from .frames import State, States
 from .model import NodeEntry, NodeState
 from .peer_server import PeerServer
 
 # Every node tells its state this often, so that it is younger than what it decides.
-TELL_SECONDS = 0.5
+BROADCAST_SECONDS = 0.5
 # Up to so many nodes tell each other directly: it is faster by the time of gathering,
 # and costs little processor time in a fleet of this size.
-DIRECT_NODES = 24
+MAX_DIRECT_NODES = 24
 # What calls a route makes changes with the configuration and is told this often.
 CALLS_TOLD_SECONDS = 2.0
 
 
-class Relay:
+class RelayBuffer:
     """States of other nodes that wait to be handed on."""
 
     def __init__(self) -> None:
@@ -34,8 +34,8 @@
         """Keep a node's state; what it said before in addition stays."""
         before = self._waiting.get(name)
         if before is not None:
-            if state.calls_below is None:
-                state.calls_below = before.calls_below
+            if state.downstream_calls is None:
+                state.downstream_calls = before.downstream_calls
         self._waiting[name] = state
 
     def take(self) -> list[tuple[str, NodeState]]:
@@ -45,7 +45,7 @@
         return waiting
 
 
-class Teller:
+class StateBroadcaster:
     """Tells this node's state.
 
     Args:
@@ -53,7 +53,7 @@
         fleet: The other nodes.
         server: Holds the streams on which the others listen.
         build_load: Returns the state but for calls and use.
-        own_calls: What the own backend server calls.
+        call_ratios: What the own backend server calls.
     """
 
     def __init__(
@@ -62,51 +62,51 @@
         fleet: Fleet,
         server: PeerServer,
         build_load: Callable[[], NodeState],
-        own_calls: OwnCalls,
+        call_ratios: CallRatioEstimator,
     ):
         self._entry = entry
         self._fleet = fleet
         self._server = server
         self._build_load = build_load
-        self._own_calls = own_calls
-        self._relay = Relay()
+        self._call_ratios = call_ratios
+        self._relay_buffer = RelayBuffer()
         # Above all that a former life of this node told, as its entry is newer.
         self._sequence = entry.started
         self._calls_told_at = 0.0
 
-    def build_whole(self) -> NodeState:
+    def build_full_state(self) -> NodeState:
         """Return all that this node tells, for one that knows nothing yet."""
         now = time.monotonic()
         state = self._build_load()
         state.sequence = self._sequence
-        state.calls_below = self._own_calls.describe(now)
-        state.whole = True
+        state.downstream_calls = self._call_ratios.get_ratios(now)
+        state.is_full = True
         return state
 
-    def tell_all(self) -> None:
+    def broadcast_now(self) -> None:
         """Tell every node directly and at once: a change that must not wait."""
         self._server.send(State(self._build_change(), relay=False))
 
-    def hand_on(self, name: str, state: NodeState) -> None:
+    def relay_state(self, name: str, state: NodeState) -> None:
         """Tell this node's zone what another node told."""
         # A copy: what waits is added to, and the original is what this node knows.
-        self._relay.add(name, state.copy())
+        self._relay_buffer.add(name, state.copy())
 
-    def hand_on_waiting(self, now: float) -> None:
+    def relay_pending(self, now: float) -> None:
         """Hand on what other nodes told since the last time."""
-        waiting = self._relay.take()
+        waiting = self._relay_buffer.take()
         if waiting:
             self._server.send(States(waiting), self._is_neighbour)
 
-    def tell(self, now: float) -> None:
+    def broadcast(self, now: float) -> None:
         """Tell the state."""
-        if len(self._fleet) <= DIRECT_NODES:
-            self.tell_all()
+        if len(self._fleet) <= MAX_DIRECT_NODES:
+            self.broadcast_now()
             return
         state = self._build_change()
         readers = set(self._fleet.list_readers())
         if self._entry.name in readers:
-            self._relay.add(self._entry.name, state.copy())
+            self._relay_buffer.add(self._entry.name, state.copy())
         self._server.send(State(state, relay=True), lambda other: other.name in readers)
 
     def _is_neighbour(self, other: NodeEntry) -> bool:
@@ -120,5 +120,5 @@
         state.sequence = self._sequence
         if now - self._calls_told_at > CALLS_TOLD_SECONDS:
             self._calls_told_at = now
-            state.calls_below = self._own_calls.describe(now)
+            state.downstream_calls = self._call_ratios.get_ratios(now)
         return state
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 
 from ..sockets import set_dead_peer_options
-from .cross_zone_bytes import ZoneBytes
-from .frame_compression import Packer
+from .cross_zone_bytes import CrossZoneBytes
+from .frame_compression import FrameCompressor
 from .frames import (
     Call,
     CallAnswer,
+    encode_compressed_frame,
     encode_frame,
     Frame,
     FrameError,
     FrameReader,
-    pack_frame,
     State,
     States,
 )
@@ -42,14 +42,14 @@
 
     __slots__ = (
         "_broken",
-        "_crossed",
+        "_cross_zone_bytes",
         "_lost",
         "_packer",
         "_plain_frames",
         "_reader",
         "_receive",
         "_transport",
-        "heard_at",
+        "last_received_at",
     )
 
     def __init__(
@@ -62,10 +62,10 @@
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
         self._broken = ""
-        self._packer: Packer | None = None
+        self._packer: FrameCompressor | None = None
         self._plain_frames = 0
-        self._crossed: ZoneBytes | None = None
-        self.heard_at = time.monotonic()
+        self._cross_zone_bytes: CrossZoneBytes | None = None
+        self.last_received_at = time.monotonic()
 
     @property
     def closed(self) -> bool:
@@ -89,7 +89,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Hand on each frame that is whole."""
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             frames = self._reader.feed(data)
         except FrameError as error:
@@ -100,13 +100,13 @@
             self._receive(self, frame)
 
     @property
-    def crosses_zones(self) -> bool:
+    def is_cross_zone(self) -> bool:
         """Whether the other end is in another availability zone."""
-        return self._crossed is not None
+        return self._cross_zone_bytes is not None
 
-    def cross_zones(self, crossed: ZoneBytes) -> None:
+    def mark_cross_zone(self, cross_zone_bytes: CrossZoneBytes) -> None:
         """Count what is sent from now on, and pack it if it is worth while."""
-        self._crossed = crossed
+        self._cross_zone_bytes = cross_zone_bytes
 
     def send(self, frame: Frame, route: str = "") -> None:
         """Send a frame; without effect once the connection is gone.
@@ -115,20 +115,24 @@
             frame: To send.
             route: That it belongs to, as it is counted.
         """
-        if self._crossed is None:
+        if self._cross_zone_bytes is None:
             self.send_encoded(encode_frame(frame))
             return
-        packer = self._get_packer(frame)
-        data = encode_frame(frame) if packer is None else pack_frame(frame, packer)
-        self._crossed.note(type(frame).__name__, route, len(data))
+        compressor = self._get_packer(frame)
+        data = (
+            encode_frame(frame)
+            if compressor is None
+            else encode_compressed_frame(frame, compressor)
+        )
+        self._cross_zone_bytes.record(type(frame).__name__, route, len(data))
         self.send_encoded(data)
 
-    def _get_packer(self, frame: Frame) -> Packer | None:
+    def _get_packer(self, frame: Frame) -> FrameCompressor | None:
         """Return the packer, once there is enough to pack on this stream."""
         if self._packer is None and isinstance(frame, PACKED_FRAMES):
             self._plain_frames += 1
             if self._plain_frames > MAX_PLAIN_FRAMES:
-                self._packer = Packer()
+                self._packer = FrameCompressor()
         return self._packer
 
     def send_encoded(self, data: bytes) -> None:
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -36,21 +36,21 @@
 class Lender:
     """What is known of another holder's tokens of one workspace."""
 
-    __slots__ = ("left", "pause_seconds", "paused_until")
+    __slots__ = ("pause_seconds", "paused_until", "remaining_tokens")
 
     def __init__(self) -> None:
-        self.left = math.inf
+        self.remaining_tokens = math.inf
         self.paused_until = 0.0
         self.pause_seconds = 0.0
 
-    def note_grant(self, grant: TokenGrant | None, now: float) -> None:
+    def record_grant(self, grant: TokenGrant | None, now: float) -> None:
         """Take in what it lent; None if it did not answer."""
         if grant is not None and grant.tokens > 0:
-            self.left = grant.left
+            self.remaining_tokens = grant.remaining_tokens
             self.pause_seconds = 0.0
             return
         # It is asked again after the pause, whatever others have.
-        self.left = math.inf
+        self.remaining_tokens = math.inf
         doubled = max(FIRST_PAUSE_SECONDS, 2.0 * self.pause_seconds)
         self.pause_seconds = min(LONGEST_PAUSE_SECONDS, doubled)
         self.paused_until = now + self.pause_seconds
@@ -110,7 +110,7 @@
             lent = self._pool.lend(limits, request.loan, urgent, now)
             reply(self._build_grant(request, lent))
             return
-        self._pool.note_request(sender, request, now)
+        self._pool.record_request(sender, request, now)
         waiting = self._waiting.get(limits.workspace)
         if waiting is not None:
             waiting.requests.append((sender, request, reply))
@@ -134,7 +134,7 @@
             return
         self._waiting[workspace] = waiting
         waiting.asked.add(lender)
-        loan = self._pool.count_missing(waiting.limits, waiting.needed, now)
+        loan = self._pool.count_tokens_to_borrow(waiting.limits, waiting.needed, now)
         request = TokenRequest(0, waiting.limits, waiting.needed, loan=loan)
         self._network.ask(
             lender, request, lambda grant: self._take_loan(waiting, lender, grant)
@@ -147,7 +147,7 @@
         limits = waiting.limits
         tokens = grant.tokens if grant is not None else 0.0
         key = (limits.workspace, lender)
-        self._lenders.setdefault(key, Lender()).note_grant(grant, now)
+        self._lenders.setdefault(key, Lender()).record_grant(grant, now)
         self._pool.deposit(limits, tokens, now, waiting.needed)
         while waiting.requests:
             sender, request, reply = waiting.requests[0]
@@ -165,7 +165,7 @@
 
     def _top_up(self, limits: TokenLimits, now: float) -> None:
         """Borrow what would exceed the capacity of another holder, before it is due."""
-        loan = self._pool.count_below_level(limits, now)
+        loan = self._pool.count_below_ahead_level(limits, now)
         key = (limits.workspace, "")
         record = self._lenders.get(key)
         if loan <= 0 or (record is not None and now < record.paused_until):
@@ -178,7 +178,7 @@
         record.paused_until = now + FIRST_PAUSE_SECONDS
 
         def take(grant: TokenGrant | None) -> None:
-            record.note_grant(grant, self._clock())
+            record.record_grant(grant, self._clock())
             if grant is not None:
                 self._pool.deposit(limits, grant.tokens, self._clock())
 
@@ -197,9 +197,11 @@
             if lender is None:
                 free.append((math.inf, self._rng.random(), name))
             elif lender.paused_until <= now:
-                free.append((lender.left, self._rng.random(), name))
+                free.append((lender.remaining_tokens, self._rng.random(), name))
         return max(free)[2] if free else None
 
     def _build_grant(self, request: TokenRequest, tokens: float) -> TokenGrant:
-        left = round(self._pool.count_left(request.limits.workspace), 2)
-        return TokenGrant(request.id, tokens, left)
+        remaining_tokens = round(
+            self._pool.get_remaining_tokens(request.limits.workspace), 2
+        )
+        return TokenGrant(request.id, tokens, remaining_tokens)
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -4,7 +4,7 @@
 
 from .frames import TokenLimits, TokenRequest
 from .retry_budget import SlidingCount
-from .share_leases import LeaseBook
+from .share_leases import LeaseTable
 
 # Tokens granted ahead of need are returned or void after this time.
 GRANT_SECONDS = 0.5
@@ -31,19 +31,19 @@
         tokens: Left for this holder.
         demand: Calls for which tokens were asked lately.
         seconds: Seconds of the whole rate up to which the bucket is filled.
-        early_share: Part of the share lent at the start for which it is filled.
+        initial_share: Part of the share lent at the start for which it is filled.
         ahead: Expiry and number of the tokens granted ahead of need, by entry. Until
             they are spent or expire they count as stored here.
     """
 
-    __slots__ = ("ahead", "demand", "early_share", "limits", "seconds", "tokens")
+    __slots__ = ("ahead", "demand", "initial_share", "limits", "seconds", "tokens")
 
     def __init__(self, limits: TokenLimits, seconds: float):
         self.limits = limits
         self.tokens = 0.0
         self.demand = SlidingCount(DEMAND_SECONDS)
         self.seconds = seconds
-        self.early_share = 0.0
+        self.initial_share = 0.0
         self.ahead: dict[str, tuple[float, int]] = {}
 
     def count_ahead(self, now: float) -> int:
@@ -66,11 +66,11 @@
         first_start: Whether the whole fleet starts for the first time.
     """
 
-    def __init__(self, leases: LeaseBook, first_start: bool):
+    def __init__(self, leases: LeaseTable, first_start: bool):
         self._leases = leases
         self._first_start = first_start
         self._buckets: dict[str, Bucket] = {}
-        leases.note_lost = self._drop_excess
+        leases.on_lease_lost = self._drop_excess
 
     def __iter__(self) -> Iterator[Bucket]:
         return iter(self._buckets.values())
@@ -80,7 +80,7 @@
         """Fraction of each rate and burst that is held here."""
         return self._leases.share
 
-    def note_request(self, entry: str, request: TokenRequest, now: float) -> None:
+    def record_request(self, entry: str, request: TokenRequest, now: float) -> None:
         """Take in what an entry needs, still has, and gives back."""
         bucket = self._refill(request.limits, now)
         bucket.demand.add(now, request.needed)
@@ -155,19 +155,21 @@
         most = max(needed, bucket.tokens, self._get_capacity(bucket, now))
         bucket.tokens = min(most, bucket.tokens + tokens)
 
-    def count_missing(self, limits: TokenLimits, needed: int, now: float) -> float:
+    def count_tokens_to_borrow(
+        self, limits: TokenLimits, needed: int, now: float
+    ) -> float:
         """Return the tokens to borrow for calls that wait, and for those expected."""
         bucket = self._refill(limits, now)
         room = max(0.0, self._get_capacity(bucket, now) - needed)
         expected = min(room, bucket.get_demand(now) * BORROW_SECONDS)
         return needed + expected - bucket.tokens
 
-    def count_below_level(self, limits: TokenLimits, now: float) -> float:
+    def count_below_ahead_level(self, limits: TokenLimits, now: float) -> float:
         """Return the tokens missing to `AHEAD_LEVEL`."""
         bucket = self._refill(limits, now)
         return AHEAD_LEVEL * self._get_capacity(bucket, now) - bucket.tokens
 
-    def count_left(self, workspace: str) -> float:
+    def get_remaining_tokens(self, workspace: str) -> float:
         """Return the tokens left, as of the last request."""
         bucket = self._buckets.get(workspace)
         return bucket.tokens if bucket is not None else 0.0
@@ -178,10 +180,10 @@
         if bucket is None:
             bucket = self._buckets[limits.workspace] = Bucket(limits, seconds)
             # What has accrued for it without any call since a lease was last lost.
-            accrued = limits.rate * self._leases.unbroken_seconds
+            accrued = limits.rate * self._leases.uninterrupted_seconds
             bucket.tokens = min(accrued, self._get_capacity(bucket, now))
-            if not self._leases.unbroken:
-                bucket.early_share = self._leases.early_share
+            if not self._leases.uninterrupted:
+                bucket.initial_share = self._leases.initial_share
         # Tokens borrowed for calls that wait may exceed the capacity, and stay.
         most = max(bucket.tokens, self._get_capacity(bucket, now))
         self._accrue(bucket, seconds)
@@ -198,7 +200,7 @@
 
     def _drop_excess(self) -> None:
         """Drop tokens that were stored by the right of leases that have ended."""
-        seconds = self._leases.share_seconds
+        seconds = self._leases.accrued_seconds
         for bucket in self._buckets.values():
             self._accrue(bucket, seconds)
             stored = bucket.limits.burst * self._leases.share
@@ -209,12 +211,12 @@
 
         After a restart the burst may have been spent just before it.
         """
-        grown = self._leases.early_share - bucket.early_share
+        grown = self._leases.initial_share - bucket.initial_share
         if grown > 0:
             limits = bucket.limits
             initial = limits.burst if self._first_start else limits.initial
             bucket.tokens += initial * grown
-            bucket.early_share += grown
+            bucket.initial_share += grown
 
     def _get_capacity(self, bucket: Bucket, now: float) -> float:
         stored = bucket.limits.burst * self._leases.share
--- a/primroseglade/sidecar/token_requests.py
+++ b/primroseglade/sidecar/token_requests.py
@@ -5,7 +5,7 @@
 from .frames import TokenGrant
 from .token_broker import GrantHandler
 
-ASK_TIMEOUT_SECONDS = 0.1
+REQUEST_TIMEOUT_SECONDS = 0.1
 
 
 class TokenRequests:
@@ -18,8 +18,8 @@
         self._waiting: dict[int, tuple[GrantHandler, asyncio.TimerHandle]] = {}
 
     def add(self, number: int, done: GrantHandler) -> None:
-        """Wait for the answer to a request for `ASK_TIMEOUT_SECONDS`."""
-        timer = self._loop.call_later(ASK_TIMEOUT_SECONDS, self._end, number, None)
+        """Wait for the answer to a request for `REQUEST_TIMEOUT_SECONDS`."""
+        timer = self._loop.call_later(REQUEST_TIMEOUT_SECONDS, self._end, number, None)
         self._waiting[number] = (done, timer)
 
     def answer(self, grant: TokenGrant) -> None:
--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Callable, Mapping
 
-from .call_graph import CallGraph, Place
+from .call_graph import CallGraph, ServiceRoute
 
 # Weight of a new look at a zone's costs. Nodes look at the same moment at the same
 # states: with all of the weight they would all move to one zone, and all back again.
 SMOOTHING = 0.4
 
 # Milliseconds by zone; of the cheapest call to a service, or of all below a call.
-Costs = dict[str, float]
+ZoneCostsMs = dict[str, float]
 
 
 class ZoneCosts:
@@ -23,48 +23,53 @@
 
     Args:
         graph: Which calls a run makes.
-        price: Returns by how many milliseconds another zone has to be better for a
-            route's calls.
+        get_cross_zone_cost_ms: Returns by how many milliseconds another zone has to be
+            better for a route's calls.
     """
 
-    def __init__(self, graph: CallGraph, price: Callable[[str], float]):
+    def __init__(
+        self, graph: CallGraph, get_cross_zone_cost_ms: Callable[[str], float]
+    ):
         self._graph = graph
-        self._price = price
-        self._cheapest: dict[str, Costs] = {}
-        self._below: dict[Place, Costs] = {}
+        self._get_cross_zone_cost_ms = get_cross_zone_cost_ms
+        self._min_costs: dict[str, ZoneCostsMs] = {}
+        self._below: dict[ServiceRoute, ZoneCostsMs] = {}
 
-    def refresh(self, cheapest: Mapping[str, Costs]) -> None:
+    def refresh(self, min_costs: Mapping[str, ZoneCostsMs]) -> None:
         """Take in what a call costs now where its backend server is.
 
         Args:
-            cheapest: Beyond its work, by service and zone; zones without a usable
+            min_costs: Beyond its work, by service and zone; zones without a usable
                 backend server are left out.
         """
-        self._cheapest = {
-            service: self._smooth(service, zones) for service, zones in cheapest.items()
+        self._min_costs = {
+            service: self._smooth(service, zones)
+            for service, zones in min_costs.items()
         }
         self._below = {}
 
-    def get_below(self, route: str, service: str) -> Costs:
+    def get_downstream_costs(self, route: str, service: str) -> ZoneCostsMs:
         """Return what the calls below a call cost, by the zone in which it runs.
 
         Zones that are left out have no backend server of the service.
         """
         return self._sum_below((route, service), ())
 
-    def _smooth(self, service: str, zones: Costs) -> Costs:
-        before = self._cheapest.get(service, {})
+    def _smooth(self, service: str, zones: ZoneCostsMs) -> ZoneCostsMs:
+        before = self._min_costs.get(service, {})
         return {
             zone: cost + (1.0 - SMOOTHING) * (before.get(zone, cost) - cost)
             for zone, cost in zones.items()
         }
 
-    def _sum_below(self, place: Place, path: tuple[Place, ...]) -> Costs:
+    def _sum_below(
+        self, place: ServiceRoute, path: tuple[ServiceRoute, ...]
+    ) -> ZoneCostsMs:
         known = self._below.get(place)
         if known is not None:
             return known
-        below = dict.fromkeys(self._cheapest.get(place[1], {}), 0.0)
-        for called, ratio in self._graph.list_below(place):
+        below = dict.fromkeys(self._min_costs.get(place[1], {}), 0.0)
+        for called, ratio in self._graph.list_downstream_calls(place):
             if called in path:
                 # Routes that moved leave a few calls in circles for a while.
                 continue
@@ -74,15 +79,17 @@
         self._below[place] = below
         return below
 
-    def _reach(self, place: Place, zone: str, path: tuple[Place, ...]) -> float:
+    def _reach(
+        self, place: ServiceRoute, zone: str, path: tuple[ServiceRoute, ...]
+    ) -> float:
         """Return what a call costs that begins in a zone, and all below it."""
         below = self._sum_below(place, path)
         totals = {
             other: cost + below.get(other, 0.0)
-            for other, cost in self._cheapest.get(place[1], {}).items()
+            for other, cost in self._min_costs.get(place[1], {}).items()
         }
         if not totals:
             # Nobody serves it anywhere: no zone is better than another.
             return 0.0
-        crossing = min(totals.values()) + self._price(place[0])
+        crossing = min(totals.values()) + self._get_cross_zone_cost_ms(place[0])
         return min(totals.get(zone, crossing), crossing)
--- a/primroseglade/stand_ins/mesh_backend.py
+++ b/primroseglade/stand_ins/mesh_backend.py
@@ -33,7 +33,7 @@
         control: str,
         slots: int = 20,
         work: float = 0.005,
-        born: int = 1,
+        start_time_ms: int = 1,
         reached: str = "",
     ):
         self.instance = instance
@@ -41,7 +41,7 @@
         self.address = reached or address
         self.slots = slots
         self.work = work
-        self.born = born
+        self.start_time_ms = start_time_ms
         self.state = "ready"
         self.ran: list[str] = []
         self.cancelled = 0
@@ -73,7 +73,7 @@
             "state": self.state,
             "cold_remaining": "0ms",
             "sequence": self._sequence,
-            "born": self.born,
+            "born": self.start_time_ms,
         }
         return await self.call_control("PUT", json.dumps(body).encode())
 
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -71,7 +71,7 @@
                 options.service,
                 options.address,
                 options.control,
-                born=int(time.time() * 1000),
+                start_time_ms=int(time.time() * 1000),
                 reached=options.reached,
             )
         )
