--- a/tests/rates.py
+++ b/tests/rates.py
@@ -5,8 +5,8 @@
 from primroseglade.sidecar.frames import TokenRequest
 from primroseglade.sidecar.model import Tenant
 from primroseglade.sidecar.quota import Quotas, TokenDecision
-from primroseglade.sidecar.rate_tolerance import Allowance
-from primroseglade.sidecar.share_leases import LeaseBook
+from primroseglade.sidecar.rate_tolerance import RateTolerance
+from primroseglade.sidecar.share_leases import LeaseTable
 from primroseglade.sidecar.token_broker import GrantHandler, TokenBroker
 from primroseglade.sidecar.token_pool import TokenPool
 
@@ -17,25 +17,30 @@
     Args:
         nodes: Among which rates are divided.
         first_start: Whether the fleet starts for the first time.
-        allowance: Beyond the rates.
+        rate_tolerance: Beyond the rates.
     """
 
     def __init__(
         self,
         nodes: int = 1,
         first_start: bool = True,
-        allowance: Allowance | None = None,
+        rate_tolerance: RateTolerance | None = None,
     ):
         self.now = 0.0
         self.silent = False
         self.requests: list[TokenRequest] = []
-        self.leases = LeaseBook(lambda: nodes, 0.0)
+        self.leases = LeaseTable(lambda: nodes, 0.0)
         self.leases.renew("here", 1e9, 0.0)
         self.pool = TokenPool(self.leases, first_start)
         rng = random.Random(1)
         self.broker = TokenBroker("there", self.pool, self, self.read_clock, rng)
         self.quotas = Quotas(
-            "here", self.broker, self, allowance or Allowance(), self.read_clock, rng
+            "here",
+            self.broker,
+            self,
+            rate_tolerance or RateTolerance(),
+            self.read_clock,
+            rng,
         )
 
     def read_clock(self) -> float:
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -7,7 +7,7 @@
     Demand,
     play_workspace,
 )
-from primroseglade.sidecar.admission import Admission, Load
+from primroseglade.sidecar.admission import Admission, ServiceLoad
 from primroseglade.sidecar.model import Tenant
 from primroseglade.sidecar.periodic_scheduler import STEP_SECONDS
 
@@ -19,10 +19,10 @@
 LAG_STEPS = 2
 
 
-def build_load(occupied: float, slots: float, service_ms: float = 15.0) -> Load:
+def build_load(in_flight: float, slots: float, service_ms: float = 15.0) -> ServiceLoad:
     """Return the load of a service with one backend server."""
-    load = Load()
-    load.add(occupied, slots, service_ms)
+    load = ServiceLoad()
+    load.add(in_flight, slots, service_ms)
     return load
 
 
@@ -35,7 +35,7 @@
         self.waiting = 0.0
         self.told = [0.0] * LAG_STEPS
 
-    def step(self, calls: float) -> Load:
+    def step(self, calls: float) -> ServiceLoad:
         """Take in a step's calls and return the load as others hear of it."""
         busy = min(1.0, (calls + self.waiting) / self.capacity)
         self.waiting = max(0.0, self.waiting + calls - self.capacity)
@@ -57,13 +57,13 @@
         calls = 0.0
         for rank, count in demand.items():
             for _ in range(count):
-                admission.note_demand(visits, rank, now)
+                admission.record_demand(visits, rank, now)
                 passed = admission.admits(visits, rank)
                 calls += 4.0 * passed
                 if step > steps // 2:
                     asked[rank] += 1
                     admitted[rank] += passed
-        told = admission.describe_demand(now)
+        told = admission.measure_demand(now)
         admission.update({"deep": deep.step(calls)}, told, now)
     return {rank: admitted[rank] / asked[rank] for rank in demand}
 
@@ -103,7 +103,7 @@
     for number in range(100):
         holder.now = number * 0.01
         assert holder.take(tenant)
-        holder.quotas.give_back(tenant)
+        holder.quotas.refund(tenant)
 
 
 def test_the_rate_holds_over_nodes_that_share_it():
@@ -122,22 +122,22 @@
     visits = {"front": 1.0, "deep": 4.0}
     slow, fast = 500.0, 15.0
 
-    def step(number: int, load: Load) -> float:
+    def step(number: int, load: ServiceLoad) -> float:
         now = number * STEP_SECONDS
         for _ in range(50):
-            admission.note_demand(visits, USUAL, now)
-        admission.update({"deep": load}, admission.describe_demand(now), now)
-        return admission.levels.get("deep", 1.0)
+            admission.record_demand(visits, USUAL, now)
+        admission.update({"deep": load}, admission.measure_demand(now), now)
+        return admission.admission_levels.get("deep", 1.0)
 
     for number in range(40):
         level = step(number, build_load(80.0, 20.0, slow))
     assert level < 0.1
     # From now on the demand takes six tenths of the slots.
-    levels = [level] * (LAG_STEPS + 1)
+    admission_levels = [level] * (LAG_STEPS + 1)
     for number in range(40, 40 + int(3.0 / STEP_SECONDS)):
-        load = build_load(20.0 * 0.6 * levels[-LAG_STEPS], 20.0, fast)
-        levels.append(step(number, load))
-    assert levels[-1] == 1.0
+        load = build_load(20.0 * 0.6 * admission_levels[-LAG_STEPS], 20.0, fast)
+        admission_levels.append(step(number, load))
+    assert admission_levels[-1] == 1.0
 
 
 class Pipe:
@@ -173,7 +173,7 @@
         self.told.append(self.slots * done / most + self.waiting)
 
     @property
-    def load(self) -> Load:
+    def load(self) -> ServiceLoad:
         """What others know of it now."""
         service_ms = 1000 * self.slots / self.capacity
         return build_load(self.told[-self.LAG], self.slots, service_ms)
@@ -195,17 +195,17 @@
         calls = 0.0
         for _ in range(80):
             rank = rng.choice((URGENT, USUAL, USUAL))
-            admission.note_demand(visits, rank, now)
+            admission.record_demand(visits, rank, now)
             calls += 5.0 * admission.admits(visits, rank)
         deep.step(calls)
         if number % 5 == 0:
-            asked = admission.describe_demand(now)
+            asked = admission.measure_demand(now)
             admission.update({"deep": deep.load}, asked, now)
         if now > 5.0:
             pressures.append(deep.told[-1] / deep.slots)
     assert deep.done > 0.9 * deep.capacity * 25.0
     assert max(pressures) < 6.0
-    assert sum(pressure < 0.6 for pressure in pressures) < 0.02 * len(pressures)
+    assert sum(utilization < 0.6 for utilization in pressures) < 0.02 * len(pressures)
 
 
 def test_one_slow_backend_server_of_three_does_not_close_the_service():
@@ -213,8 +213,8 @@
     Callers of the service were refused for seconds, while the two others had room for
     everything.
     """
-    load = Load()
+    load = ServiceLoad()
     load.add(180.0, 46.0, 360.0)
     load.add(25.0, 46.0, 30.0)
     load.add(25.0, 46.0, 30.0)
-    assert load.pressure < 0.8
+    assert load.utilization < 0.8
--- a/tests/test_backend_queue.py
+++ b/tests/test_backend_queue.py
@@ -10,10 +10,13 @@
 
 async def fill(queue: BackendQueue) -> list[int]:
     """Take every slot, and return the turns."""
-    for _ in range(queue.limit):
-        turn = await queue.acquire(0.1, 1.0, nested=False)
-        queue.release(turn, 0.01)
-    return [await queue.acquire(0.1, 1.0, nested=False) for _ in range(queue.limit)]
+    for _ in range(queue.concurrency_limit):
+        slot = await queue.acquire(0.1, 1.0, nested=False)
+        queue.release(slot, 0.01)
+    return [
+        await queue.acquire(0.1, 1.0, nested=False)
+        for _ in range(queue.concurrency_limit)
+    ]
 
 
 async def test_a_call_whose_time_passes_is_told_that_it_did_not_run():
@@ -29,7 +32,7 @@
         await queue.acquire(0.1, 0.2, nested=True)
     assert refused.value.verdict is Verdict.NOT_RUN
     assert loop.time() - started < 0.2
-    assert queue.occupied == queue.limit
+    assert queue.in_flight == queue.concurrency_limit
 
 
 async def test_a_short_target_goes_first():
@@ -39,9 +42,9 @@
     order: list[str] = []
 
     async def wait(name: str, target: float) -> None:
-        turn = await queue.acquire(target, 5.0, nested=True)
+        slot = await queue.acquire(target, 5.0, nested=True)
         order.append(name)
-        queue.release(turn, 0.01)
+        queue.release(slot, 0.01)
 
     waits = [asyncio.create_task(wait(f"look-up {n}", 0.3)) for n in range(3)]
     await asyncio.sleep(0.05)
@@ -64,9 +67,9 @@
     for wait in waits:
         wait.cancel()
     await asyncio.gather(*waits, return_exceptions=True)
-    for turn in turns:
-        queue.release(turn, 0.01)
-    assert queue.occupied == 0
+    for slot in turns:
+        queue.release(slot, 0.01)
+    assert queue.in_flight == 0
 
 
 async def test_a_backend_server_slower_than_its_callers_wait_looks_slow():
@@ -75,15 +78,15 @@
     looked as fast as before and got their full share for nine seconds.
     """
     queue = BackendQueue(20)
-    turn = await queue.acquire(0.5, 5.0, nested=False)
-    queue.release(turn, 0.1)
+    slot = await queue.acquire(0.5, 5.0, nested=False)
+    queue.release(slot, 0.1)
     for _ in range(32):
-        turn = await queue.acquire(0.5, 5.0, nested=False)
-        queue.release(turn, 0.8, whole=False)
+        slot = await queue.acquire(0.5, 5.0, nested=False)
+        queue.release(slot, 0.8, completed=False)
     assert queue.service_seconds > 0.4
     before = queue.service_seconds
-    turn = await queue.acquire(0.5, 5.0, nested=False)
-    queue.release(turn, 0.01, whole=False)
+    slot = await queue.acquire(0.5, 5.0, nested=False)
+    queue.release(slot, 0.01, completed=False)
     # One whose caller left early says nothing of the work.
     assert queue.service_seconds == before
 
@@ -99,11 +102,11 @@
     await asyncio.sleep(0.1)
     assert not waiting.done()
     # The work takes 0.01 s: ten times that is a lost answer.
-    queue.take_average()
+    queue.take_average_in_flight()
     await asyncio.sleep(0)
     assert waiting.done()
-    for turn in [*turns, waiting.result()]:
-        queue.release(turn, 0.5, whole=False)
+    for slot in [*turns, waiting.result()]:
+        queue.release(slot, 0.5, completed=False)
     assert queue.running == 0
 
 
@@ -113,12 +116,12 @@
     """
     queue = BackendQueue(20)
     for number in range(200):
-        turn = await queue.acquire(0.1, 5.0, nested=False)
+        slot = await queue.acquire(0.1, 5.0, nested=False)
         if number % 10 < 3:
-            queue.release(turn, 0.7, whole=False)
+            queue.release(slot, 0.7, completed=False)
         else:
-            queue.release(turn, 0.01)
-    assert queue.turn_seconds < 0.03
+            queue.release(slot, 0.01)
+    assert queue.slot_seconds < 0.03
     assert queue.service_seconds > 0.1
 
 
@@ -130,9 +133,9 @@
     target hears so at once.
     """
     queue = BackendQueue(16)
-    turn = await queue.acquire(0.3, 0.7, nested=True)
-    queue.release(turn, 0.1)
-    for _ in range(queue.limit):
+    slot = await queue.acquire(0.3, 0.7, nested=True)
+    queue.release(slot, 0.1)
+    for _ in range(queue.concurrency_limit):
         await queue.acquire(0.3, 0.7, nested=True)
     calls = [
         asyncio.create_task(queue.acquire(0.3, 0.7, nested=True)) for _ in range(100)
--- a/tests/test_call_ratios.py
+++ b/tests/test_call_ratios.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from primroseglade.sidecar.call_ratios import OwnCalls
+from primroseglade.sidecar.call_ratios import CallRatioEstimator
 
 
 def play(
@@ -13,7 +13,7 @@
     seconds: float,
     seed: int,
     work: float = 0.08,
-) -> OwnCalls:
+) -> CallRatioEstimator:
     """Let runs of routes start at random; each makes its calls while it works.
 
     Args:
@@ -36,14 +36,14 @@
                 moment = now + (end - now) * (number + 0.5) / count
                 events.append((moment, "call", called))
             now += rng.expovariate(rate)
-    own = OwnCalls()
+    own = CallRatioEstimator()
     for moment, kind, route in sorted(events):
         if kind == "start":
-            own.note_start(route, moment)
+            own.record_start(route, moment)
         elif kind == "end":
-            own.note_end(route, moment)
+            own.record_end(route, moment)
         else:
-            own.note_call(route, moment)
+            own.record_call(route, moment)
     return own
 
 
@@ -55,7 +55,7 @@
     """
     rates = {"upload": 15.0, "index": 120.0}
     own = play(rates, {"index": ("lookup", 4)}, 15.0, seed)
-    told = own.describe(15.0)
+    told = own.get_ratios(15.0)
     assert told["index"]["lookup"] == pytest.approx(4.0, rel=0.1)
     assert told["upload"].get("lookup", 0.0) < 2.0
     assert told[""]["lookup"] == pytest.approx(4.0 * 120 / 135, rel=0.15)
@@ -67,7 +67,7 @@
     """
     rates = {"issue": 50.0, "ledger": 110.0}
     calls = {"issue": ("index", 2), "ledger": ("index", 1)}
-    told = [play(rates, calls, 15.0, seed).describe(15.0) for seed in range(4)]
+    told = [play(rates, calls, 15.0, seed).get_ratios(15.0) for seed in range(4)]
     issue = sum(node["issue"]["index"] for node in told) / len(told)
     ledger = sum(node["ledger"]["index"] for node in told) / len(told)
     assert issue == pytest.approx(2.0, abs=0.4)
@@ -77,11 +77,11 @@
 def test_before_runs_differ_each_counts_as_the_average():
     """Two seconds after its start a node knows next to nothing of single routes."""
     rates = {"upload": 3.0, "index": 40.0}
-    told = play(rates, {"index": ("lookup", 4)}, 2.0, 1).describe(2.0)
+    told = play(rates, {"index": ("lookup", 4)}, 2.0, 1).get_ratios(2.0)
     assert told["upload"].get("lookup", 0.0) > 1.0
 
 
 def test_what_was_never_called_is_not_told():
     """A backend server that calls nobody leads nowhere."""
-    told = play({"lookup": 100.0}, {}, 5.0, 1).describe(5.0)
+    told = play({"lookup": 100.0}, {}, 5.0, 1).get_ratios(5.0)
     assert told == {"": {}, "lookup": {}}
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -13,7 +13,7 @@
     try:
         await asyncio.sleep(work)
     except asyncio.CancelledError:
-        if not deadline.is_reason():
+        if not deadline.caused_cancellation():
             raise
         return "time is up"
     finally:
@@ -60,7 +60,7 @@
     task = asyncio.create_task(wait(deadlines, 5.0, 5.0))
     await asyncio.sleep(0)
     (deadline,) = deadlines._open
-    deadline.passed = True
+    deadline.expired = True
     task.cancel()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,17 +6,17 @@
 import pytest
 
 from primroseglade.observe.events import Journal
-from primroseglade.sidecar.cross_zone_bytes import ZoneBytes
+from primroseglade.sidecar.cross_zone_bytes import CrossZoneBytes
 from primroseglade.sidecar.fleet import Fleet
 from primroseglade.sidecar.model import NodeEntry, NodeState
 from primroseglade.sidecar.peer import Peer
 
 
-class Host:
+class PeerHost:
     """The node that looks at the fleet."""
 
     entry = NodeEntry("here", "127.0.0.1:1", "a", "front", 1)
-    crossed = ZoneBytes()
+    cross_zone_bytes = CrossZoneBytes()
 
 
 class NoTasks:
@@ -30,10 +30,10 @@
 async def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     """Twelve backend servers of a service in each of three zones, all idle."""
     monkeypatch.setattr(Peer, "connected", property(lambda self: True))
-    fleet = Fleet(Host(), NoTasks(), Journal("here", "error"), random.Random(1))
+    fleet = Fleet(PeerHost(), NoTasks(), Journal("here", "error"), random.Random(1))
     for number in range(36):
         name = f"deep-{number:02}"
-        fleet.learn(NodeEntry(name, "127.0.0.1:2", "abc"[number % 3], "deep", 1))
+        fleet.update_node(NodeEntry(name, "127.0.0.1:2", "abc"[number % 3], "deep", 1))
         peer = fleet.get(name)
         assert peer is not None
         peer.state = NodeState("i", 32, 2.0, 20.0)
@@ -69,7 +69,7 @@
     for number in range(0, 36, 3):
         peer = fleet.get(f"deep-{number:02}")
         assert peer is not None
-        peer.note_load(96.0)
+        peer.record_load(96.0)
     candidate = fleet.choose("deep", None, (), 40.0, 600.0, {})
     assert candidate is not None
     assert not candidate.same_zone
--- a/tests/test_frame_compression.py
+++ b/tests/test_frame_compression.py
@@ -6,18 +6,18 @@
 import pytest
 from hypothesis import given, strategies as st
 
-from primroseglade.sidecar.cross_zone_bytes import ZoneBytes
-from primroseglade.sidecar.frame_compression import Packer
+from primroseglade.sidecar.cross_zone_bytes import CrossZoneBytes
+from primroseglade.sidecar.frame_compression import FrameCompressor
 from primroseglade.sidecar.frames import (
     Call,
     CallAnswer,
     Cancel,
+    COMPRESSED_FLAG,
+    encode_compressed_frame,
     encode_frame,
     FrameError,
     FrameReader,
-    LENGTH,
-    pack_frame,
-    PACKED,
+    LENGTH_PREFIX,
     Ping,
     State,
 )
@@ -37,7 +37,7 @@
     return Call(number, "i-1", "look", request_id, 640, 290, True, True, head, body)
 
 
-def build_state(rng: random.Random) -> State:
+def build_full_state(rng: random.Random) -> State:
     """Return what a node tells twice a second."""
     names = [f"service-{number}" for number in range(8)]
     demand = {name: rng.random() * 30 for name in names}
@@ -49,20 +49,20 @@
     """A zone without a backend server of the timetable sent a thousand look-ups a
     second to another. Their heads were most of what crossed: the same words in each.
     """
-    packer = Packer()
+    compressor = FrameCompressor()
     calls = [build_call(number) for number in range(200)]
     plain = sum(len(encode_frame(call)) for call in calls)
-    packed = sum(len(pack_frame(call, packer)) for call in calls)
+    packed = sum(len(encode_compressed_frame(call, compressor)) for call in calls)
     assert packed < plain / 3
 
 
 def test_states_between_zones_take_half_of_their_bytes():
     """On a quiet day, what nodes tell each other is a quarter of all that crosses."""
     rng = random.Random(1)
-    packer = Packer()
-    states = [build_state(rng) for _ in range(50)]
+    compressor = FrameCompressor()
+    states = [build_full_state(rng) for _ in range(50)]
     plain = sum(len(encode_frame(state)) for state in states)
-    packed = sum(len(pack_frame(state, packer)) for state in states)
+    packed = sum(len(encode_compressed_frame(state, compressor)) for state in states)
     assert packed < 0.6 * plain
 
 
@@ -87,8 +87,8 @@
 )
 def test_whatever_is_packed_comes_out_the_same(frames: list, size: int):
     """Whole and in order, however the bytes are cut on the way."""
-    packer = Packer()
-    data = b"".join(pack_frame(frame, packer) for frame in frames)
+    compressor = FrameCompressor()
+    data = b"".join(encode_compressed_frame(frame, compressor) for frame in frames)
     reader = FrameReader()
     read = []
     for start in range(0, len(data), size):
@@ -98,21 +98,21 @@
 
 @pytest.mark.parametrize(
     "payload",
-    [b"", b"\x00\x00", b"\x00\x00\xff\x00abc", LENGTH.pack(3) + b"abc"],
+    [b"", b"\x00\x00", b"\x00\x00\xff\x00abc", LENGTH_PREFIX.pack(3) + b"abc"],
 )
 def test_bytes_that_nobody_packed_end_the_stream(payload: bytes):
     """A broken stream is told from a packed one, and not read any further."""
     with pytest.raises(FrameError):
-        FrameReader().feed(LENGTH.pack(len(payload) | PACKED) + payload)
+        FrameReader().feed(LENGTH_PREFIX.pack(len(payload) | COMPRESSED_FLAG) + payload)
 
 
 def test_a_small_packed_frame_cannot_fill_the_memory():
     """Some kilobytes may unpack to gigabytes; they end the stream, and not a node."""
-    packer = Packer()
-    frame = LENGTH.pack(0)
-    payload = packer.pack(frame + bytes(64 * 1024 * 1024))
+    compressor = FrameCompressor()
+    frame = LENGTH_PREFIX.pack(0)
+    payload = compressor.compress_frame(frame + bytes(64 * 1024 * 1024))
     with pytest.raises(FrameError):
-        FrameReader().feed(LENGTH.pack(len(payload) | PACKED) + payload)
+        FrameReader().feed(LENGTH_PREFIX.pack(len(payload) | COMPRESSED_FLAG) + payload)
 
 
 class FakeTransport:
@@ -135,7 +135,7 @@
     stream = FrameStream(lambda *_: None, lambda *_: None)
     transport = FakeTransport()
     stream._transport = transport
-    stream.cross_zones(ZoneBytes())
+    stream.mark_cross_zone(CrossZoneBytes())
     for number in range(1000):
         stream.send(Ping(number))
     assert stream._packer is None
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -5,8 +5,8 @@
 from primroseglade.sidecar.load_balancing import (
     Candidate,
     choose,
-    price_failure,
-    price_other_zone,
+    compute_cross_zone_cost_ms,
+    compute_failure_cost_ms,
 )
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
 
@@ -22,7 +22,7 @@
 ) -> float:
     """Return which part of many calls goes to the other availability zone."""
     rng = random.Random(1)
-    price = price_other_zone(target, size)
+    price = compute_cross_zone_cost_ms(target, size)
     far = 0
     for _ in range(1000):
         near = Candidate("near", True, SLOTS, near_occupied, near_ms, 0.0)
@@ -79,11 +79,11 @@
     """A booking has a target of a second and a half, and is ended after 0.8 s."""
     services = [WeightedService("bookings", 1.0)]
     route = Route("book", "h", "/", RouteKind.UNSAFE, services, 0.8, 1.5, 0, 1, False)
-    assert route.patience == 0.4
+    assert route.latency_tolerance == 0.4
     assert (
         Route(
             "look", "h", "/", RouteKind.SAFE, services, 2.0, 0.3, 0, 1, False
-        ).patience
+        ).latency_tolerance
         == 0.3
     )
 
@@ -98,7 +98,7 @@
         near = Candidate("near", True, SLOTS, 2.0, 20.0, 0.0)
         failing = Candidate("failing", True, SLOTS, 2.0, 20.0, 1.0)
         far = [Candidate(f"far-{n}", False, SLOTS, 2.0, 20.0, 0.0) for n in range(3)]
-        price = price_other_zone(0.3, 500)
+        price = compute_cross_zone_cost_ms(0.3, 500)
         choice = choose([near, failing], lambda far=far: far, price, 0.0, 600.0, rng)
         assert choice is not None
         chosen.append(choice)
@@ -114,8 +114,8 @@
     rng = random.Random(3)
     near = Candidate("near", True, SLOTS, 5.0, 22.0, 0.3)
     far = Candidate("far", False, SLOTS, 5.0, 22.0, 0.0)
-    price = price_other_zone(0.3, 900)
-    failure = price_failure(0.3)
+    price = compute_cross_zone_cost_ms(0.3, 900)
+    failure = compute_failure_cost_ms(0.3)
     chosen = [
         choose([near], lambda: [far], price, 0.0, failure, rng) for _ in range(500)
     ]
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -52,7 +52,7 @@
     leaving = mesh.places[1]
     await leaving.kill_node()
     leaving.start_node_again(first_start=False)
-    leaving.node.backend.leave(leaving.backend.instance, 0)
+    leaving.node.backend.drain(leaving.backend.instance, 0)
     async with asyncio.timeout(5.0):
         while await leaving.backend.report() != 200:
             await asyncio.sleep(0.02)
@@ -64,12 +64,12 @@
     lifetime's last report, that it drains, had been held up by a cut.
     """
     place = mesh.places[1]
-    place.backend.born = 200
+    place.backend.start_time_ms = 200
     assert await place.backend.report() == 200
-    place.backend.born = 100
+    place.backend.start_time_ms = 100
     place.backend.state = "draining"
     await place.backend.report()
-    place.backend.born = 200
+    place.backend.start_time_ms = 200
     place.backend.state = "ready"
     assert place.node.backend.instance == place.backend.instance
 
@@ -279,7 +279,7 @@
     life, and acknowledged the leave without heeding it.
     """
     place = mesh.places[1]
-    place.node.learn_drains({"i-elsewhere": place.backend.born + 1000})
+    place.node.apply_drains({"i-elsewhere": place.backend.start_time_ms + 1000})
     place.backend.state = "draining"
     assert await place.backend.report() == 200
     assert place.node.backend.instance == ""
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -151,7 +151,7 @@
     asking.cancel()
     await asyncio.sleep(0.4)
     assert sum(place.backend.cancelled for place in mesh.places) == 1
-    assert all(place.node.occupied == 0 for place in mesh.places)
+    assert all(place.node.in_flight == 0 for place in mesh.places)
 
 
 async def test_time_is_up_when_the_route_says_so(mesh: Mesh):
@@ -186,7 +186,7 @@
     server had failed it, the other was leaving and refused the second attempt, and
     the answer spoke of the second attempt only.
     """
-    failing, leaving = mesh.places[1:]
+    failure_ratio, leaving = mesh.places[1:]
 
     def fail(request: Request, headers: dict[str, str]) -> Reply:
         request_id = headers["x-primroseglade-request-id"].encode()
@@ -194,7 +194,7 @@
         seal = b"X-Primroseglade-Upstream-Seal: s\r\n"
         return Reply(head % request_id + seal, b"it failed")
 
-    failing.backend.answer = fail
+    failure_ratio.backend.answer = fail
     leaving.node.backend.stop()
     for number in range(10):
         answer = await ask(mesh.places[0], "/deep/a", f"f{number}")
@@ -277,5 +277,5 @@
     answers = [await ask(place, "/deep/a", f"over-{n}") for n in range(60)]
     refused = sum(answer.status == 429 for answer in answers)
     assert refused > 30
-    demand = place.node.admission.describe_demand(asyncio.get_running_loop().time())
+    demand = place.node.admission.measure_demand(asyncio.get_running_loop().time())
     assert demand.get("deep", 0.0) <= len(answers) - refused
--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -10,7 +10,7 @@
 from primroseglade.addresses import parse_address
 from primroseglade.sidecar.http_messages import render_status_line, Reply, Request
 from primroseglade.sidecar.http_server import HttpServer
-from primroseglade.sidecar.pipeline import AT_ONCE, Pipeline
+from primroseglade.sidecar.pipeline import MAX_CONCURRENT_REQUESTS, Pipeline
 
 from .mesh import ask, find_address, Mesh
 
@@ -74,12 +74,12 @@
 
 
 @contextlib.asynccontextmanager
-async def run_server(late: bool = False) -> AsyncIterator[Bench]:
+async def run_server(stalled: bool = False) -> AsyncIterator[Bench]:
     """Run a server whose answers a test lets go."""
     handler = Handler()
     address = find_address()
     server = HttpServer(address, handler)
-    server.late = late
+    server.stalled = stalled
     task = asyncio.create_task(server.run())
     await asyncio.sleep(0.05)
     try:
@@ -139,7 +139,7 @@
         caller = await bench.call()
         caller.send(b"/a", b"/b")
         await wait_until(lambda: len(bench.handler.started) == 2)
-        bench.server.ask_to_close()
+        bench.server.request_connection_close()
         caller.send(b"/late")
         await asyncio.sleep(0.05)
         bench.handler.open(b"/a", b"/b", b"/late")
@@ -157,7 +157,7 @@
         caller = await bench.call()
         caller.send(b"/a")
         await wait_until(lambda: bench.handler.started)
-        bench.server.ask_to_close()
+        bench.server.request_connection_close()
         bench.handler.open(b"/a")
         for number in range(200):
             caller.send(b"/behind-%d" % number)
@@ -183,10 +183,10 @@
     """One caller that sent a hundred requests ahead had them all worked on at once."""
     async with run_server() as bench:
         caller = await bench.call()
-        targets = [b"/%d" % number for number in range(3 * AT_ONCE)]
+        targets = [b"/%d" % number for number in range(3 * MAX_CONCURRENT_REQUESTS)]
         caller.send(*targets)
         await asyncio.sleep(0.05)
-        assert bench.handler.started == targets[:AT_ONCE]
+        assert bench.handler.started == targets[:MAX_CONCURRENT_REQUESTS]
         bench.handler.open(*targets)
         assert [(await caller.read())[1] for _ in targets] == targets
 
@@ -268,7 +268,7 @@
 
 async def test_a_kept_connection_of_a_caller_that_left_is_read_to_its_end():
     """The same on a connection that had served before, at a node that stood still."""
-    async with run_server(late=True) as bench:
+    async with run_server(stalled=True) as bench:
         bench.handler.open(b"/before")
         with socket.create_connection(parse_address(bench.address)) as caller:
             caller.setblocking(False)
--- a/tests/test_peer_monitor.py
+++ b/tests/test_peer_monitor.py
@@ -4,13 +4,13 @@
 import contextlib
 import time
 
-from primroseglade.sidecar.peer_monitor import PeerWatch
+from primroseglade.sidecar.peer_monitor import PeerMonitor
 
 
 class FakeFleet:
     """Notes for which moments silence was looked for."""
 
-    waits = True
+    has_pending_calls = True
 
     def __init__(self) -> None:
         self.looked_at: list[float] = []
@@ -26,8 +26,8 @@
     """
     fleet = FakeFleet()
     late: list[bool] = []
-    watch = PeerWatch("a", fleet, None, late.append)
-    running = asyncio.create_task(watch.run_silence())
+    monitor = PeerMonitor("a", fleet, None, late.append)
+    running = asyncio.create_task(monitor.run_silence_checks())
     await asyncio.sleep(0)
     for _ in range(4):
         asked = time.monotonic()
--- a/tests/test_periodic_scheduler.py
+++ b/tests/test_periodic_scheduler.py
@@ -4,17 +4,17 @@
 
 import pytest
 
-from primroseglade.sidecar.periodic_scheduler import STEP_SECONDS, Ticker
+from primroseglade.sidecar.periodic_scheduler import PeriodicScheduler, STEP_SECONDS
 
 
 def test_duties_run_in_their_order_as_often_as_asked():
     """What is told is what was looked at in the same step."""
-    ticker = Ticker(random.Random(1))
+    scheduler = PeriodicScheduler(random.Random(1))
     done: list[str] = []
-    ticker.add(lambda _: done.append("look"))
-    ticker.add(lambda _: done.append("tell"), 2 * STEP_SECONDS)
+    scheduler.add(lambda _: done.append("look"))
+    scheduler.add(lambda _: done.append("tell"), 2 * STEP_SECONDS)
     for step in range(4):
-        ticker.step(step * STEP_SECONDS)
+        scheduler.step(step * STEP_SECONDS)
     assert done == ["look", "look", "tell", "look", "look", "tell"]
 
 
@@ -22,16 +22,16 @@
     """A fault in what is told of bytes must not stop a node from telling its state,
     after which all others would take it for idle.
     """
-    ticker = Ticker(random.Random(1))
+    scheduler = PeriodicScheduler(random.Random(1))
     done: list[float] = []
 
     def fail(now: float) -> None:
         raise ValueError("broken")
 
-    ticker.add(fail)
-    ticker.add(done.append)
+    scheduler.add(fail)
+    scheduler.add(done.append)
     with pytest.raises(ValueError, match="broken"):
-        ticker.step(1.0)
+        scheduler.step(1.0)
     with pytest.raises(ValueError, match="broken"):
-        ticker.step(2.0)
+        scheduler.step(2.0)
     assert done == [1.0, 2.0]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -215,7 +215,7 @@
     holder.now = 0.1
     for _ in range(80):
         holder.take(tenant)
-        holder.quotas.give_back(tenant)
+        holder.quotas.refund(tenant)
     holder.now = 0.2
     # Of two nodes, this holder has the share of one: half of a bucket of 100 tokens.
     assert sum(holder.take(tenant) for _ in range(100)) >= 45
@@ -231,7 +231,7 @@
         holder.now = number / 150
         holder.take(tenant)
     for _ in range(250):
-        holder.quotas.give_back(tenant)
+        holder.quotas.refund(tenant)
     # The refusal of the last call holds for a moment.
     holder.now = 2.1
     taken = sum(holder.take(tenant) for _ in range(400))
@@ -282,8 +282,8 @@
 
 def test_no_limit_is_the_highest():
     """Guards against taking a rate of 0, which means none, for the lowest of all."""
-    assert Tenant("n", 1, 0.0, 0.0).allows(Tenant("n", 1, 5.0, 5.0))
-    assert not Tenant("n", 1, 5.0, 5.0).allows(Tenant("n", 1, 0.0, 0.0))
+    assert Tenant("n", 1, 0.0, 0.0).is_higher_than(Tenant("n", 1, 5.0, 5.0))
+    assert not Tenant("n", 1, 5.0, 5.0).is_higher_than(Tenant("n", 1, 0.0, 0.0))
     holder = OneHolder()
     assert all(holder.take(Tenant("n", 1, 0.0, 0.0)) for _ in range(50))
 
@@ -299,7 +299,7 @@
         holder.now = number / 700
         if holder.take(tenant):
             passed += 1
-            holder.quotas.give_back_refused(tenant)
+            holder.quotas.refund_refused(tenant)
     assert passed < 0.3 * 7000
     assert passed > 100.0 * 10
 
@@ -311,7 +311,7 @@
     decisions = [holder.decide(tenant) for _ in range(3)]
     assert [decision.granted for decision in decisions] == [True, True, False]
     assert decisions[-1].holder == "there"
-    assert decisions[-1].left < 1.0
+    assert decisions[-1].remaining_tokens < 1.0
 
 
 def test_an_entry_over_the_rate_does_not_ask_for_each_call():
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -9,10 +9,11 @@
     """
     budget = RetryBudget(ratio=0.2, fixed=50, window=10.0)
     for number in range(100):
-        budget.note_first("front", number * 0.01)
-        budget.note_first("deep", number * 0.01)
+        budget.record_first_attempt("front", number * 0.01)
+        budget.record_first_attempt("deep", number * 0.01)
     repeats = sum(
-        budget.take({"front": 1.0, "deep": 4.0}, nodes=10, now=1.0) for _ in range(100)
+        budget.try_spend({"front": 1.0, "deep": 4.0}, nodes=10, now=1.0)
+        for _ in range(100)
     )
     assert 0 < repeats * 4 <= 0.2 * 100 + 50 / 10
 
@@ -22,9 +23,9 @@
     nodes = [RetryBudget(ratio=0.2, fixed=50, window=10.0) for _ in range(10)]
     for node in nodes:
         for _ in range(30):
-            node.note_first("front", 1.0)
+            node.record_first_attempt("front", 1.0)
     repeats = sum(
-        node.take({"front": 1.0}, nodes=10, now=2.0)
+        node.try_spend({"front": 1.0}, nodes=10, now=2.0)
         for node in nodes
         for _ in range(50)
     )
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -14,7 +14,7 @@
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.share_leases import (
     LEASE_SECONDS,
-    LeaseBook,
+    LeaseTable,
     RemoteClock,
     ShareLender,
 )
@@ -24,7 +24,7 @@
     """Guards against two holders that spend the same share."""
     lender = ShareLender()
     assert lender.may_lend("a", 0.0)
-    lender.note_lent("a", 0.0)
+    lender.record_lease_sent("a", 0.0)
     assert lender.may_lend("a", 0.5)
     assert not lender.may_lend("b", LEASE_SECONDS - 0.01)
     assert lender.may_lend("b", LEASE_SECONDS)
@@ -33,7 +33,7 @@
 def test_tokens_are_asked_where_the_share_is():
     """Guards against asking a new holder while the former one has all tokens."""
     lender = ShareLender()
-    lender.note_lent("a", 0.0)
+    lender.record_lease_sent("a", 0.0)
     assert lender.choose("b", lambda name: True, 0.5) == "a"
     assert lender.choose("b", lambda name: name != "a", 0.5) == "b"
     assert lender.choose("b", lambda name: True, LEASE_SECONDS) == "b"
@@ -46,18 +46,18 @@
     holder_ahead = 1000.0
     clock = RemoteClock()
     told, received = holder_ahead + 1.0, 1.3
-    clock.note(told, received)
+    clock.record(told, received)
     sent = 2.0
     until = clock.estimate(sent) + LEASE_SECONDS
     assert until <= holder_ahead + sent + LEASE_SECONDS
-    book = LeaseBook(lambda: 1, 0.0)
+    book = LeaseTable(lambda: 1, 0.0)
     book.renew("lender", until, holder_ahead + sent + LEASE_SECONDS + 0.1)
     assert book.share == 0.0
 
 
 def test_shares_accrue_until_the_leases_end():
     """Guards against accruing for a lender that is gone, however late it is noticed."""
-    book = LeaseBook(lambda: 4, 0.0)
+    book = LeaseTable(lambda: 4, 0.0)
     book.renew("a", 1.0, 0.0)
     book.renew("b", 2.0, 0.0)
     assert book.advance(10.0) == pytest.approx(0.25 * 1.0 + 0.25 * 2.0)
@@ -66,7 +66,7 @@
 
 def test_a_restarted_lender_is_counted_once():
     """Guards against a second share for the new process of a node."""
-    book = LeaseBook(lambda: 2, 0.0)
+    book = LeaseTable(lambda: 2, 0.0)
     book.renew("a", 1.2, 0.0)
     book.revoke("a", 0.1)
     book.renew("a", 1.4, 0.2)
@@ -78,7 +78,7 @@
 
 def test_no_share_before_the_number_of_nodes_is_known():
     """Guards against taking the whole rate before the others are known."""
-    book = LeaseBook(lambda: 0, 0.0)
+    book = LeaseTable(lambda: 0, 0.0)
     book.renew("a", 1.0, 0.0)
     assert book.share == 0.0
     assert book.advance(0.5) == 0.0
--- a/tests/test_state_broadcast.py
+++ b/tests/test_state_broadcast.py
@@ -1,9 +1,13 @@
 """What nodes tell each other of themselves, and hand on."""
 
-from primroseglade.sidecar.call_ratios import OwnCalls
+from primroseglade.sidecar.call_ratios import CallRatioEstimator
 from primroseglade.sidecar.frames import Frame, State, States
 from primroseglade.sidecar.model import NodeEntry, NodeState
-from primroseglade.sidecar.state_broadcast import DIRECT_NODES, Relay, Teller
+from primroseglade.sidecar.state_broadcast import (
+    MAX_DIRECT_NODES,
+    RelayBuffer,
+    StateBroadcaster,
+)
 
 ZONES = ("a", "b", "c", "d")
 
@@ -35,26 +39,26 @@
         self.sent += [(e.name, frame) for e in self.fleet.entries if wanted(e)]
 
 
-def build_teller(size: int, name: str = "a-99") -> tuple[Teller, FakeServer]:
+def build_teller(size: int, name: str = "a-99") -> tuple[StateBroadcaster, FakeServer]:
     """Return a teller of a node of the first zone; by default not of its reader."""
     fleet = FakeFleet(size)
     fleet.entries = [entry for entry in fleet.entries if entry.name != name]
     server = FakeServer(fleet)
-    teller = Teller(
+    broadcaster = StateBroadcaster(
         NodeEntry(name, "", "a", "deep", 1),
         fleet,
         server,
         NodeState,
-        OwnCalls(),
+        CallRatioEstimator(),
     )
-    return teller, server
+    return broadcaster, server
 
 
 def test_a_small_fleet_is_told_directly():
     """Every other node gets it, and nobody hands it on."""
-    teller, server = build_teller(DIRECT_NODES)
-    teller.tell(0.0)
-    assert len(server.sent) == DIRECT_NODES
+    broadcaster, server = build_teller(MAX_DIRECT_NODES)
+    broadcaster.broadcast(0.0)
+    assert len(server.sent) == MAX_DIRECT_NODES
     assert not any(frame.relay for _, frame in server.sent)
 
 
@@ -63,21 +67,21 @@
     callers' requests, and with neighbours that told each other still half of it: each
     message wakes a node. So one node of each zone, the own too, hands it on.
     """
-    teller, server = build_teller(88)
-    teller.tell(0.0)
+    broadcaster, server = build_teller(88)
+    broadcaster.broadcast(0.0)
     assert [name for name, _ in server.sent] == ["a-00", "b-01", "c-02", "d-03"]
     assert all(frame.relay for _, frame in server.sent)
 
 
 def test_the_one_that_hands_on_tells_its_neighbours_of_itself():
     """It tells one node in each other zone, and its neighbours with what it heard."""
-    teller, server = build_teller(88, name="a-00")
-    teller.hand_on("b-05", NodeState(occupied=2.0))
-    teller.tell(0.0)
+    broadcaster, server = build_teller(88, name="a-00")
+    broadcaster.relay_state("b-05", NodeState(in_flight=2.0))
+    broadcaster.broadcast(0.0)
     relayed = [name for name, frame in server.sent if isinstance(frame, State)]
     assert relayed == ["b-01", "c-02", "d-03"]
     server.sent.clear()
-    teller.hand_on_waiting(0.25)
+    broadcaster.relay_pending(0.25)
     assert {name[0] for name, _ in server.sent} == {"a"}
     assert len(server.sent) == 21
     told = server.sent[0][1]
@@ -87,8 +91,8 @@
 
 def test_a_leave_is_told_to_all_at_once():
     """Requests must not reach a backend server that leaves; this does not wait."""
-    teller, server = build_teller(88)
-    teller.tell_all()
+    broadcaster, server = build_teller(88)
+    broadcaster.broadcast_now()
     assert len(server.sent) == 88
 
 
@@ -96,13 +100,13 @@
     """Two states of one node between two rounds: what its backend server calls, which
     only the first told, stays.
     """
-    relay = Relay()
-    relay.add("b-01", NodeState(calls_below={"": {"x": 1.0}}))
-    relay.add("b-01", NodeState(occupied=3.0))
+    relay = RelayBuffer()
+    relay.add("b-01", NodeState(downstream_calls={"": {"x": 1.0}}))
+    relay.add("b-01", NodeState(in_flight=3.0))
     ((name, state),) = relay.take()
     assert name == "b-01"
-    assert state.occupied == 3.0
-    assert state.calls_below == {"": {"x": 1.0}}
+    assert state.in_flight == 3.0
+    assert state.downstream_calls == {"": {"x": 1.0}}
     assert relay.take() == []
 
 
--- a/tests/test_token_pool.py
+++ b/tests/test_token_pool.py
@@ -7,13 +7,13 @@
     encode_frame,
     FrameError,
     FrameReader,
-    LENGTH,
+    LENGTH_PREFIX,
     TokenGrant,
     TokenLimits,
     TokenRequest,
 )
-from primroseglade.sidecar.rate_monitor import RateWatch
-from primroseglade.sidecar.share_leases import LeaseBook
+from primroseglade.sidecar.rate_monitor import RateMonitor
+from primroseglade.sidecar.share_leases import LeaseTable
 from primroseglade.sidecar.token_pool import TokenPool
 
 from .rates import OneHolder
@@ -21,9 +21,9 @@
 NORTH = TokenLimits("north", 100.0, 100.0, 1)
 
 
-def build_pool(first_start: bool = True) -> tuple[LeaseBook, TokenPool]:
+def build_pool(first_start: bool = True) -> tuple[LeaseTable, TokenPool]:
     """Return a pool that holds the share of one node of two until 10 s."""
-    leases = LeaseBook(lambda: 2, 0.0)
+    leases = LeaseTable(lambda: 2, 0.0)
     leases.renew("a", 10.0, 0.0)
     return leases, TokenPool(leases, first_start)
 
@@ -38,7 +38,7 @@
         other_leases.renew("a", now + 1.0, now)
         other.take(NORTH, 25, 0, now)
     pool.take(NORTH, 0, 0, 5.0)
-    assert pool.count_left("north") >= 0.9 * 100.0 / 2
+    assert pool.get_remaining_tokens("north") >= 0.9 * 100.0 / 2
 
 
 def test_a_holder_that_lost_its_leases_has_no_tokens():
@@ -75,7 +75,7 @@
     """Guards against lending the tokens of calls that come in a moment."""
     _, pool = build_pool()
     for step in range(20):
-        pool.note_request("e", TokenRequest(0, NORTH, 4), step * 0.1)
+        pool.record_request("e", TokenRequest(0, NORTH, 4), step * 0.1)
         pool.take(NORTH, 4, 0, step * 0.1)
     # Of 50 that it can store, the demand of 40 a second needs 2 in a twentieth.
     assert pool.lend(NORTH, 100, True, 2.0) == pytest.approx(48.0)
@@ -113,7 +113,7 @@
 def test_torn_token_messages_are_dropped(payload: bytes):
     """Guards against taking a message of another version for a request or a grant."""
     with pytest.raises(FrameError):
-        FrameReader().feed(LENGTH.pack(len(payload)) + payload)
+        FrameReader().feed(LENGTH_PREFIX.pack(len(payload)) + payload)
 
 
 def test_token_messages_survive_the_wire():
@@ -127,17 +127,17 @@
     """Guards against omitting a workspace over its rate or logging one within it."""
     _, pool = build_pool()
     journal = Journal("here")
-    watch = RateWatch(pool, journal)
+    monitor = RateMonitor(pool, journal)
     calm = TokenLimits("calm", 10.0, 10.0, 1)
     greedy = TokenLimits("greedy", 10.0, 10.0, 1)
-    pool.note_request("e", TokenRequest(0, calm, 1), 0.0)
+    pool.record_request("e", TokenRequest(0, calm, 1), 0.0)
     pool.take(calm, 1, 0, 0.0)
-    watch.log_buckets(0.0)
+    monitor.log_buckets(0.0)
     assert not journal.recent
-    pool.note_request("e", TokenRequest(0, greedy, 30), 0.1)
+    pool.record_request("e", TokenRequest(0, greedy, 30), 0.1)
     granted = pool.take(greedy, 30, 0, 0.1)
     assert granted == 5
-    watch.log_buckets(0.5)
+    monitor.log_buckets(0.5)
     (event,) = journal.recent
     assert event["event"] == WORKSPACES_AT_RATE.number
     assert list(event["workspaces"]) == ["greedy"]
--- a/tests/test_zone_costs.py
+++ b/tests/test_zone_costs.py
@@ -2,7 +2,7 @@
 
 from primroseglade.sidecar.call_graph import CallGraph
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
-from primroseglade.sidecar.zone_costs import Costs, ZoneCosts
+from primroseglade.sidecar.zone_costs import ZoneCosts, ZoneCostsMs
 
 PRICE = 40.0
 
@@ -13,7 +13,7 @@
     return Route(name, "h", "/", RouteKind.SAFE, services, 1, 1, 0, 1, False)
 
 
-def build_costs(cheapest: dict[str, Costs]) -> ZoneCosts:
+def build_costs(min_costs: dict[str, ZoneCostsMs]) -> ZoneCosts:
     """Return the costs of a page that asks for a seat, which asks for one status, which
     looks four times into a timetable.
     """
@@ -27,19 +27,19 @@
     ]
     graph.rebuild(told, routes)
     costs = ZoneCosts(graph, lambda name: PRICE)
-    costs.refresh(cheapest)
+    costs.refresh(min_costs)
     return costs
 
 
-def find_crossing(costs: ZoneCosts, cheapest: dict[str, Costs]) -> list[str]:
+def find_crossing(costs: ZoneCosts, min_costs: dict[str, ZoneCostsMs]) -> list[str]:
     """Return which of a page's calls leave zone ``a`` for another."""
     names = {"page": "pages", "seat": "seats", "status": "desk"}
     crossing = []
     for name, service in names.items():
-        below = costs.get_below(name, service)
+        below = costs.get_downstream_costs(name, service)
         totals = {
             zone: cost + below[zone] + (PRICE if zone != "a" else 0.0)
-            for zone, cost in cheapest[service].items()
+            for zone, cost in min_costs[service].items()
         }
         if min(totals, key=totals.__getitem__) != "a":
             crossing.append(name)
@@ -52,15 +52,15 @@
     itself could have gone there, once.
     """
     whole = {"a": 20.0, "b": 20.0, "c": 20.0}
-    cheapest = {
+    min_costs = {
         "pages": whole,
         "seats": whole,
         "desk": whole,
         "timetable": {"b": 20.0, "c": 20.0},
     }
-    costs = build_costs(cheapest)
-    assert find_crossing(costs, cheapest) == ["status"]
-    below = costs.get_below("status", "desk")
+    costs = build_costs(min_costs)
+    assert find_crossing(costs, min_costs) == ["status"]
+    below = costs.get_downstream_costs("status", "desk")
     assert below == {"a": 4 * (20.0 + PRICE), "b": 80.0, "c": 80.0}
 
 
@@ -69,29 +69,29 @@
     long that one of them would cross by itself.
     """
     whole = {"a": 0.0, "b": 0.0}
-    cheapest = {
+    min_costs = {
         "pages": whole,
         "seats": whole,
         "desk": whole,
         "timetable": {"a": 30.0, "b": 0.0},
     }
-    assert find_crossing(build_costs(cheapest), cheapest) == ["status"]
+    assert find_crossing(build_costs(min_costs), min_costs) == ["status"]
 
 
 def test_everything_stays_where_zones_are_alike():
     """On a quiet day a tenth more time elsewhere is no reason to go there."""
-    cheapest = {
+    min_costs = {
         service: {"a": 22.0, "b": 20.0}
         for service in ("pages", "seats", "desk", "timetable")
     }
-    assert find_crossing(build_costs(cheapest), cheapest) == []
+    assert find_crossing(build_costs(min_costs), min_costs) == []
 
 
 def test_a_service_that_nobody_serves_decides_nothing():
     """With no timetable left anywhere, no zone is better than another."""
     whole = {"a": 20.0, "b": 20.0}
     costs = build_costs({"pages": whole, "seats": whole, "desk": whole})
-    assert costs.get_below("status", "desk") == {"a": 0.0, "b": 0.0}
+    assert costs.get_downstream_costs("status", "desk") == {"a": 0.0, "b": 0.0}
 
 
 def test_calls_in_a_circle_end():
@@ -104,7 +104,7 @@
     )
     costs = ZoneCosts(graph, lambda name: PRICE)
     costs.refresh({"one": {"a": 10.0}, "two": {"a": 10.0}})
-    assert costs.get_below("x", "one")["a"] >= 10.0
+    assert costs.get_downstream_costs("x", "one")["a"] >= 10.0
 
 
 def test_costs_follow_a_change_over_some_looks():
@@ -114,5 +114,5 @@
     whole = {"a": 20.0, "b": 20.0}
     costs = build_costs({"desk": whole, "timetable": {"a": 20.0, "b": 50.0}})
     costs.refresh({"desk": whole, "timetable": {"a": 20.0, "b": 20.0}})
-    between = costs.get_below("status", "desk")["b"]
+    between = costs.get_downstream_costs("status", "desk")["b"]
     assert 80.0 < between < 200.0
