--- a/primroseglade/cli/config.py
+++ b/primroseglade/cli/config.py
@@ -48,25 +48,25 @@
         environment.print(json.dumps(view))
         return ExitStatus.SUCCESS
     environment.print(f"// as of offset {view['next_offset']}")
-    environment.print(json.dumps(_nest(view["sections"]), indent=2))
+    environment.print(json.dumps(_group_by_kind(view["sections"]), indent=2))
     return ExitStatus.SUCCESS
 
 
 @command("config diff")
 async def diff(options: argparse.Namespace, environment: Environment) -> ExitStatus:
     """Print which sections differ."""
-    wanted = read_sections(options.document)
+    proposed = read_sections(options.document)
     async with OperatorClient(options.node, options.token) as client:
         view = await client.get("/document")
-    standing = _get_standing(view["sections"])
+    current = _get_sections_in_force(view["sections"])
     changes = {
-        "added": sorted(set(wanted) - set(standing)),
+        "added": sorted(set(proposed) - set(current)),
         "changed": sorted(
             name
-            for name, value in wanted.items()
-            if name in standing and standing[name] != value
+            for name, value in proposed.items()
+            if name in current and current[name] != value
         ),
-        "only in force": sorted(set(standing) - set(wanted)),
+        "only in force": sorted(set(current) - set(proposed)),
     }
     if options.json:
         environment.print(json.dumps(changes))
@@ -97,13 +97,13 @@
             view = await client.get("/document")
             edit = build_edit(changes, view, options.author, options.as_of)
             if edit is None:
-                return _tell_unchanged(options, environment)
+                return _print_unchanged(options, environment)
             published = await publish(log, client, edit, options.wait)
             if published.accepted and options.everywhere:
                 await wait_everywhere(client, published, options.wait)
     finally:
         await log.close()
-    return _tell_published(published, options, environment)
+    return _print_published(published, options, environment)
 
 
 @command("config status")
@@ -125,7 +125,7 @@
     return ExitStatus.SUCCESS if view["everywhere"] else ExitStatus.REFUSED
 
 
-def _tell_unchanged(
+def _print_unchanged(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     if options.json:
@@ -135,7 +135,7 @@
     return ExitStatus.SUCCESS
 
 
-def _tell_published(
+def _print_published(
     published: Published, options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     if options.json:
@@ -144,23 +144,23 @@
         names = ", ".join(published.sections)
         environment.print(f"accepted at offset {published.offset}: {names}")
         if options.everywhere:
-            environment.print(_describe_spread(published))
+            environment.print(_describe_confirmations(published))
     else:
         environment.warn(f"primroseglade: refused: {published.reason}")
     if not published.accepted:
         return ExitStatus.REFUSED
-    missing = options.everywhere and not published.everywhere
-    return ExitStatus.REFUSED if missing else ExitStatus.SUCCESS
+    unconfirmed = options.everywhere and not published.everywhere
+    return ExitStatus.REFUSED if unconfirmed else ExitStatus.SUCCESS
 
 
-def _describe_spread(published: Published) -> str:
+def _describe_confirmations(published: Published) -> str:
     if published.everywhere:
         return f"in force on all {len(published.confirmed)} instances"
     names = ", ".join([*published.behind, *published.silent])
     return f"in force on {len(published.confirmed)} instances; not confirmed by {names}"
 
 
-def _get_standing(sections: dict[str, Any]) -> dict[str, Any]:
+def _get_sections_in_force(sections: dict[str, Any]) -> dict[str, Any]:
     return {
         name: section["value"]
         for name, section in sections.items()
@@ -168,9 +168,9 @@
     }
 
 
-def _nest(sections: dict[str, Any]) -> dict[str, Any]:
+def _group_by_kind(sections: dict[str, Any]) -> dict[str, Any]:
     document: dict[str, Any] = {}
-    for section, value in sorted(_get_standing(sections).items()):
+    for section, value in sorted(_get_sections_in_force(sections).items()):
         kind, _, name = section.partition("/")
         document.setdefault(kind, {})[name] = value
     return document
--- a/primroseglade/cli/definition.py
+++ b/primroseglade/cli/definition.py
@@ -6,7 +6,7 @@
 from .. import __version__
 from ..exits import ExitStatus
 
-EXIT_TEXT = "exit status: " + ", ".join(
+EXIT_STATUS_HELP = "exit status: " + ", ".join(
     f"{status.value} {status.name.lower().replace('_', ' ')}" for status in ExitStatus
 )
 
@@ -30,42 +30,46 @@
         arguments: What it takes.
     """
 
-    __slots__ = ("arguments", "name", "text")
+    __slots__ = ("arguments", "name", "summary")
 
-    def __init__(self, name: str, text: str, *arguments: Argument):
+    def __init__(self, name: str, summary: str, *arguments: Argument):
         self.name = name
-        self.text = text
+        self.summary = summary
         self.arguments = arguments
 
 
-JSON = Argument(
+JSON_OPTION = Argument(
     "--json", action="store_true", help="print one JSON value for programs to read"
 )
-NODE = Argument(
+NODE_OPTION = Argument(
     "--node",
     required=True,
     metavar="IP:PORT",
     help="operator address of any node",
 )
-TOKEN = Argument("--token", default="", help="operator token, where nodes ask for one")
-DOCUMENT = Argument("document", metavar="FILE", help="document, JSON with comments")
-DEPLOYMENT = Argument(
+TOKEN_OPTION = Argument(
+    "--token", default="", help="operator token, where nodes ask for one"
+)
+DOCUMENT_ARGUMENT = Argument(
+    "document", metavar="FILE", help="document, JSON with comments"
+)
+DEPLOYMENT_OPTION = Argument(
     "--deployment",
     choices=("split", "lagos"),
     default="split",
     help="whose services and zones (default: %(default)s)",
 )
-SECONDS = Argument(
+SECONDS_OPTION = Argument(
     "--seconds",
     type=float,
     default=20.0,
     help="how long to run (default: %(default)s)",
 )
-SEED = Argument(
+SEED_OPTION = Argument(
     "--seed", type=int, default=1, help="of what is random (default: %(default)s)"
 )
 
-GROUPS = {
+COMMAND_GROUPS = {
     "config": "check, publish and follow the operators' document",
     "stand-in": "small stand-ins for the outside systems",
 }
@@ -86,30 +90,35 @@
         "tell from the nodes' logs why a request ended as it did",
         Argument("request", metavar="REQUEST_ID", help="its id, as the caller has it"),
         Argument("logs", nargs="+", metavar="LOGFILE", help="logs of all nodes"),
-        JSON,
+        JSON_OPTION,
+    ),
+    Command(
+        "config check",
+        "check a document without publishing it",
+        DOCUMENT_ARGUMENT,
+        JSON_OPTION,
     ),
-    Command("config check", "check a document without publishing it", DOCUMENT, JSON),
     Command(
         "config show",
         "print the document in force, as a node has it",
-        NODE,
-        TOKEN,
-        JSON,
+        NODE_OPTION,
+        TOKEN_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "config diff",
         "print which sections of a document differ from those in force",
-        DOCUMENT,
-        NODE,
-        TOKEN,
-        JSON,
+        DOCUMENT_ARGUMENT,
+        NODE_OPTION,
+        TOKEN_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "config publish",
         "publish sections of a document and wait for the verdict",
-        DOCUMENT,
-        NODE,
-        TOKEN,
+        DOCUMENT_ARGUMENT,
+        NODE_OPTION,
+        TOKEN_OPTION,
         Argument(
             "--platform",
             required=True,
@@ -149,23 +158,23 @@
             action="store_true",
             help="wait until every instance has confirmed; name those that have not",
         ),
-        JSON,
+        JSON_OPTION,
     ),
     Command(
         "config status",
         "print which instances have confirmed the configuration, and which have not",
-        NODE,
-        TOKEN,
-        JSON,
+        NODE_OPTION,
+        TOKEN_OPTION,
+        JSON_OPTION,
     ),
-    Command("key", "make a new key and print it with its digest", JSON),
+    Command("key", "make a new key and print it with its digest", JSON_OPTION),
     Command(
         "demo",
         "run a whole deployment in this process, with failures, and check its promises",
-        DEPLOYMENT,
-        SECONDS,
-        SEED,
-        JSON,
+        DEPLOYMENT_OPTION,
+        SECONDS_OPTION,
+        SEED_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "load",
@@ -182,9 +191,9 @@
         Argument("--method", default="GET", help="HTTP method (default: %(default)s)"),
         Argument("--rate", type=float, default=50.0, help="calls a second"),
         Argument("--timeout", type=float, default=2.0, help="seconds a call may take"),
-        SECONDS,
-        SEED,
-        JSON,
+        SECONDS_OPTION,
+        SEED_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "stand-in log",
@@ -223,31 +232,35 @@
     parser = argparse.ArgumentParser(
         prog="primroseglade",
         description="Overload control for service call graphs.",
-        epilog=EXIT_TEXT,
+        epilog=EXIT_STATUS_HELP,
     )
     parser.add_argument("--version", action="version", version=__version__)
-    top = parser.add_subparsers(title="commands", metavar="COMMAND", required=True)
+    subparsers = parser.add_subparsers(
+        title="commands", metavar="COMMAND", required=True
+    )
     groups: dict[str, Any] = {}
     for command in COMMANDS:
         *group, name = command.name.split()
-        place = top
+        parent = subparsers
         if group:
-            place = groups.get(group[0])
-            if place is None:
-                place = groups[group[0]] = _add_group(top, group[0])
-        _add_command(place, name, command)
+            parent = groups.get(group[0])
+            if parent is None:
+                parent = groups[group[0]] = _add_group(subparsers, group[0])
+        _add_command(parent, name, command)
     return parser
 
 
-def _add_group(top: Any, name: str) -> Any:
-    text = GROUPS[name]
-    group = top.add_parser(name, help=text, description=text, epilog=EXIT_TEXT)
+def _add_group(subparsers: Any, name: str) -> Any:
+    summary = COMMAND_GROUPS[name]
+    group = subparsers.add_parser(
+        name, help=summary, description=summary, epilog=EXIT_STATUS_HELP
+    )
     return group.add_subparsers(title="commands", metavar="COMMAND", required=True)
 
 
-def _add_command(place: Any, name: str, command: Command) -> None:
-    parser = place.add_parser(
-        name, help=command.text, description=command.text, epilog=EXIT_TEXT
+def _add_command(parent: Any, name: str, command: Command) -> None:
+    parser = parent.add_parser(
+        name, help=command.summary, description=command.summary, epilog=EXIT_STATUS_HELP
     )
     for argument in command.arguments:
         parser.add_argument(*argument.flags, **argument.options)
--- a/primroseglade/cli/demo.py
+++ b/primroseglade/cli/demo.py
@@ -17,13 +17,15 @@
 @command("demo")
 async def run_demo(options: argparse.Namespace, environment: Environment) -> ExitStatus:
     """Run the demo and print its report."""
-    started = time.monotonic()
+    started_at = time.monotonic()
     console = Console(file=environment.stderr, highlight=False)
 
-    def tell(text: str) -> None:
-        console.print(f"{time.monotonic() - started:6.1f} s  {text}", markup=False)
+    def print_progress(text: str) -> None:
+        console.print(f"{time.monotonic() - started_at:6.1f} s  {text}", markup=False)
 
-    demo = Demo(DEPLOYMENTS[options.deployment], options.seconds, options.seed, tell)
+    demo = Demo(
+        DEPLOYMENTS[options.deployment], options.seconds, options.seed, print_progress
+    )
     with EventHandler(environment.stderr, "text").applicationbound():
         report = await demo.run()
     if options.json:
--- a/primroseglade/cli/explain.py
+++ b/primroseglade/cli/explain.py
@@ -8,18 +8,18 @@
 from ..environment import Environment
 from ..errors import PrimrosegladeError
 from ..exits import ExitStatus
-from ..observe.events import format_text
+from ..observe.events import format_entry
 from ..observe.explain import (
-    count_left_out,
+    count_dropped_lines,
     explain,
+    Explanation,
     LogLine,
     read_lines,
-    Story,
 )
 from .registry import command
 
 
-class NotLoggedError(PrimrosegladeError):
+class RequestNotLoggedError(PrimrosegladeError):
     """No line names the request."""
 
     status = ExitStatus.FAILURE
@@ -31,17 +31,17 @@
 ) -> ExitStatus:
     """Print what the logs tell of a request, and why it ended as it did."""
     lines = _read_logs(options.logs)
-    story = explain(options.request, lines)
-    if story is None:
-        raise NotLoggedError(
+    explanation = explain(options.request, lines)
+    if explanation is None:
+        raise RequestNotLoggedError(
             f"no line names request {options.request} among {len(lines)} events: "
             "it was served, did not come to these nodes, or is one of "
-            f"{count_left_out(lines)} lines that were left out"
+            f"{count_dropped_lines(lines)} lines that were left out"
         )
     if options.json:
-        environment.print(json.dumps(_describe(story)))
+        environment.print(json.dumps(_describe(explanation)))
     else:
-        _print(story, environment)
+        _print_explanation(explanation, environment)
     return ExitStatus.SUCCESS
 
 
@@ -53,18 +53,18 @@
         )
 
 
-def _describe(story: Story) -> dict[str, object]:
+def _describe(explanation: Explanation) -> dict[str, object]:
     return {
-        "request": story.request,
-        "lines": [line.fields for line in story.lines],
-        "context": [line.fields for line in story.context],
-        "cause": story.cause,
+        "request": explanation.request,
+        "lines": [line.fields for line in explanation.lines],
+        "context": [line.fields for line in explanation.context],
+        "cause": explanation.cause,
     }
 
 
-def _print(story: Story, environment: Environment) -> None:
-    for line in story.lines:
-        environment.print(format_text(line.fields))
-    for line in story.context:
-        environment.print(f"  beside it: {format_text(line.fields)}")
-    environment.print(story.cause)
+def _print_explanation(explanation: Explanation, environment: Environment) -> None:
+    for line in explanation.lines:
+        environment.print(format_entry(line.fields))
+    for line in explanation.context:
+        environment.print(f"  beside it: {format_entry(line.fields)}")
+    environment.print(explanation.cause)
--- a/primroseglade/cli/key.py
+++ b/primroseglade/cli/key.py
@@ -13,7 +13,9 @@
 
 
 @command("key")
-async def make_key(options: argparse.Namespace, environment: Environment) -> ExitStatus:
+async def generate_key(
+    options: argparse.Namespace, environment: Environment
+) -> ExitStatus:
     """Print a key for the workspace and a digest for the document."""
     key = secrets.token_urlsafe(KEY_BYTES)
     digest = digest_key(key)
--- a/primroseglade/cli/load.py
+++ b/primroseglade/cli/load.py
@@ -16,11 +16,11 @@
 from ..verdicts import Refusal
 from .registry import command
 
-LONGEST_US = 60_000_000
-DIGITS = 3
+MAX_LATENCY_US = 60_000_000
+SIGNIFICANT_DIGITS = 3
 
 
-class Load:
+class LoadGenerator:
     """Calls at a fixed rate; a late start counts as latency of the call.
 
     Args:
@@ -32,25 +32,25 @@
         self._client = client
         self._options = options
         self._outcomes: collections.Counter[str] = collections.Counter()
-        self._histogram = HdrHistogram(1, LONGEST_US, DIGITS)
+        self._histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     async def run(self) -> dict[str, Any]:
         """Send all calls, wait for all answers, and return the report."""
         options = self._options
         rng = random.Random(options.seed)
-        started = due = time.monotonic()
+        started_at = scheduled_at = time.monotonic()
         tasks: set[asyncio.Task[None]] = set()
-        while due < started + options.seconds:
-            due += rng.expovariate(options.rate)
-            await asyncio.sleep(max(0.0, due - time.monotonic()))
-            task = asyncio.create_task(self._call(due))
+        while scheduled_at < started_at + options.seconds:
+            scheduled_at += rng.expovariate(options.rate)
+            await asyncio.sleep(max(0.0, scheduled_at - time.monotonic()))
+            task = asyncio.create_task(self._call(scheduled_at))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
             await asyncio.wait(tasks)
-        return self._report(time.monotonic() - started)
+        return self._report(time.monotonic() - started_at)
 
-    async def _call(self, due: float) -> None:
+    async def _call(self, scheduled_at: float) -> None:
         options = self._options
         try:
             reply = await self._client.call(
@@ -62,12 +62,14 @@
         self._outcomes[outcome] += 1
         # From when the call was due, not from when it left: a caller that falls
         # behind must not make the service look quick.
-        self._histogram.record_value(max(1, int((time.monotonic() - due) * 1e6)))
+        self._histogram.record_value(
+            max(1, int((time.monotonic() - scheduled_at) * 1e6))
+        )
 
     def _report(self, seconds: float) -> dict[str, Any]:
         percentiles = {
-            f"p{share:g}": self._histogram.get_value_at_percentile(share) / 1000
-            for share in (50, 90, 99, 99.9)
+            f"p{percent:g}": self._histogram.get_value_at_percentile(percent) / 1000
+            for percent in (50, 90, 99, 99.9)
         }
         return {
             "seconds": round(seconds, 3),
@@ -82,7 +84,7 @@
     """Send calls and report."""
     nodes = options.nodes.split(",")
     async with Client(nodes, options.key, options.timeout) as client:
-        report = await Load(client, options).run()
+        report = await LoadGenerator(client, options).run()
     if options.json:
         environment.print(json.dumps(report))
         return ExitStatus.SUCCESS
--- a/primroseglade/cli/node.py
+++ b/primroseglade/cli/node.py
@@ -16,16 +16,16 @@
 async def run_node(options: argparse.Namespace, environment: Environment) -> ExitStatus:
     """Run a node until it is told to stop."""
     settings = load_node_settings(options.settings)
-    stopping = build_stop_event()
+    stop_requested = build_stop_event()
     with EventHandler(environment.stderr, settings.log.format).applicationbound():
-        await Node(settings).run(stopping)
+        await Node(settings).run(stop_requested)
     return ExitStatus.SUCCESS
 
 
 def build_stop_event() -> asyncio.Event:
     """Return an event that SIGTERM and SIGINT set."""
-    stopping = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
-    return stopping
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    return stop_requested
--- a/primroseglade/cli/registry.py
+++ b/primroseglade/cli/registry.py
@@ -6,21 +6,21 @@
 from ..environment import Environment
 from ..exits import ExitStatus
 
-Run = Callable[[argparse.Namespace, Environment], Awaitable[ExitStatus]]
+CommandFunction = Callable[[argparse.Namespace, Environment], Awaitable[ExitStatus]]
 
-_commands: dict[str, Run] = {}
+_commands: dict[str, CommandFunction] = {}
 
 
-def command(name: str) -> Callable[[Run], Run]:
+def command(name: str) -> Callable[[CommandFunction], CommandFunction]:
     """Register what the command of this name does."""
 
-    def register(run_command: Run) -> Run:
+    def register(run_command: CommandFunction) -> CommandFunction:
         _commands[name] = run_command
         return run_command
 
     return register
 
 
-def find_command(name: str) -> Run:
+def find_command(name: str) -> CommandFunction:
     """Return what the command of this name does."""
     return _commands[name]
--- a/primroseglade/cli/stand_in.py
+++ b/primroseglade/cli/stand_in.py
@@ -37,12 +37,12 @@
 
 
 async def _run_until_stopped(stand_in: LogStandIn | BackendStandIn) -> None:
-    stopping = build_stop_event()
-    running = asyncio.create_task(stand_in.run())
-    waiting = asyncio.create_task(stopping.wait())
-    await asyncio.wait({running, waiting}, return_when=asyncio.FIRST_COMPLETED)
-    if isinstance(stand_in, BackendStandIn) and not running.done():
+    stop_requested = build_stop_event()
+    run_task = asyncio.create_task(stand_in.run())
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait({run_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+    if isinstance(stand_in, BackendStandIn) and not run_task.done():
         await stand_in.drain()
     stand_in.stop()
-    waiting.cancel()
-    await running
+    stop_task.cancel()
+    await run_task
--- a/primroseglade/observe/decisions.py
+++ b/primroseglade/observe/decisions.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any
 
-DECISIONS_KEPT = 5000
+MAX_DECISIONS = 5000
 
 
 class Decision:
@@ -50,8 +50,10 @@
 class Decisions:
     """The last decisions of an instance."""
 
-    def __init__(self, kept: int = DECISIONS_KEPT) -> None:
-        self._recent: collections.deque[Decision] = collections.deque(maxlen=kept)
+    def __init__(self, max_decisions: int = MAX_DECISIONS) -> None:
+        self._recent: collections.deque[Decision] = collections.deque(
+            maxlen=max_decisions
+        )
 
     def add(self, decision: Decision) -> None:
         """Keep a decision and forget the oldest."""
--- a/primroseglade/observe/events.py
+++ b/primroseglade/observe/events.py
@@ -7,7 +7,7 @@
 
 import logbook
 
-EVENTS_KEPT = 500
+MAX_RECENT_EVENTS = 500
 
 LEVELS = {
     "debug": logbook.DEBUG,
@@ -293,9 +293,9 @@
     def __init__(self, instance: str, level: str = "info"):
         self._instance = instance
         self._logger = logbook.Logger("primroseglade")
-        self._least = LEVELS[level]
+        self._min_level = LEVELS[level]
         self._recent: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=EVENTS_KEPT
+            maxlen=MAX_RECENT_EVENTS
         )
 
     @property
@@ -311,7 +311,7 @@
             **fields: What to know about this one; never a key.
         """
         level = LEVELS[event.level]
-        if level < self._least:
+        if level < self._min_level:
             return
         entry = {
             "time": round(time.time(), 3),
@@ -324,25 +324,25 @@
         self._logger.log(level, event.text, extra={"entry": entry})
 
 
-def format_text(entry: dict[str, Any]) -> str:
+def format_entry(entry: dict[str, Any]) -> str:
     """Return an event as one line for people.
 
-    >>> format_text({"time": 0, "event": 101, "level": "info", "text": "node started",
+    >>> format_entry({"time": 0, "event": 101, "level": "info", "text": "node started",
     ...     "instance": "a", "zone": "z"})
     '1970-01-01T00:00:00.000Z info  101 node started instance=a zone=z'
     """
-    seconds = time.gmtime(entry["time"])
+    utc_time = time.gmtime(entry["time"])
     milliseconds = int(entry["time"] % 1 * 1000)
-    stamp = time.strftime("%Y-%m-%dT%H:%M:%S", seconds) + f".{milliseconds:03d}Z"
-    skipped = ("time", "event", "level", "text")
+    timestamp = time.strftime("%Y-%m-%dT%H:%M:%S", utc_time) + f".{milliseconds:03d}Z"
+    prefix_fields = ("time", "event", "level", "text")
     fields = [
         f"{name}={json.dumps(value) if _needs_quotes(value) else value}"
         for name, value in entry.items()
-        if name not in skipped
+        if name not in prefix_fields
     ]
     level, text = entry.get("level", ""), entry.get("text", "")
-    head = f"{stamp} {level:<5} {entry['event']} {text}"
-    return " ".join([head, *fields])
+    prefix = f"{timestamp} {level:<5} {entry['event']} {text}"
+    return " ".join([prefix, *fields])
 
 
 def _needs_quotes(value: Any) -> bool:
@@ -359,10 +359,10 @@
         form: ``text`` or ``json``.
     """
 
-    def __init__(self, stream: TextIO, form: str = "text"):
+    def __init__(self, stream: TextIO, output_format: str = "text"):
         super().__init__(level=logbook.DEBUG, bubble=False)
         self._stream = stream
-        self._form = form
+        self._output_format = output_format
 
     def emit(self, record: logbook.LogRecord) -> None:
         """Write one record."""
@@ -372,6 +372,8 @@
             "level": record.level_name.lower(),
             "text": record.message,
         }
-        line = json.dumps(entry) if self._form == "json" else format_text(entry)
+        line = (
+            json.dumps(entry) if self._output_format == "json" else format_entry(entry)
+        )
         self._stream.write(line + "\n")
         self._stream.flush()
--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -22,9 +22,9 @@
 )
 
 # Levels are told once a second while there are any; one step more for a slow writer.
-NEAR_SECONDS = 2.0
+CONTEXT_WINDOW_SECONDS = 2.0
 # Lines that name a request, in the order in which they happen to it.
-ORDER = (
+EVENT_ORDER = (
     CALL_REPEATED.number,
     CALL_FAILED.number,
     CALL_REFUSED.number,
@@ -64,7 +64,7 @@
         return self.fields.get(name, default)
 
 
-class Story:
+class Explanation:
     """What the logs tell of a request.
 
     Args:
@@ -112,105 +112,112 @@
     return [line for line in parsed if line is not None]
 
 
-def explain(request: str, lines: list[LogLine]) -> Story | None:
+def explain(request: str, lines: list[LogLine]) -> Explanation | None:
     """Return the story of a request; None where no line names it."""
-    own = [line for line in lines if line.get("request") == request]
-    if not own:
+    request_lines = [line for line in lines if line.get("request") == request]
+    if not request_lines:
         return None
-    own.sort(key=_rank)
-    last = own[-1]
-    around = [
+    request_lines.sort(key=_get_sort_key)
+    last = request_lines[-1]
+    nearby = [
         line
         for line in lines
         if line.instance == last.instance
-        and abs(line.time - last.time) <= NEAR_SECONDS
+        and abs(line.time - last.time) <= CONTEXT_WINDOW_SECONDS
         and "request" not in line.fields
     ]
-    find_cause = _causes.get((last.number, str(last.get("reason"))))
-    find_cause = find_cause or _causes.get((last.number, ""), _say_event)
-    context, cause = find_cause(last, around, lines)
-    return Story(request, own, context, cause)
+    find_cause = _cause_finders.get((last.number, str(last.get("reason"))))
+    find_cause = find_cause or _cause_finders.get((last.number, ""), _explain_other)
+    context, cause = find_cause(last, nearby, lines)
+    return Explanation(request, request_lines, context, cause)
 
 
 Cause = tuple[list[LogLine], str]
-FindCause = Callable[[LogLine, list[LogLine], list[LogLine]], Cause]
+CauseFinder = Callable[[LogLine, list[LogLine], list[LogLine]], Cause]
 
-_causes: dict[tuple[int, str], FindCause] = {}
+_cause_finders: dict[tuple[int, str], CauseFinder] = {}
 
 
-def _explains(number: int, *reasons: str) -> Callable[[FindCause], FindCause]:
+def _finds_cause_of(number: int, *reasons: str) -> Callable[[CauseFinder], CauseFinder]:
     """Register what finds the cause behind an event, for some of its reasons."""
 
-    def register(find_cause: FindCause) -> FindCause:
+    def register(find_cause: CauseFinder) -> CauseFinder:
         for reason in reasons or ("",):
-            _causes[number, reason] = find_cause
+            _cause_finders[number, reason] = find_cause
         return find_cause
 
     return register
 
 
-@_explains(CALL_REFUSED.number, "overloaded")
+@_finds_cause_of(CALL_REFUSED.number, "overloaded")
 def _explain_overload(
-    last: LogLine, around: list[LogLine], lines: list[LogLine]
+    last: LogLine, nearby: list[LogLine], lines: list[LogLine]
 ) -> Cause:
-    told = [line for line in around if line.number == LEVELS_SET.number]
-    if not told:
+    level_lines = [line for line in nearby if line.number == LEVELS_SET.number]
+    if not level_lines:
         return [], f"The request was refused as overloaded: {last.get('detail')}."
-    nearest = min(told, key=lambda line: abs(line.time - last.time))
+    nearest = min(level_lines, key=lambda line: abs(line.time - last.time))
     levels = nearest.get("levels", {})
-    pressure = nearest.get("pressure", {})
+    calls_per_slot = nearest.get("pressure", {})
     # The service whose level is lowest is the one that admission went by.
     service = min(levels, key=levels.__getitem__, default="")
     text = (
         f"It was refused where it entered: service {service} had "
-        f"{pressure.get(service, '?')} calls for each slot, and "
+        f"{calls_per_slot.get(service, '?')} calls for each slot, and "
         f"{levels.get(service, '?')} of the demand for it was let through."
     )
     return [nearest], text
 
 
-@_explains(CALL_REFUSED.number, "rate-exceeded")
-def _explain_rate(last: LogLine, around: list[LogLine], lines: list[LogLine]) -> Cause:
+@_finds_cause_of(CALL_REFUSED.number, "rate-exceeded")
+def _explain_rate(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     version = last.get("policy", 0)
-    told = _find_policy(last, version, lines)
-    since = f" since version {version}" if told else f" under version {version}"
-    if told:
-        since += f", in force there for {last.time - told[0].time:.1f} s"
-    return told, f"Its workspace was over its rate{since}: {last.get('detail')}."
+    policy_lines = _find_policy(last, version, lines)
+    version_text = (
+        f" since version {version}" if policy_lines else f" under version {version}"
+    )
+    if policy_lines:
+        version_text += f", in force there for {last.time - policy_lines[0].time:.1f} s"
+    return (
+        policy_lines,
+        f"Its workspace was over its rate{version_text}: {last.get('detail')}.",
+    )
 
 
-@_explains(CALL_REFUSED.number, "key-unknown", "service-unknown", "key-missing")
+@_finds_cause_of(CALL_REFUSED.number, "key-unknown", "service-unknown", "key-missing")
 def _explain_unknown(
-    last: LogLine, around: list[LogLine], lines: list[LogLine]
+    last: LogLine, nearby: list[LogLine], lines: list[LogLine]
 ) -> Cause:
     version = last.get("policy", 0)
     text = f"Version {version} of the configuration does not allow it"
-    told = _find_policy(last, version, lines)
-    return told, f"{text}: {last.get('detail')}."
+    policy_lines = _find_policy(last, version, lines)
+    return policy_lines, f"{text}: {last.get('detail')}."
 
 
-@_explains(CALL_REFUSED.number, "configuration-stale", "configuration-missing")
-def _explain_stale(last: LogLine, around: list[LogLine], lines: list[LogLine]) -> Cause:
+@_finds_cause_of(CALL_REFUSED.number, "configuration-stale", "configuration-missing")
+def _explain_stale(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     return [], (
         f"The node could not know whether its key still holds: {last.get('detail')}. "
         "Neither the platform's store nor another node told it."
     )
 
 
-@_explains(CALL_REFUSED.number, "connection-lost", "deadline-exceeded", "answer-broken")
-def _explain_loss(last: LogLine, around: list[LogLine], lines: list[LogLine]) -> Cause:
-    lost = [line for line in around if line.number == PEER_LOST.number]
-    names = ", ".join(sorted({str(line.get("peer")) for line in lost}))
+@_finds_cause_of(
+    CALL_REFUSED.number, "connection-lost", "deadline-exceeded", "answer-broken"
+)
+def _explain_loss(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
+    lost_lines = [line for line in nearby if line.number == PEER_LOST.number]
+    peers = ", ".join(sorted({str(line.get("peer")) for line in lost_lines}))
     text = f"No whole answer came: {last.get('detail')}"
-    if names:
-        text += f"; streams to {names} were lost at that time"
-    ran = "may have run" if last.get("verdict") != "not run" else "did not run"
-    return lost, f"{text}. The request {ran}."
+    if peers:
+        text += f"; streams to {peers} were lost at that time"
+    outcome = "may have run" if last.get("verdict") != "not run" else "did not run"
+    return lost_lines, f"{text}. The request {outcome}."
 
 
-@_explains(CALL_ANSWERED.number)
+@_finds_cause_of(CALL_ANSWERED.number)
 def _explain_failure(
-    last: LogLine, around: list[LogLine], lines: list[LogLine]
+    last: LogLine, nearby: list[LogLine], lines: list[LogLine]
 ) -> Cause:
     text = (
         f"The backend server beside {last.get('node')} answered "
@@ -219,7 +226,7 @@
     return [], f"{text} after {last.get('seconds')} s."
 
 
-def _say_event(last: LogLine, around: list[LogLine], lines: list[LogLine]) -> Cause:
+def _explain_other(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     event = CATALOGUE.get(last.number)
     meaning = event.meaning if event is not None else "The event is not known."
     detail = last.get("detail") or last.get("error") or last.get("reason")
@@ -238,7 +245,7 @@
     ][-1:]
 
 
-def count_left_out(lines: Iterable[LogLine]) -> int:
+def count_dropped_lines(lines: Iterable[LogLine]) -> int:
     """Return how many lines the nodes did not write, so that an id may be missing."""
     return sum(
         sum(line.get("counts", {}).values())
@@ -247,6 +254,6 @@
     )
 
 
-def _rank(line: LogLine) -> tuple[int, float]:
-    place = ORDER.index(line.number) if line.number in ORDER else -1
-    return place, line.time
+def _get_sort_key(line: LogLine) -> tuple[int, float]:
+    position = EVENT_ORDER.index(line.number) if line.number in EVENT_ORDER else -1
+    return position, line.time
--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -11,10 +11,10 @@
 
 # Lines of one event that are written in a second; the rest is counted. A day of
 # refusals would otherwise cost more processor time than the requests.
-LINES_A_SECOND = 20
+MAX_LINES_PER_SECOND = 20
 # Bytes that may wait for a reader that is slow or has stopped.
-BUFFERED_BYTES = 256 * 1024
-FLUSH_SECONDS = 0.1
+MAX_BUFFERED_BYTES = 256 * 1024
+FLUSH_DELAY_SECONDS = 0.1
 
 
 class LineHandler(logbook.Handler):
@@ -31,8 +31,8 @@
         self._buffer = bytearray()
         self._second = 0
         self._written: collections.Counter[int] = collections.Counter()
-        self._left_out: collections.Counter[int] = collections.Counter()
-        self._flushing = False
+        self._dropped: collections.Counter[int] = collections.Counter()
+        self._flush_scheduled = False
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
@@ -43,32 +43,32 @@
         if second != self._second:
             self._start_second(second)
         self._written[number] += 1
-        if self._written[number] > LINES_A_SECOND:
-            self._left_out[number] += 1
+        if self._written[number] > MAX_LINES_PER_SECOND:
+            self._dropped[number] += 1
             return
         self._append(entry)
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        self._flushing = False
+        self._flush_scheduled = False
         while self._buffer:
             try:
-                count = os.write(self._descriptor, self._buffer[: 64 * 1024])
+                written_bytes = os.write(self._descriptor, self._buffer[: 64 * 1024])
             except BlockingIOError:
-                self._schedule()
+                self._schedule_flush()
                 return
             except OSError:
                 # Nobody reads any more. There is no other place to tell it.
                 self._buffer.clear()
                 return
-            del self._buffer[:count]
+            del self._buffer[:written_bytes]
 
     def _start_second(self, second: int) -> None:
         self._second = second
         self._written.clear()
-        if self._left_out:
-            counts = {str(number): n for number, n in self._left_out.items()}
-            self._left_out.clear()
+        if self._dropped:
+            counts = {str(number): n for number, n in self._dropped.items()}
+            self._dropped.clear()
             self._append(
                 {
                     "time": second,
@@ -80,19 +80,19 @@
             )
 
     def _append(self, entry: dict[str, object]) -> None:
-        if len(self._buffer) > BUFFERED_BYTES:
-            self._left_out[int(str(entry["event"]))] += 1
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            self._dropped[int(str(entry["event"]))] += 1
             return
         self._buffer += self._encode(entry) + b"\n"
-        self._schedule()
+        self._schedule_flush()
 
-    def _schedule(self) -> None:
-        if self._flushing:
+    def _schedule_flush(self) -> None:
+        if self._flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._flushing = True
-        loop.call_later(FLUSH_SECONDS, self.flush)
+        self._flush_scheduled = True
+        loop.call_later(FLUSH_DELAY_SECONDS, self.flush)
--- a/primroseglade/observe/metrics.py
+++ b/primroseglade/observe/metrics.py
@@ -3,7 +3,7 @@
 import prometheus_client
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram
 
-SECONDS = (
+LATENCY_BUCKETS_SECONDS = (
     0.0005,
     0.001,
     0.002,
@@ -35,7 +35,7 @@
             "primroseglade_call_seconds",
             "Time from a call's head to the end of its answer.",
             ["listener"],
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self.relayed = self._counter("relayed_total", "Calls sent to another node.")
@@ -51,7 +51,7 @@
         self.queue_seconds = Histogram(
             "primroseglade_queue_seconds",
             "Wait in the admission queue.",
-            buckets=SECONDS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self.in_flight = self._gauge(
@@ -104,13 +104,15 @@
         ]
 
     def _counter(
-        self, name: str, text: str, labels: list[str] | None = None
+        self, name: str, help_text: str, labels: list[str] | None = None
     ) -> Counter:
         return Counter(
-            f"primroseglade_{name}", text, labels or [], registry=self._registry
+            f"primroseglade_{name}", help_text, labels or [], registry=self._registry
         )
 
-    def _gauge(self, name: str, text: str, labels: list[str] | None = None) -> Gauge:
+    def _gauge(
+        self, name: str, help_text: str, labels: list[str] | None = None
+    ) -> Gauge:
         return Gauge(
-            f"primroseglade_{name}", text, labels or [], registry=self._registry
+            f"primroseglade_{name}", help_text, labels or [], registry=self._registry
         )
--- a/primroseglade/observe/traces.py
+++ b/primroseglade/observe/traces.py
@@ -14,7 +14,7 @@
 
 from ..verdicts import Refusal
 
-SAMPLED = 0x01
+SAMPLED_FLAG = 0x01
 TRACEPARENT_LENGTH = 55
 
 
@@ -50,7 +50,7 @@
         return None
     if not all(ids) or parts[0] == "ff":
         return None
-    return TraceParent(parts[1], parts[2], bool(flags & SAMPLED))
+    return TraceParent(parts[1], parts[2], bool(flags & SAMPLED_FLAG))
 
 
 def generate_trace_id() -> str:
@@ -63,11 +63,13 @@
     return f"{random.getrandbits(64) or 1:016x}"
 
 
-class _Recent(SpanProcessor):
+class _RecentSpans(SpanProcessor):
     """Keeps the last spans for the operator address; nothing is sent elsewhere."""
 
-    def __init__(self, kept: int):
-        self.spans: collections.deque[ReadableSpan] = collections.deque(maxlen=kept)
+    def __init__(self, max_spans: int):
+        self.spans: collections.deque[ReadableSpan] = collections.deque(
+            maxlen=max_spans
+        )
 
     def on_end(self, span: ReadableSpan) -> None:
         self.spans.append(span)
@@ -82,9 +84,9 @@
         kept: How many spans are kept.
     """
 
-    def __init__(self, instance: str, sampled: float, kept: int):
-        self._sampled = sampled
-        self._recent = _Recent(kept)
+    def __init__(self, instance: str, sample_ratio: float, max_spans: int):
+        self._sample_ratio = sample_ratio
+        self._recent = _RecentSpans(max_spans)
         resource = Resource.create({"service.instance.id": instance})
         provider = TracerProvider(sampler=ALWAYS_ON, resource=resource)
         provider.add_span_processor(self._recent)
@@ -92,7 +94,7 @@
 
     def sample(self) -> bool:
         """Decide whether a root call is traced."""
-        return random.random() < self._sampled
+        return random.random() < self._sample_ratio
 
     def start(self, name: str, parent: TraceParent) -> Span | None:
         """Start a span, or return None for a call that is not traced.
@@ -106,10 +108,10 @@
             trace_id=int(parent.trace, 16),
             span_id=int(parent.parent, 16),
             is_remote=True,
-            trace_flags=TraceFlags(SAMPLED),
+            trace_flags=TraceFlags(SAMPLED_FLAG),
         )
-        around = trace.set_span_in_context(NonRecordingSpan(context))
-        return self._tracer.start_span(name, context=around)
+        parent_context = trace.set_span_in_context(NonRecordingSpan(context))
+        return self._tracer.start_span(name, context=parent_context)
 
     @contextlib.contextmanager
     def trace(self, name: str, parent: TraceParent, workspace: str) -> Iterator[str]:
--- a/primroseglade/settings/reader.py
+++ b/primroseglade/settings/reader.py
@@ -11,15 +11,15 @@
 from ..addresses import parse_address
 from ..errors import InputError
 
-formats = FormatChecker(formats=())
+_format_checker = FormatChecker(formats=())
 
 
-@formats.checks("address", raises=ValueError)
+@_format_checker.checks("address", raises=ValueError)
 def _is_address(value: Any) -> bool:
     return not isinstance(value, str) or bool(parse_address(value))
 
 
-@formats.checks("network", raises=ValueError)
+@_format_checker.checks("network", raises=ValueError)
 def _is_network(value: Any) -> bool:
     return not isinstance(value, str) or bool(ipaddress.ip_network(value))
 
@@ -50,26 +50,26 @@
         InputError: The text is not JSON, or an object names a field twice.
     """
 
-    def refuse_repeats(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         fields = dict(pairs)
         if len(fields) != len(pairs):
             names = [name for name, _ in pairs]
-            twice = next(name for name in names if names.count(name) > 1)
-            raise InputError(source, "", f"field {twice!r} stands twice")
+            duplicate = next(name for name in names if names.count(name) > 1)
+            raise InputError(source, "", f"field {duplicate!r} stands twice")
         return fields
 
     try:
-        return jsonc.loads(text, object_pairs_hook=refuse_repeats)
+        return jsonc.loads(text, object_pairs_hook=reject_duplicates)
     except jsonc.JSONDecodeError as error:
-        place = f"line {error.lineno} column {error.colno}"
-        raise InputError(source, "", f"not JSON: {error.msg} at {place}") from error
+        position = f"line {error.lineno} column {error.colno}"
+        raise InputError(source, "", f"not JSON: {error.msg} at {position}") from error
     except RecursionError as error:
         raise InputError(source, "", "is nested too deeply") from error
 
 
 def build_validator(schema: dict[str, Any]) -> Draft202012Validator:
     """Build a validator that knows the formats ``address`` and ``network``."""
-    return Draft202012Validator(schema, format_checker=formats)
+    return Draft202012Validator(schema, format_checker=_format_checker)
 
 
 def check(value: Any, validator: Draft202012Validator, source: str) -> None:
@@ -127,6 +127,6 @@
         return "one of " + ", ".join(known)
     if error.validator == "required":
         return "required: " + ", ".join(error.validator_value)
-    described = error.schema.get("description", "")
+    description = error.schema.get("description", "")
     rule = f"{error.validator} {error.validator_value}"
-    return f"{described.rstrip('.')}; {rule}" if described else rule
+    return f"{description.rstrip('.')}; {rule}" if description else rule
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -24,7 +24,7 @@
     return str(path)
 
 
-def refuse(reason: str, **fields: object) -> dict:
+def build_refused_line(reason: str, **fields: object) -> dict:
     """Return the line of a refused request."""
     return {
         "time": 100.0,
@@ -38,7 +38,7 @@
     } | fields
 
 
-LEVELS = {
+LEVELS_LINE = {
     "time": 100.4,
     "event": 505,
     "level": "info",
@@ -53,8 +53,10 @@
     """A caller was refused within its rate; the service that was short of room is
     three calls away, and only the node's levels name it.
     """
-    elsewhere = LEVELS | {"instance": "node-2", "levels": {"other": 0.1}}
-    log = write_log(tmp_path / "log", elsewhere, refuse("overloaded"), LEVELS)
+    elsewhere = LEVELS_LINE | {"instance": "node-2", "levels": {"other": 0.1}}
+    log = write_log(
+        tmp_path / "log", elsewhere, build_refused_line("overloaded"), LEVELS_LINE
+    )
     status, out, _ = run("r1", log)
     assert status is ExitStatus.SUCCESS
     cause = out.splitlines()[-1]
@@ -65,7 +67,9 @@
 def test_a_rate_names_the_version_that_set_it(tmp_path):
     """An operator lowered a rate; the version and its age at that node tell so."""
     policy = {"time": 96.0, "event": 230, "instance": "node-1", "version": 16}
-    line = refuse("rate-exceeded", detail="north is over its rate", policy=16)
+    line = build_refused_line(
+        "rate-exceeded", detail="north is over its rate", policy=16
+    )
     _, out, _ = run("r1", write_log(tmp_path / "log", policy, line))
     cause = out.splitlines()[-1]
     assert "version 16, in force there for 4.0 s: north is over its rate" in cause
@@ -91,16 +95,16 @@
     first = write_log(tmp_path / "a", again, answered)
     second = write_log(tmp_path / "b", failed)
     _, out, _ = run("r1", first, second, "--json")
-    story = json.loads(out)
-    assert [line["event"] for line in story["lines"]] == [503, 502, 504]
-    assert "node-3 answered 500" in story["cause"]
+    explanation = json.loads(out)
+    assert [line["event"] for line in explanation["lines"]] == [503, 502, 504]
+    assert "node-3 answered 500" in explanation["cause"]
 
 
 @pytest.mark.parametrize("reason", ["connection-lost", "deadline-exceeded"])
 def test_silence_names_the_streams_lost_then(tmp_path, reason: str):
     """A node was cut off; the request was on its way there."""
     lost = {"time": 101.5, "event": 352, "instance": "node-1", "peer": "node-9"}
-    line = refuse(reason, verdict="may have run", detail="no answer")
+    line = build_refused_line(reason, verdict="may have run", detail="no answer")
     _, out, _ = run("r1", write_log(tmp_path / "log", line, lost))
     cause = out.splitlines()[-1]
     assert "streams to node-9 were lost" in cause
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -5,41 +5,45 @@
 import os
 
 from primroseglade.observe.events import CALL_REFUSED, Journal, LINES_DROPPED
-from primroseglade.observe.lines import BUFFERED_BYTES, LineHandler, LINES_A_SECOND
+from primroseglade.observe.lines import (
+    LineHandler,
+    MAX_BUFFERED_BYTES,
+    MAX_LINES_PER_SECOND,
+)
 
 
 async def test_a_reader_that_stops_does_not_stop_the_node():
     """Nodes hung when what collected their logs did not read: standard output was
     full, and each write waited. Lines are dropped instead, and their number is told.
     """
-    reading, writing = os.pipe()
-    handler = LineHandler(writing)
+    read_end, write_end = os.pipe()
+    handler = LineHandler(write_end)
     journal = Journal("node-1", "debug")
     with handler.applicationbound():
         for number in range(5000):
             journal.emit(CALL_REFUSED, request=f"r{number}", text_of_it="x" * 500)
     await asyncio.sleep(0.2)
-    assert len(handler._buffer) < 2 * BUFFERED_BYTES
-    os.close(reading)
-    os.close(writing)
+    assert len(handler._buffer) < 2 * MAX_BUFFERED_BYTES
+    os.close(read_end)
+    os.close(write_end)
 
 
 async def test_many_lines_of_one_event_are_counted(monkeypatch):
     """What is left out in a second is said in the next."""
-    reading, writing = os.pipe()
-    handler = LineHandler(writing)
+    read_end, write_end = os.pipe()
+    handler = LineHandler(write_end)
     journal = Journal("node-1", "debug")
     clock = [100.0]
     monkeypatch.setattr("primroseglade.observe.events.time.time", lambda: clock[0])
     with handler.applicationbound():
-        for number in range(LINES_A_SECOND + 7):
+        for number in range(MAX_LINES_PER_SECOND + 7):
             journal.emit(CALL_REFUSED, request=f"r{number}")
         clock[0] = 101.0
         journal.emit(CALL_REFUSED, request="last")
     handler.flush()
-    lines = [json.loads(line) for line in os.read(reading, 1 << 20).splitlines()]
+    lines = [json.loads(line) for line in os.read(read_end, 1 << 20).splitlines()]
     counted = [line for line in lines if line["event"] == LINES_DROPPED.number]
     assert [line["counts"] for line in counted] == [{str(CALL_REFUSED.number): 7}]
     assert lines[-1]["request"] == "last"
-    os.close(reading)
-    os.close(writing)
+    os.close(read_end)
+    os.close(write_end)
