--- a/primroseglade/observe/__init__.py
+++ b/primroseglade/observe/__init__.py
@@ -1,1 +1,1 @@
-"""What a process tells of itself: numbered events, metrics, traces, decisions."""
+"""Observability of a process: numbered events, metrics, traces and decisions."""
--- a/primroseglade/observe/decisions.py
+++ b/primroseglade/observe/decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on refused and slow calls, kept so that an operator can look them up."""
+"""Decisions on refused and slow calls, kept for look-up by an operator."""
 
 import collections
 import time
@@ -8,19 +8,19 @@
 
 
 class Decision:
-    """What an instance decided about one call.
+    """What an instance decided about one call, and under which configuration.
 
     Args:
         trace: Trace id of the root call, in hex.
-        listener: Where the call came in.
-        service: The service it asked for.
-        workspace: Whose call it was, empty where that was not known.
+        listener: Name of the listener that received the call.
+        service: Requested service.
+        workspace: Workspace of the caller, empty if it is not known.
         outcome: A refusal's reason code, or ``served``.
-        verdict: Whether it may have run.
-        detail: Why.
-        instance: The instance that decided.
-        next_offset: The configuration that was in force, as an offset.
-        seconds: How long the call took here.
+        verdict: Whether the call ran, may have run or did not run.
+        detail: Explanation of the outcome.
+        instance: Instance that decided.
+        next_offset: Offset that follows the last configuration record in force.
+        seconds: Time that the call took at this instance.
     """
 
     __slots__ = (
@@ -43,12 +43,12 @@
             setattr(self, name, value)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return the decision for JSON."""
+        """Return the decision as a JSON object."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 class Decisions:
-    """The last decisions of an instance."""
+    """The last ``max_decisions`` decisions of an instance."""
 
     def __init__(self, max_decisions: int = MAX_DECISIONS) -> None:
         self._recent: collections.deque[Decision] = collections.deque(
@@ -56,14 +56,14 @@
         )
 
     def add(self, decision: Decision) -> None:
-        """Keep a decision and forget the oldest."""
+        """Add a decision and evict the oldest if there are too many."""
         self._recent.append(decision)
 
     def find(self, trace_id: str) -> list[dict[str, Any]]:
-        """Return the decisions on the calls of a trace, oldest first."""
+        """Return the decisions on calls of a trace, oldest first."""
         return [item.to_dict() for item in self._recent if item.trace == trace_id]
 
     def get_last(self, count: int) -> list[dict[str, Any]]:
-        """Return the last decisions, newest first."""
+        """Return the last ``count`` decisions, newest first."""
         newest = list(self._recent)[-count:]
         return [item.to_dict() for item in reversed(newest)]
--- a/primroseglade/observe/events.py
+++ b/primroseglade/observe/events.py
@@ -1,4 +1,4 @@
-"""Numbered events: the catalogue, and the journal that writes and keeps them."""
+"""Numbered events: their catalog, and the journal that logs and keeps them."""
 
 import collections
 import json
@@ -21,10 +21,10 @@
     """One kind of event.
 
     Args:
-        number: Stable number; never used again for another kind.
+        number: Stable number; never reused for another kind.
         level: ``debug``, ``info``, ``warning`` or ``error``.
         text: What happened, in a few words.
-        meaning: What an operator should make of it.
+        meaning: What it means to an operator.
     """
 
     __slots__ = ("level", "meaning", "number", "text")
@@ -41,7 +41,7 @@
 
 def _define(number: int, level: str, text: str, meaning: str) -> Event:
     if number in CATALOGUE:
-        raise ValueError(f"event number {number} is taken")
+        raise ValueError(f"event number {number} is already defined")
     CATALOGUE[number] = Event(number, level, text, meaning)
     return CATALOGUE[number]
 
@@ -52,22 +52,22 @@
     102,
     "info",
     "node stopping",
-    "A planned stop: the fleet was told, new work goes elsewhere.",
+    "A planned stop: other nodes are notified and send new calls elsewhere.",
 )
 NODE_STOPPED = _define(
-    103, "info", "node stopped", "Calls in flight were answered before."
+    103, "info", "node stopped", "Calls in flight were given time to finish."
 )
 SETTINGS_CHANGED = _define(
     104,
     "info",
-    "settings were said to have changed",
-    "What names addresses is taken at the next start.",
+    "settings change signaled",
+    "Changed addresses take effect at the next start.",
 )
 TASK_FAILED = _define(
     110,
     "error",
-    "task failed and is started again",
-    "A fault in the program; the field error says which. Report it.",
+    "task failed and is restarted",
+    "A bug in the program; the field error gives the exception. Report it.",
 )
 TASK_GIVEN_UP = _define(
     111,
@@ -89,49 +89,52 @@
 LOG_LOST = _define(
     210,
     "warning",
-    "log does not answer",
-    "The instance goes on with the configuration it has, and asks again.",
+    "configuration log unavailable",
+    "The instance keeps the configuration it has and retries.",
+)
+LOG_BACK = _define(
+    211, "info", "configuration log available again", "No action is needed."
 )
-LOG_BACK = _define(211, "info", "log answers again", "Nothing is to be done.")
 SNAPSHOT_LOADED = _define(
     220,
     "info",
-    "state taken from a snapshot",
-    "The start of the stream was no longer kept, or a peer gave its state.",
+    "configuration loaded from a snapshot",
+    "The log no longer has its first records, or another node sent its configuration.",
 )
 SNAPSHOT_WRITTEN = _define(
-    221, "info", "snapshot written", "The stream before it may be forgotten."
+    221, "info", "snapshot written", "Log records before it may be deleted."
 )
 SNAPSHOT_REFUSED = _define(
     222,
     "error",
     "snapshot refused",
-    "A snapshot does not carry the fleet's signature: someone else wrote it.",
+    "The snapshot does not carry the fleet's signature: someone else wrote it.",
 )
 STATE_UNREACHABLE = _define(
     223,
     "error",
-    "records were forgotten before they were folded",
-    "Neither the log nor a peer gives the state. Calls are refused as not run.",
+    "configuration records deleted before they were applied",
+    "Neither the log nor another node has the whole configuration. Calls are refused "
+    "as not run.",
 )
 
 POLICY_IN_FORCE = _define(
     230,
     "info",
     "configuration in force",
-    "This version decides from now on; the field source says where it came from.",
+    "This version applies from now on; the field source says where it came from.",
 )
 STORE_WRITE_FAILED = _define(
     231,
     "warning",
-    "call to the platform's store failed",
-    "The field what says which; it is repeated until the store answers.",
+    "request to the platform's store failed",
+    "The field what names the data; the request is repeated until the store answers.",
 )
 
 # 3xx: membership and messages between nodes.
-MEMBER_JOINED = _define(301, "info", "member joined", "A node was heard of first.")
+MEMBER_JOINED = _define(301, "info", "member joined", "First contact with a node.")
 MEMBER_SUSPECT = _define(
-    302, "info", "member suspect", "It did not answer directly nor through others."
+    302, "info", "member suspect", "It answered neither direct nor indirect probes."
 )
 MEMBER_DEAD = _define(
     303, "warning", "member dead", "It did not refute the suspicion in time."
@@ -141,153 +144,159 @@
     305,
     "warning",
     "suspicion of this instance refuted",
-    "Others could not reach it for a while: look for pauses or a bad link.",
+    "Other nodes could not reach it for a while: look for pauses or a bad link.",
 )
 MESSAGE_REFUSED = _define(
     310,
     "warning",
     "message refused",
-    "A message without the fleet's secret, replayed, late or malformed.",
+    "It was not sealed with the fleet secret, or was replayed, late or malformed.",
 )
 BACKEND_ANNOUNCED = _define(
-    320, "info", "backend server announced", "It takes calls from now on."
+    320, "info", "backend server announced", "It receives calls from now on."
 )
 BACKEND_REFUSED = _define(
     321,
     "warning",
     "backend server not trusted",
-    "The document trusts no such backend server for that service.",
+    "The document trusts no backend server at this address for the service.",
 )
 BACKEND_DRAINING = _define(
-    322, "info", "backend server draining", "It gets no new calls."
+    322, "info", "backend server draining", "It receives no new calls."
 )
 BACKEND_WITHDRAWN = _define(
-    323, "warning", "backend server withdrawn", "A recall or an edit took its trust."
+    323, "warning", "backend server withdrawn", "A recall or an edit revoked its trust."
 )
 BACKEND_GONE = _define(
     325,
     "warning",
-    "backend server gone",
-    "Nobody listens at its address; it gets no calls until it reports again.",
+    "backend server unavailable",
+    "Nothing listens at its address; it receives no calls until it reports again.",
 )
 BACKEND_SILENT = _define(
     324,
     "warning",
-    "connection to the backend server went silent",
-    "No first byte in time while a new connection answers; idle ones were closed.",
+    "connection to the backend server unresponsive",
+    "No first byte in time, though a new connection is answered; idle ones were "
+    "closed.",
 )
 PEER_EJECTED = _define(
     330,
     "info",
     "peer ejected for a while",
-    "Calls relayed to it failed; it is tried again after the time given.",
+    "Calls relayed to it failed; it is tried again after the seconds given.",
 )
 BACKEND_REPORT_REFUSED = _define(
     340,
     "warning",
     "status report refused",
-    "It is malformed or of another service; the backend server in use stays.",
+    "It is malformed or from another service; the backend server in use stays.",
 )
 PEER_LEARNT = _define(
-    350, "info", "node learnt of", "A stream to it is opened and kept."
+    350, "info", "node discovered", "A stream to it is opened and kept open."
 )
 PEER_CONNECTED = _define(
-    351, "info", "stream to a node open", "Calls can be sent to it."
+    351, "info", "stream to a node opened", "Calls can be sent to it."
 )
 PEER_LOST = _define(
     352,
     "warning",
     "stream to a node lost",
-    "Calls under way on it may have run; those that may run twice go elsewhere.",
+    "Calls in flight on it may have run; those that are safe to repeat are retried.",
 )
 PEER_FORGOTTEN = _define(
-    353, "info", "node forgotten", "It could not be reached for long."
+    353, "info", "node removed", "It could not be reached for too long."
 )
 PEER_UNREACHABLE = _define(
     354,
     "warning",
-    "node cannot be reached",
-    "No stream to it opened; it is tried again until it is forgotten. Told once.",
+    "node unreachable",
+    "No stream to it could be opened; it is retried until it is removed. Logged once.",
 )
 PEER_SILENT = _define(
     355,
     "warning",
-    "node did not answer a question",
-    "The field what says which; it is asked again with the next heartbeat.",
+    "node did not answer a request",
+    "The field what names the data; it is requested again with the next heartbeat.",
 )
 ENTRY_UNREADABLE = _define(
     356,
     "warning",
-    "entry of a node cannot be read",
-    "It is of another version or writer, and names no node to use.",
+    "node entry unreadable",
+    "Another version or program wrote it; it is ignored.",
 )
 
 # 4xx: rates.
 LEASE_TAKEN = _define(
-    401, "info", "rate lease taken", "This instance holds a partition's tokens."
+    401, "info", "rate lease acquired", "This instance holds a partition's tokens."
 )
 LEASE_LOST = _define(
-    402, "info", "rate lease lost", "Not renewed in time; another may take it."
+    402,
+    "info",
+    "rate lease lost",
+    "Released, or not renewed in time; another instance may acquire it.",
 )
 
 # 5xx: calls.
 CALL_REFUSED = _define(
-    501, "info", "call refused", "The field reason says why; see the run books."
+    501, "info", "call refused", "The field reason says why; see the runbooks."
 )
 CALL_FAILED = _define(
     502,
     "error",
     "call failed in the node",
-    "A fault in the program; the call was answered as may have run.",
+    "A bug in the program; the caller was told that the call may have run.",
 )
 CALL_REPEATED = _define(
     503,
     "info",
-    "call sent again",
-    "The attempt before failed; the field reason says how.",
+    "call retried",
+    "The previous attempt failed; the field reason says how.",
 )
 CALL_ANSWERED = _define(
     504,
     "info",
     "call answered with a failure",
-    "The backend server's own failure was handed on.",
+    "The backend server's own failure was returned to the caller.",
 )
 LEVELS_SET = _define(
     505,
     "info",
     "admission levels",
-    "Services named here are overloaded: requests that lead to them are refused at "
-    "their entry, the least urgent first, down to the level told.",
+    "Services in the field levels are overloaded: requests that lead to them are "
+    "refused at their entry, lowest priority first, until the given fraction of the "
+    "demand is admitted.",
 )
 ZONE_BYTES = _define(
     506,
     "info",
-    "bytes between zones",
-    "What this node sent to other availability zones since its start: kind of frame, "
-    "route and bytes, the most first.",
+    "bytes sent to other zones",
+    "Totals of this node since its start: kind of frame, route and bytes, most bytes "
+    "first.",
 )
 WORKSPACES_AT_RATE = _define(
     507,
     "info",
-    "workspaces at their rates",
+    "workspaces at their rate limits",
     "Workspaces with less than half of their tokens left at this token holder: the "
     "enforced rate and burst, the share of both that nodes lend to this holder, calls "
-    "per second for which tokens are asked here, and the tokens left.",
+    "per second that request tokens here, and the tokens left.",
 )
 LINES_DROPPED = _define(
     590,
     "warning",
-    "log lines left out",
-    "More came than are written; the field counts says how many of each event.",
+    "log lines dropped",
+    "There were more lines than may be written; the field counts has the number for "
+    "each event.",
 )
 
 
 class Journal:
-    """Writes an instance's events and keeps the last ones for its operator address.
+    """Logs an instance's events and keeps the last ones for the operator address.
 
     Args:
         instance: Name of the instance.
-        level: Least level that is written.
+        level: Minimum level; events below it are dropped.
     """
 
     def __init__(self, instance: str, level: str = "info"):
@@ -300,15 +309,15 @@
 
     @property
     def recent(self) -> list[dict[str, Any]]:
-        """The last events, oldest first."""
+        """The last ``MAX_RECENT_EVENTS`` events, oldest first."""
         return list(self._recent)
 
     def emit(self, event: Event, **fields: Any) -> None:
-        """Record that an event happened.
+        """Log an event and keep it.
 
         Args:
-            event: Its kind.
-            **fields: What to know about this one; never a key.
+            event: Kind of event.
+            **fields: Details, logged under their names; never a workspace's key.
         """
         level = LEVELS[event.level]
         if level < self._min_level:
@@ -325,7 +334,7 @@
 
 
 def format_entry(entry: dict[str, Any]) -> str:
-    """Return an event as one line for people.
+    """Return an event as one line of readable text.
 
     >>> format_entry({"time": 0, "event": 101, "level": "info", "text": "node started",
     ...     "instance": "a", "zone": "z"})
@@ -355,8 +364,8 @@
     """Writes events to a stream, as text or as JSON lines.
 
     Args:
-        stream: Where to.
-        form: ``text`` or ``json``.
+        stream: Stream to write to.
+        output_format: ``text`` or ``json``.
     """
 
     def __init__(self, stream: TextIO, output_format: str = "text"):
@@ -365,7 +374,7 @@
         self._output_format = output_format
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write one record."""
+        """Write one record to the stream."""
         entry = record.extra["entry"] or {
             "time": time.time(),
             "event": 0,
--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -1,8 +1,8 @@
-"""The story of one request, put together from the logs of all nodes.
+"""Explains the outcome of one request from the logs of all nodes.
 
 Clocks of instances differ by seconds, so lines of different nodes are never ordered by
-their time of day: the node at which a request entered has the last word on it, and
-what surrounds a line is looked for at the same node only.
+time. They are ordered by kind of event: the refusal or answer logged where the request
+entered comes last. Context is taken from that node's log only.
 """
 
 import json
@@ -21,9 +21,10 @@
     POLICY_IN_FORCE,
 )
 
-# Levels are told once a second while there are any; one step more for a slow writer.
+# Admission levels are logged once a second during an overload; twice that allows for a
+# late line.
 CONTEXT_WINDOW_SECONDS = 2.0
-# Lines that name a request, in the order in which they happen to it.
+# Events that name a request, in the order in which they occur.
 EVENT_ORDER = (
     CALL_REPEATED.number,
     CALL_FAILED.number,
@@ -36,7 +37,7 @@
     """One event in a node's log.
 
     Args:
-        fields: As they were written.
+        fields: Logged fields by name.
     """
 
     __slots__ = ("fields",)
@@ -46,32 +47,32 @@
 
     @property
     def number(self) -> int:
-        """The event's number."""
+        """Number of the event."""
         return int(self.fields.get("event", 0))
 
     @property
     def instance(self) -> str:
-        """The node that wrote it."""
+        """Name of the instance that logged it."""
         return str(self.fields.get("instance", ""))
 
     @property
     def time(self) -> float:
-        """Seconds by that node's time of day."""
+        """Seconds since the epoch, by that instance's clock."""
         return float(self.fields.get("time", 0.0))
 
     def get(self, name: str, default: Any = "") -> Any:
-        """Return a field."""
+        """Return a field, or the default if it is absent."""
         return self.fields.get(name, default)
 
 
 class Explanation:
-    """What the logs tell of a request.
+    """What the logs say about a request.
 
     Args:
-        request: Its id.
-        lines: That name it, in order.
-        context: Of the nodes that decided, around those lines.
-        cause: One sentence.
+        request: Request id.
+        lines: Lines that name the request, in the order of ``EVENT_ORDER``.
+        context: Other lines of the deciding node that show the cause.
+        cause: Why the request ended as it did, in a sentence or two.
     """
 
     __slots__ = ("cause", "context", "lines", "request")
@@ -86,9 +87,9 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event in a line of a log; None where there is none.
+    """Return the event in a line of a log, or None if it holds none.
 
-    Collectors put a time or a name before what a process writes.
+    Log collectors may prefix lines with a time or a name.
 
     >>> parse_line('  0.5 node-1 {"event":101,"instance":"node-1"}').number
     101
@@ -101,19 +102,19 @@
     try:
         fields = json.loads(text[start:])
     except ValueError:
-        # A line that was cut at a crash, or is not ours.
+        # Truncated by a crash, or of another program.
         return None
     return LogLine(fields) if isinstance(fields, dict) and "event" in fields else None
 
 
 def read_lines(files: Iterable[Iterable[str]]) -> list[LogLine]:
-    """Return all events in logs."""
+    """Return all events in some log files, given as iterables of lines."""
     parsed = (parse_line(text) for file in files for text in file)
     return [line for line in parsed if line is not None]
 
 
 def explain(request: str, lines: list[LogLine]) -> Explanation | None:
-    """Return the story of a request; None where no line names it."""
+    """Return the explanation of a request, or None if no line names it."""
     request_lines = [line for line in lines if line.get("request") == request]
     if not request_lines:
         return None
@@ -139,7 +140,7 @@
 
 
 def _finds_cause_of(number: int, *reasons: str) -> Callable[[CauseFinder], CauseFinder]:
-    """Register what finds the cause behind an event, for some of its reasons."""
+    """Register a function that finds the cause of an event, for some or all reasons."""
 
     def register(find_cause: CauseFinder) -> CauseFinder:
         for reason in reasons or ("",):
@@ -159,12 +160,12 @@
     nearest = min(level_lines, key=lambda line: abs(line.time - last.time))
     levels = nearest.get("levels", {})
     calls_per_slot = nearest.get("pressure", {})
-    # The service whose level is lowest is the one that admission went by.
+    # Admission follows the service with the lowest level.
     service = min(levels, key=levels.__getitem__, default="")
     text = (
-        f"It was refused where it entered: service {service} had "
-        f"{calls_per_slot.get(service, '?')} calls for each slot, and "
-        f"{levels.get(service, '?')} of the demand for it was let through."
+        f"The request was refused at its entry: service {service} had "
+        f"{calls_per_slot.get(service, '?')} calls per slot, and a fraction of "
+        f"{levels.get(service, '?')} of the demand for it was admitted."
     )
     return [nearest], text
 
@@ -180,7 +181,7 @@
         version_text += f", in force there for {last.time - policy_lines[0].time:.1f} s"
     return (
         policy_lines,
-        f"Its workspace was over its rate{version_text}: {last.get('detail')}.",
+        f"The workspace was over its rate{version_text}: {last.get('detail')}.",
     )
 
 
@@ -189,7 +190,7 @@
     last: LogLine, nearby: list[LogLine], lines: list[LogLine]
 ) -> Cause:
     version = last.get("policy", 0)
-    text = f"Version {version} of the configuration does not allow it"
+    text = f"Version {version} of the configuration does not allow the request"
     policy_lines = _find_policy(last, version, lines)
     return policy_lines, f"{text}: {last.get('detail')}."
 
@@ -197,8 +198,8 @@
 @_finds_cause_of(CALL_REFUSED.number, "configuration-stale", "configuration-missing")
 def _explain_stale(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     return [], (
-        f"The node could not know whether its key still holds: {last.get('detail')}. "
-        "Neither the platform's store nor another node told it."
+        f"The node could not verify the request's key: {last.get('detail')}. "
+        "Neither the platform's store nor another node confirmed its configuration."
     )
 
 
@@ -208,7 +209,7 @@
 def _explain_loss(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     lost_lines = [line for line in nearby if line.number == PEER_LOST.number]
     peers = ", ".join(sorted({str(line.get("peer")) for line in lost_lines}))
-    text = f"No whole answer came: {last.get('detail')}"
+    text = f"No complete answer arrived: {last.get('detail')}"
     if peers:
         text += f"; streams to {peers} were lost at that time"
     outcome = "may have run" if last.get("verdict") != "not run" else "did not run"
@@ -221,20 +222,20 @@
 ) -> Cause:
     text = (
         f"The backend server beside {last.get('node')} answered "
-        f"{last.get('status')}, and that was handed on"
+        f"{last.get('status')}, and that was returned to the caller"
     )
     return [], f"{text} after {last.get('seconds')} s."
 
 
 def _explain_other(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     event = CATALOGUE.get(last.number)
-    meaning = event.meaning if event is not None else "The event is not known."
+    meaning = event.meaning if event is not None else "Unknown event."
     detail = last.get("detail") or last.get("error") or last.get("reason")
     return [], f"{meaning} {detail}".strip()
 
 
 def _find_policy(last: LogLine, version: int, lines: list[LogLine]) -> list[LogLine]:
-    """Return when a version came into force at the node that decided."""
+    """Return the line, if any, of a version's start at the deciding node."""
     return [
         line
         for line in lines
@@ -246,7 +247,7 @@
 
 
 def count_dropped_lines(lines: Iterable[LogLine]) -> int:
-    """Return how many lines the nodes did not write, so that an id may be missing."""
+    """Return how many lines the nodes dropped, any of which may name the request."""
     return sum(
         sum(line.get("counts", {}).values())
         for line in lines
--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output that never keep the process waiting."""
+"""A log handler that writes JSON lines and never blocks the process."""
 
 import asyncio
 import collections
@@ -9,19 +9,19 @@
 
 from .events import LINES_DROPPED
 
-# Lines of one event that are written in a second; the rest is counted. A day of
-# refusals would otherwise cost more processor time than the requests.
+# For each event; further lines are dropped and counted. During a long overload, logging
+# every refusal would cost more processor time than serving the requests.
 MAX_LINES_PER_SECOND = 20
-# Bytes that may wait for a reader that is slow or has stopped.
+# Limits the memory used while the reader of the stream is slow or has stopped.
 MAX_BUFFERED_BYTES = 256 * 1024
 FLUSH_DELAY_SECONDS = 0.1
 
 
 class LineHandler(logbook.Handler):
-    """Writes events as JSON lines, bounded in number and never blocking.
+    """Writes events as JSON lines, limited in rate and without blocking.
 
     Args:
-        descriptor: Of the stream; it is set not to block.
+        descriptor: File descriptor of the stream; it is made non-blocking.
     """
 
     def __init__(self, descriptor: int = 1):
@@ -36,7 +36,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write one event, or count it."""
+        """Buffer one event, or count it as dropped if its rate is over the limit."""
         entry = record.extra["entry"] or {"event": 0, "text": record.message}
         number = entry["event"]
         second = int(entry.get("time", 0))
@@ -49,7 +49,7 @@
         self._append(entry)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as much of the buffer as the reader accepts without blocking."""
         self._flush_scheduled = False
         while self._buffer:
             try:
@@ -58,7 +58,7 @@
                 self._schedule_flush()
                 return
             except OSError:
-                # Nobody reads any more. There is no other place to tell it.
+                # The reader closed the stream; there is nowhere else to log this.
                 self._buffer.clear()
                 return
             del self._buffer[:written_bytes]
--- a/primroseglade/observe/metrics.py
+++ b/primroseglade/observe/metrics.py
@@ -22,48 +22,52 @@
 
 
 class Metrics:
-    """Every metric that a node keeps; names in ``docs/METRICS.md``."""
+    """All metrics of a node; ``docs/METRICS.md`` lists them."""
 
     def __init__(self) -> None:
         self._registry = CollectorRegistry()
         self.calls = self._counter(
             "calls_total",
-            "Calls answered, by listener and outcome (a refusal's reason or served).",
+            "Calls answered, by listener and outcome (reason of a refusal, or served).",
             ["listener", "outcome"],
         )
         self.seconds = Histogram(
             "primroseglade_call_seconds",
-            "Time from a call's head to the end of its answer.",
+            "Time from the request head to the end of the answer.",
             ["listener"],
             buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self.relayed = self._counter("relayed_total", "Calls sent to another node.")
         self.retries = self._counter(
-            "retries_total", "Further attempts after a refusal that was not run."
+            "retries_total", "Retries after a refusal or a lost connection."
         )
         self.retries_denied = self._counter(
-            "retries_denied_total", "Retries not made, by what ran out.", ["bound"]
+            "retries_denied_total", "Retries denied, by the limit reached.", ["bound"]
         )
         self.throttled = self._counter(
-            "throttled_total", "Calls refused early, as they would be shed further on."
+            "throttled_total", "Calls refused early that would be shed downstream."
         )
         self.queue_seconds = Histogram(
             "primroseglade_queue_seconds",
-            "Wait in the admission queue.",
+            "Time in the admission queue.",
             buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._registry,
         )
         self.in_flight = self._gauge(
-            "in_flight", "Calls at the own backend server now."
+            "in_flight", "Calls in flight at the node's own backend server."
+        )
+        self.queued = self._gauge("queued", "Calls in the admission queue.")
+        self.limit = self._gauge(
+            "concurrency_limit", "Maximum number of calls in flight."
         )
-        self.queued = self._gauge("queued", "Calls waiting for it now.")
-        self.limit = self._gauge("concurrency_limit", "Calls at once that it may get.")
         self.tokens = self._counter(
-            "rate_tokens_total", "Rate tokens, by what became of them.", ["fate"]
+            "rate_tokens_total", "Rate tokens granted, spent or denied.", ["fate"]
+        )
+        self.leases = self._gauge(
+            "rate_leases", "Rate partitions whose lease this node holds."
         )
-        self.leases = self._gauge("rate_leases", "Partitions of rates held here.")
-        self.members = self._gauge("members", "Members known, by state.", ["state"])
+        self.members = self._gauge("members", "Known members, by state.", ["state"])
         self.messages = self._counter(
             "control_messages_total",
             "Control messages, by method and direction.",
@@ -73,19 +77,19 @@
             "control_bytes_total", "Bytes of control messages.", ["direction"]
         )
         self.refused_messages = self._counter(
-            "refused_messages_total", "Control messages not taken, by cause.", ["cause"]
+            "refused_messages_total", "Control messages refused, by cause.", ["cause"]
         )
         self.edits = self._counter(
-            "edits_total", "Configuration records folded, by verdict.", ["verdict"]
+            "edits_total", "Configuration records applied, by verdict.", ["verdict"]
         )
         self.next_offset = self._gauge(
-            "configuration_next_offset", "Records of the configuration folded in."
+            "configuration_next_offset", "Offset of the next record to apply."
         )
         self.configuration_age = self._gauge(
-            "configuration_age_seconds", "Since the end of the log was last known."
+            "configuration_age_seconds", "Time since the end of the log was last known."
         )
         self.silent_connections = self._counter(
-            "silent_connections_total", "Connections found dead without a sign."
+            "silent_connections_total", "Unresponsive connections found."
         )
 
     def render(self) -> bytes:
@@ -93,11 +97,11 @@
         return prometheus_client.generate_latest(self._registry)
 
     def read(self, name: str, **labels: str) -> float:
-        """Return one sample's value, 0 where there is none yet."""
+        """Return the value of one sample, or 0 if there is none yet."""
         return self._registry.get_sample_value(f"primroseglade_{name}", labels) or 0.0
 
     def describe(self) -> list[tuple[str, str, str]]:
-        """Return the name, type and help of every metric, for the docs."""
+        """Return name, type and help text of every metric."""
         return [
             (family.name, family.type, family.documentation)
             for family in self._registry.collect()
--- a/primroseglade/observe/traces.py
+++ b/primroseglade/observe/traces.py
@@ -1,4 +1,4 @@
-"""Spans, one a hop, with W3C trace context in and out."""
+"""One span per hop, with W3C trace context propagated in and out."""
 
 import collections
 import contextlib
@@ -33,7 +33,7 @@
 
 
 def parse_traceparent(text: str) -> TraceParent | None:
-    """Parse a header; None where it is absent or malformed, as the standard asks.
+    """Parse a header; return None if it is absent or malformed, as W3C requires.
 
     >>> str(parse_traceparent("00-" + "a" * 32 + "-" + "b" * 16 + "-01"))[-6:]
     'bbb-01'
@@ -64,7 +64,7 @@
 
 
 class _RecentSpans(SpanProcessor):
-    """Keeps the last spans for the operator address; nothing is sent elsewhere."""
+    """Keeps the last spans for the operator address; none are exported."""
 
     def __init__(self, max_spans: int):
         self.spans: collections.deque[ReadableSpan] = collections.deque(
@@ -76,12 +76,12 @@
 
 
 class Tracer:
-    """Makes an instance's spans.
+    """Creates and keeps an instance's spans.
 
     Args:
         instance: Name of the instance.
-        sampled: Share of root calls that are traced where the caller says nothing.
-        kept: How many spans are kept.
+        sample_ratio: Fraction of root calls traced if the caller does not decide.
+        max_spans: Number of ended spans kept.
     """
 
     def __init__(self, instance: str, sample_ratio: float, max_spans: int):
@@ -93,14 +93,14 @@
         self._tracer = provider.get_tracer("primroseglade")
 
     def sample(self) -> bool:
-        """Decide whether a root call is traced."""
+        """Decide whether to trace a root call whose caller does not decide."""
         return random.random() < self._sample_ratio
 
     def start(self, name: str, parent: TraceParent) -> Span | None:
-        """Start a span, or return None for a call that is not traced.
+        """Start a span, or return None if the call is not traced.
 
-        A call that is not traced costs no span at all: with the SDK's own sampler
-        it would cost most of one.
+        The decision is made before the SDK is called: with the SDK's own sampler, a
+        call that is not traced would cost almost as much as a span.
         """
         if not parent.sampled:
             return None
@@ -115,10 +115,10 @@
 
     @contextlib.contextmanager
     def trace(self, name: str, parent: TraceParent, workspace: str) -> Iterator[str]:
-        """Run a block inside a span; a refusal that leaves it is noted in the span.
+        """Run a block inside a span; record a refusal raised in it as attributes.
 
         Yields:
-            The span's id in hex, empty where the call is not traced.
+            Id of the span in hex, empty if the call is not traced.
         """
         span = self.start(name, parent)
         if span is None:
@@ -135,7 +135,7 @@
             span.end()
 
     def find(self, trace_id: str) -> list[dict[str, Any]]:
-        """Return the kept spans of a trace, oldest first."""
+        """Return the kept spans of a trace, in the order in which they ended."""
         wanted = int(trace_id, 16)
         return [
             {
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -60,7 +60,7 @@
     status, out, _ = run("r1", log)
     assert status is ExitStatus.SUCCESS
     cause = out.splitlines()[-1]
-    assert "service deep had 3.66 calls for each slot" in cause
+    assert "service deep had 3.66 calls per slot" in cause
     assert "other" not in out
 
 
