--- a/primroseglade/settings/__init__.py
+++ b/primroseglade/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings and documents: JSON with comments, checked on load."""
+"""Settings of a node, and the reader of JSON with comments that checks them."""
--- a/primroseglade/settings/node.py
+++ b/primroseglade/settings/node.py
@@ -52,7 +52,7 @@
     "properties": {
         "instance": NAME
         | {"description": "Name of this instance, unique in the fleet; never reused."},
-        "zone": NAME | {"description": "Availability zone that this instance is in."},
+        "zone": NAME | {"description": "Availability zone of this instance."},
         "platform": ADDRESS | {"description": "IP:PORT of the platform's log service."},
         "fleet_secret": {
             "type": "string",
@@ -63,100 +63,114 @@
             "type": "array",
             "items": ADDRESS,
             "default": [],
-            "description": "Control addresses of nodes to ask first at the start.",
+            "description": "Control addresses of nodes to contact first at the start.",
         },
         "operator_token": {
             "type": "string",
             "minLength": 16,
-            "description": "Bearer token that the operator address asks for.",
+            "description": "Bearer token that the operator address requires.",
         },
         "listen": _group(
-            "Addresses to listen on, each IP:PORT; port 0 lets the kernel choose.",
-            callers=_listener("Callers' HTTP."),
-            relay=_listener("Calls relayed by other nodes, HTTP."),
-            control=_listener("Control messages of other nodes, gRPC."),
+            "Addresses to listen on, IP:PORT; with port 0 the kernel chooses a port.",
+            callers=_listener("HTTP requests of callers."),
+            relay=_listener("Calls relayed by other nodes, over HTTP."),
+            control=_listener("Control messages of other nodes, over gRPC."),
             backend=_listener(
-                "The backend server beside this node, HTTP: announcements and nested "
-                "calls. Keep it on loopback."
+                "Announcements and nested calls of this node's backend server, over "
+                "HTTP. Keep it on loopback."
             ),
-            operator=_listener("Metrics, traces and the node's view, HTTP."),
+            operator=_listener("Metrics, traces and state of the node, over HTTP."),
         ),
         "limits": _group(
-            "Bounds on memory and connections.",
+            "Limits on memory, connections and calls.",
             body_buffer=_count(
-                65536, "bytes", "Bodies up to this size are held whole, larger stream."
+                65536, "bytes", "Maximum body held in memory; larger ones are streamed."
             ),
-            body=_count(1 << 30, "bytes", "Largest body of a call."),
-            header=_count(32768, "bytes", "Largest request head."),
+            body=_count(1 << 30, "bytes", "Maximum body of a call."),
+            header=_count(32768, "bytes", "Maximum request head."),
             connections=_count(
-                100, "connections", "To the own backend server, unless it announces."
+                100,
+                "connections",
+                "Maximum to the backend server, unless it announces one.",
+            ),
+            peer_connections=_count(
+                64, "connections", "Maximum to the relay of each other node."
             ),
-            peer_connections=_count(64, "connections", "To each other node's relay."),
             slots=_count(
-                4, "calls", "First concurrency limit where no slots are announced."
+                4, "calls", "Initial concurrency limit if no slots are announced."
             ),
-            queue=_count(200, "calls", "Waiting calls at the most."),
+            queue=_count(200, "calls", "Maximum number of queued calls."),
         ),
         "timeouts": _group(
-            "Bounds on time.",
-            call=_seconds(10.0, "Deadline of a call that brings none."),
-            connect=_seconds(1.0, "To open a connection."),
+            "Timeouts and periods of waiting.",
+            call=_seconds(10.0, "Timeout of a call that specifies none."),
+            connect=_seconds(1.0, "Maximum time to open a connection."),
             silence=_seconds(
-                2.0, "Without a first byte before a connection is probed as silent."
+                2.0, "Time without a first byte before a connection is probed."
             ),
-            queue=_seconds(0.25, "Longest wait in the admission queue."),
+            queue=_seconds(0.25, "Maximum wait in the admission queue."),
             drain=_seconds(
-                30.0, "Longest wait at a stop for calls in flight to finish."
+                30.0, "Maximum wait for calls in flight during a graceful shutdown."
             ),
             lame_duck=_seconds(
-                2.0, "At a stop, after all were told and before listeners close."
+                2.0,
+                "Minimum time between notifying nodes and closing listeners at a stop.",
             ),
         ),
         "retries": _group(
-            "Bounds on repeated attempts.",
-            tokens=_count(6, "attempts", "Retries that one root call may cost in all."),
-            share=_seconds(0.1, "Retries at this node, per first attempt.")
+            "Limits on retries.",
+            tokens=_count(
+                6, "attempts", "Maximum retries of one root call, over all hops."
+            ),
+            share=_seconds(0.1, "Maximum retries of this node, per first attempt.")
             | {"unit": "1"},
         ),
         "fleet": _group(
-            "Control traffic among nodes.",
-            period=_seconds(1.0, "Between two exchanges with other nodes."),
-            suspicion=_seconds(3.0, "A silent member is suspect before it is dead."),
+            "Control traffic between nodes.",
+            period=_seconds(1.0, "Time between exchanges with another node."),
+            suspicion=_seconds(
+                3.0,
+                "Time from suspecting a member to declaring it dead.",
+            ),
             readers=_count(
-                3, "nodes", "Nodes of a zone that follow the log; others ask peers."
+                3, "nodes", "Nodes of a zone that read the log; others ask peers."
+            ),
+            lease=_seconds(3.0, "Duration of a rate holder's lease."),
+            grant=_seconds(1.0, "Time for which granted rate tokens are valid."),
+            renewal=_seconds(
+                3600.0, "Time between a node's entries in the membership stream."
             ),
-            lease=_seconds(3.0, "Life of a rate holder's lease."),
-            grant=_seconds(1.0, "Life of granted rate tokens."),
-            renewal=_seconds(3600.0, "Between two entries in the membership stream."),
             discovery=_seconds(
-                120.0, "Between two looks into the membership stream for others."
+                120.0, "Time between searches of the membership stream for other nodes."
             ),
-            snapshot=_seconds(3600.0, "Between two snapshots of the configuration."),
+            snapshot=_seconds(3600.0, "Time between snapshots of the configuration."),
         ),
         "log": _group(
-            "What the process logs.",
+            "The process's log.",
             format={
                 "enum": ["text", "json"],
                 "default": "text",
-                "description": "Lines for people or JSON lines.",
+                "description": "Readable text lines or JSON lines.",
             },
             level={
                 "enum": ["debug", "info", "warning", "error"],
                 "default": "info",
-                "description": "Least level that is written.",
+                "description": "Minimum level of logged events.",
             },
         ),
         "traces": _group(
-            "Spans, one a hop, W3C trace context in and out.",
+            "Spans, one per hop, with W3C trace context propagated.",
             sampled={
                 "type": "number",
                 "minimum": 0,
                 "maximum": 1,
                 "default": 0.01,
                 "unit": "1",
-                "description": "Share of root calls traced where the caller is silent.",
+                "description": (
+                    "Fraction of root calls traced if a caller sends no trace context."
+                ),
             },
-            kept=_count(2000, "spans", "Last spans kept for the operator address."),
+            kept=_count(2000, "spans", "Spans kept for the operator address."),
         ),
     },
 }
@@ -165,7 +179,7 @@
 
 
 class SettingsGroup:
-    """One group of settings, with a field for each name in ``__slots__``."""
+    """A group of settings, with one attribute for each name in ``__slots__``."""
 
     __slots__ = ()
 
@@ -181,7 +195,7 @@
 
 
 class Limits(SettingsGroup):
-    """Bounds on memory (bytes), connections and calls."""
+    """Limits on memory (bytes), connections and calls."""
 
     __slots__ = (
         "body",
@@ -195,19 +209,19 @@
 
 
 class Timeouts(SettingsGroup):
-    """Bounds on time, in seconds."""
+    """Timeouts, in seconds."""
 
     __slots__ = ("call", "connect", "drain", "lame_duck", "queue", "silence")
 
 
 class Retries(SettingsGroup):
-    """Bounds on repeated attempts."""
+    """Limits on retries."""
 
     __slots__ = ("share", "tokens")
 
 
 class Fleet(SettingsGroup):
-    """Periods of control traffic in seconds, and the number of log readers."""
+    """Periods of control traffic in seconds, and the number of log readers per zone."""
 
     __slots__ = (
         "discovery",
@@ -222,19 +236,19 @@
 
 
 class Log(SettingsGroup):
-    """Format and least level of the process's log."""
+    """Format and minimum level of the process's log."""
 
     __slots__ = ("format", "level")
 
 
 class Traces(SettingsGroup):
-    """Sampling and storage of spans."""
+    """Sampling and retention of spans."""
 
     __slots__ = ("kept", "sampled")
 
 
 class NodeSettings:
-    """Everything that one node process is told; see ``docs/SETTINGS.md``."""
+    """All settings of one node process; see ``docs/SETTINGS.md``."""
 
     __slots__ = (
         "fleet",
@@ -272,32 +286,32 @@
     """Check parsed settings and fill in defaults.
 
     Args:
-        fields: The parsed JSON.
-        source: Its name in errors.
+        fields: Parsed JSON.
+        source: Name of the file in errors.
 
     Raises:
-        InputError: A field is missing, unknown or wrong.
+        InputError: A field is missing, unknown or invalid.
     """
     check(fields, _validator, source)
     return NodeSettings(fill_defaults(fields, SCHEMA))
 
 
 def load_node_settings(path: str) -> NodeSettings:
-    """Read, check and complete a settings file.
+    """Load a settings file, check it and fill in defaults.
 
     Raises:
-        InputError: The file cannot be read or does not say what it must.
+        InputError: The file cannot be read, or a field is missing, unknown or invalid.
     """
     return build_node_settings(read_file(path), path)
 
 
 def generate_secret() -> str:
-    """Return a new fleet secret of 256 random bits."""
+    """Return a new fleet secret: 256 random bits in hex."""
     return secrets.token_hex(32)
 
 
 def change_port(address: str, port: int) -> str:
-    """Return the address with the port that the kernel chose.
+    """Return the address with its port replaced.
 
     >>> change_port("127.0.0.1:0", 4242)
     '127.0.0.1:4242'
--- a/primroseglade/settings/reader.py
+++ b/primroseglade/settings/reader.py
@@ -25,10 +25,11 @@
 
 
 def read_file(path: str) -> Any:
-    """Read a file of JSON with comments.
+    """Read and parse a file of JSON with comments.
 
     Raises:
-        InputError: It cannot be read, is not JSON, or names a field twice.
+        InputError: The file cannot be read or is not JSON, or an object has a
+            duplicate field.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -43,11 +44,11 @@
     """Parse JSON with comments.
 
     Args:
-        text: The text.
-        source: Its name in errors.
+        text: Text to parse.
+        source: Name of the file in errors.
 
     Raises:
-        InputError: The text is not JSON, or an object names a field twice.
+        InputError: The text is not JSON, or an object has a duplicate field.
     """
 
     def reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
@@ -55,7 +56,7 @@
         if len(fields) != len(pairs):
             names = [name for name, _ in pairs]
             duplicate = next(name for name in names if names.count(name) > 1)
-            raise InputError(source, "", f"field {duplicate!r} stands twice")
+            raise InputError(source, "", f"duplicate field {duplicate!r}")
         return fields
 
     try:
@@ -68,15 +69,21 @@
 
 
 def build_validator(schema: dict[str, Any]) -> Draft202012Validator:
-    """Build a validator that knows the formats ``address`` and ``network``."""
+    """Return a validator that also checks the formats ``address`` and ``network``."""
     return Draft202012Validator(schema, format_checker=_format_checker)
 
 
 def check(value: Any, validator: Draft202012Validator, source: str) -> None:
-    """Check a value and name the first thing wrong with it.
+    """Check a value against a schema.
+
+    Args:
+        value: Parsed JSON.
+        validator: Validator of the schema.
+        source: Name of the file in errors.
 
     Raises:
-        InputError: With the path, the reason and what was expected there.
+        InputError: The most relevant error: its path, the reason, and what was
+            expected there.
     """
     error = best_match(validator.iter_errors(value))
     if error is None:
@@ -86,7 +93,7 @@
 
 
 def fill_defaults(value: Any, schema: dict[str, Any]) -> Any:
-    """Return the value with the schema's defaults put where fields are absent.
+    """Return the value with the schema's defaults for absent fields.
 
     >>> fill_defaults({}, {"properties": {"seconds": {"default": 2}}})
     {'seconds': 2}
@@ -118,7 +125,7 @@
     text = repr(error.instance)
     if len(text) > 60:
         text = text[:57] + "..."
-    return f"{text} does not fit"
+    return f"{text} is not valid"
 
 
 def _describe_expected(error: ValidationError) -> str:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -61,11 +61,11 @@
         ("{", "not JSON"),
         ('{"zones": 1}', "/zones"),
         ('{"zoons": {}}', "unknown field 'zoons'"),
-        ('{"zones": {}, "zones": {}}', "stands twice"),
+        ('{"zones": {}, "zones": {}}', "duplicate field 'zones'"),
         ('{"zones": {"a": {"share": 2}}}', "/share"),
         ('{"zones": {"a": {"share": 0.7}, "b": {"share": 0.7}}}', "1.4"),
         ('{"rates": {"x": {"per_second": 1, "burst": 1}}}', "workspaces/x"),
-        ('{"zones": {"A!": {"share": 1}}}', "does not fit"),
+        ('{"zones": {"A!": {"share": 1}}}', "is not valid"),
         ('{"services": {"s": {"backend_servers": [{"network": "x"}]}}}', "network"),
     ],
 )
