--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause."""
+"""``primroseglade explain``: finding the cause of a failed request in logs."""
 
 import io
 import json
@@ -11,21 +11,21 @@
 
 
 def run(*arguments: str) -> tuple[ExitStatus, str, str]:
-    """Run the command line and return its status and what it wrote."""
+    """Run ``explain`` and return its exit status, standard output and error."""
     environment = Environment(io.StringIO(), io.StringIO())
     status = main(["explain", *arguments], environment)
     return status, environment.stdout.getvalue(), environment.stderr.getvalue()
 
 
 def write_log(path, *events: dict) -> str:
-    """Write a node's log as a collector keeps it, and return its path."""
+    """Write a node's log with a collector's prefixes, and return its path."""
     lines = [f"  0.5 {event['instance']} {json.dumps(event)}" for event in events]
     path.write_text("\n".join([*lines, "not one of ours", '{"event": cut']))
     return str(path)
 
 
 def build_refused_line(reason: str, **fields: object) -> dict:
-    """Return the line of a refused request."""
+    """Return the log line of a refused request."""
     return {
         "time": 100.0,
         "event": 501,
@@ -50,8 +50,8 @@
 
 
 def test_overload_names_the_service_that_decided(tmp_path):
-    """A caller was refused within its rate; the service that was short of room is
-    three calls away, and only the node's levels name it.
+    """A request was refused although its workspace was within its rate. The overloaded
+    service is three hops away, and only the node's admission levels name it.
     """
     elsewhere = LEVELS_LINE | {"instance": "node-2", "levels": {"other": 0.1}}
     log = write_log(
@@ -65,7 +65,7 @@
 
 
 def test_a_rate_names_the_version_that_set_it(tmp_path):
-    """An operator lowered a rate; the version and its age at that node tell so."""
+    """After an operator lowers a rate, the cause names the version and its age."""
     policy = {"time": 96.0, "event": 230, "instance": "node-1", "version": 16}
     line = build_refused_line(
         "rate-exceeded", detail="north is over its rate", policy=16
@@ -76,8 +76,8 @@
 
 
 def test_lines_of_nodes_whose_clocks_differ_are_ordered_by_hop(tmp_path):
-    """The clock of the failing node was ten seconds ahead: its line is not the last
-    word on a request that entered elsewhere and was sent again.
+    """A request failed at a node whose clock is 10 s ahead, and was retried from the
+    node where it entered. By time, the failing node's line would come last.
     """
     failed = {"time": 110.0, "event": 502, "instance": "node-2", "request": "r1"}
     answered = {
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("reason", ["connection-lost", "deadline-exceeded"])
 def test_silence_names_the_streams_lost_then(tmp_path, reason: str):
-    """A node was cut off; the request was on its way there."""
+    """A node became unreachable while a request to it was in flight."""
     lost = {"time": 101.5, "event": 352, "instance": "node-1", "peer": "node-9"}
     line = build_refused_line(reason, verdict="may have run", detail="no answer")
     _, out, _ = run("r1", write_log(tmp_path / "log", line, lost))
@@ -112,7 +112,7 @@
 
 
 def test_a_request_without_a_line_says_what_is_missing(tmp_path):
-    """Its line may be one of those that were left out under load."""
+    """Its line may be among those dropped because of the rate limit."""
     dropped = {"time": 1, "event": 590, "instance": "node-1", "counts": {"501": 7}}
     status, _, error = run("r9", write_log(tmp_path / "log", dropped))
     assert status is ExitStatus.FAILURE
@@ -121,7 +121,7 @@
 
 
 def test_a_log_that_is_not_there_is_one_line(tmp_path):
-    """A mistyped file name is told as such."""
+    """A mistyped file name gives one line of error, not a traceback."""
     status, _, error = run("r1", str(tmp_path / "missing"))
     assert status is ExitStatus.FAILURE
     assert error.count("\n") == 1
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines that never keep a process waiting."""
+"""Logging must never block the process."""
 
 import asyncio
 import json
@@ -13,8 +13,8 @@
 
 
 async def test_a_reader_that_stops_does_not_stop_the_node():
-    """Nodes hung when what collected their logs did not read: standard output was
-    full, and each write waited. Lines are dropped instead, and their number is told.
+    """Nodes hung when their log collector stopped reading: the pipe of standard output
+    was full, and each write blocked. Lines are dropped and counted instead.
     """
     read_end, write_end = os.pipe()
     handler = LineHandler(write_end)
@@ -29,7 +29,7 @@
 
 
 async def test_many_lines_of_one_event_are_counted(monkeypatch):
-    """What is left out in a second is said in the next."""
+    """Lines dropped in one second are reported in the next."""
     read_end, write_end = os.pipe()
     handler = LineHandler(write_end)
     journal = Journal("node-1", "debug")
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program: commands, settings, documents, pages of reference, and examples."""
+"""The program: commands, settings, documents, reference pages and examples."""
 
 import json
 import pathlib
