--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -49,13 +49,13 @@
 }
 
 
-def test_overload_names_the_service_that_decided(tmp_path):
+def test_overload_refusal_names_the_overloaded_service(tmp_path):
     """A request was refused although its workspace was within its rate. The overloaded
     service is three hops away, and only the node's admission levels name it.
     """
-    elsewhere = LEVELS_LINE | {"instance": "node-2", "levels": {"other": 0.1}}
+    other_node = LEVELS_LINE | {"instance": "node-2", "levels": {"other": 0.1}}
     log = write_log(
-        tmp_path / "log", elsewhere, build_refused_line("overloaded"), LEVELS_LINE
+        tmp_path / "log", other_node, build_refused_line("overloaded"), LEVELS_LINE
     )
     status, out, _ = run("r1", log)
     assert status is ExitStatus.SUCCESS
@@ -64,7 +64,7 @@
     assert "other" not in out
 
 
-def test_a_rate_names_the_version_that_set_it(tmp_path):
+def test_rate_refusal_names_the_version_that_set_the_rate(tmp_path):
     """After an operator lowers a rate, the cause names the version and its age."""
     policy = {"time": 96.0, "event": 230, "instance": "node-1", "version": 16}
     line = build_refused_line(
@@ -75,7 +75,7 @@
     assert "version 16, in force there for 4.0 s: north is over its rate" in cause
 
 
-def test_lines_of_nodes_whose_clocks_differ_are_ordered_by_hop(tmp_path):
+def test_lines_of_nodes_with_different_clocks_are_ordered_by_event(tmp_path):
     """A request failed at a node whose clock is 10 s ahead, and was retried from the
     node where it entered. By time, the failing node's line would come last.
     """
@@ -91,8 +91,8 @@
         "node": "node-3",
         "seconds": 0.1,
     }
-    again = {"time": 99.9, "event": 503, "instance": "node-1", "request": "r1"}
-    first = write_log(tmp_path / "a", again, answered)
+    retried = {"time": 99.9, "event": 503, "instance": "node-1", "request": "r1"}
+    first = write_log(tmp_path / "a", retried, answered)
     second = write_log(tmp_path / "b", failed)
     _, out, _ = run("r1", first, second, "--json")
     explanation = json.loads(out)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("reason", ["connection-lost", "deadline-exceeded"])
-def test_silence_names_the_streams_lost_then(tmp_path, reason: str):
+def test_lost_answer_names_lost_streams(tmp_path, reason: str):
     """A node became unreachable while a request to it was in flight."""
     lost = {"time": 101.5, "event": 352, "instance": "node-1", "peer": "node-9"}
     line = build_refused_line(reason, verdict="may have run", detail="no answer")
@@ -111,7 +111,7 @@
     assert "may have run" in cause
 
 
-def test_a_request_without_a_line_says_what_is_missing(tmp_path):
+def test_request_without_line_reports_dropped_lines(tmp_path):
     """Its line may be among those dropped because of the rate limit."""
     dropped = {"time": 1, "event": 590, "instance": "node-1", "counts": {"501": 7}}
     status, _, error = run("r9", write_log(tmp_path / "log", dropped))
@@ -120,7 +120,7 @@
     assert error.count("\n") == 1
 
 
-def test_a_log_that_is_not_there_is_one_line(tmp_path):
+def test_missing_log_file_gives_one_line(tmp_path):
     """A mistyped file name gives one line of error, not a traceback."""
     status, _, error = run("r1", str(tmp_path / "missing"))
     assert status is ExitStatus.FAILURE
--- a/tests/test_lines.py
+++ b/tests/test_lines.py
@@ -12,7 +12,7 @@
 )
 
 
-async def test_a_reader_that_stops_does_not_stop_the_node():
+async def test_stopped_log_reader_does_not_block_the_node():
     """Nodes hung when their log collector stopped reading: the pipe of standard output
     was full, and each write blocked. Lines are dropped and counted instead.
     """
@@ -28,7 +28,7 @@
     os.close(write_end)
 
 
-async def test_many_lines_of_one_event_are_counted(monkeypatch):
+async def test_lines_over_the_rate_limit_are_counted(monkeypatch):
     """Lines dropped in one second are reported in the next."""
     read_end, write_end = os.pipe()
     handler = LineHandler(write_end)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -69,7 +69,7 @@
         ('{"services": {"s": {"backend_servers": [{"network": "x"}]}}}', "network"),
     ],
 )
-def test_wrong_document_gets_one_clear_line(tmp_path, text, words):
+def test_invalid_document_gives_one_line_of_error(tmp_path, text, words):
     path = tmp_path / "document.jsonc"
     path.write_text(text)
     result = run_program("config", "check", str(path))
@@ -90,31 +90,31 @@
         ({"log": {"format": "xml"}}, "/log/format"),
     ],
 )
-def test_wrong_settings_name_path_reason_and_what_was_expected(change, words):
+def test_invalid_settings_report_path_reason_and_expectation(change, words):
     with pytest.raises(InputError) as caught:
         build_node_settings(NODE | change)
     assert words in str(caught.value)
     assert "expected" in str(caught.value)
 
 
-def test_settings_that_are_left_out_have_their_defaults():
+def test_absent_settings_have_defaults():
     settings = build_node_settings(NODE)
     assert settings.timeouts.call == 10.0
     assert settings.limits.queue == 200
 
 
-def test_help_of_every_command_names_exit_statuses():
+def test_help_succeeds():
     for arguments in (["--help"], ["config", "publish", "--help"], ["demo", "--help"]):
         result = run_program(*arguments)
         assert result.status is ExitStatus.SUCCESS
 
 
-def test_wrong_arguments_are_a_usage_error():
+def test_invalid_arguments_are_a_usage_error():
     assert run_program("config", "check").status is ExitStatus.USAGE
     assert run_program("nonsense").status is ExitStatus.USAGE
 
 
-def test_node_that_cannot_be_reached_gets_one_line():
+def test_unreachable_node_gives_one_line_of_error():
     result = run_program("config", "status", "--node", "127.0.0.1:1")
     assert result.status is ExitStatus.UNREACHABLE
     assert result.stderr.startswith("primroseglade: node 127.0.0.1:1")
@@ -122,9 +122,9 @@
 
 def test_key_prints_a_key_and_its_digest():
     result = run_program("key", "--json")
-    made = json.loads(result.stdout)
-    assert made["digest"].startswith("sha256:")
-    assert made["key"] not in made["digest"]
+    output = json.loads(result.stdout)
+    assert output["digest"].startswith("sha256:")
+    assert output["key"] not in output["digest"]
 
 
 @pytest.mark.parametrize("form", ["text", "json"])
