--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -29,8 +29,8 @@
         self._descriptor = descriptor
         self._encode = msgspec.json.Encoder().encode
         self._buffer = bytearray()
-        self._second = 0
-        self._written: collections.Counter[int] = collections.Counter()
+        self._current_second = 0
+        self._lines_this_second: collections.Counter[int] = collections.Counter()
         self._dropped: collections.Counter[int] = collections.Counter()
         self._flush_scheduled = False
         os.set_blocking(descriptor, False)
@@ -40,10 +40,10 @@
         entry = record.extra["entry"] or {"event": 0, "text": record.message}
         number = entry["event"]
         second = int(entry.get("time", 0))
-        if second != self._second:
+        if second != self._current_second:
             self._start_second(second)
-        self._written[number] += 1
-        if self._written[number] > MAX_LINES_PER_SECOND:
+        self._lines_this_second[number] += 1
+        if self._lines_this_second[number] > MAX_LINES_PER_SECOND:
             self._dropped[number] += 1
             return
         self._append(entry)
@@ -64,8 +64,8 @@
             del self._buffer[:written_bytes]
 
     def _start_second(self, second: int) -> None:
-        self._second = second
-        self._written.clear()
+        self._current_second = second
+        self._lines_this_second.clear()
         if self._dropped:
             counts = {str(number): n for number, n in self._dropped.items()}
             self._dropped.clear()
