--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -1,8 +1,8 @@
 """Explains the outcome of one request from the logs of all nodes.
 
-Clocks of instances differ by seconds, so lines of different nodes are never ordered by
-time. They are ordered by kind of event: the refusal or answer logged where the request
-entered comes last. Context is taken from that node's log only.
+Clocks of instances differ by seconds, so a request's lines are ordered by kind of event
+before time: the refusal or answer logged where it entered comes last. Context lines are
+taken from that node's log only.
 """
 
 import json
--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -9,8 +9,8 @@
 
 from .events import LINES_DROPPED
 
-# For each event; further lines are dropped and counted. During a long overload, logging
-# every refusal would cost more processor time than serving the requests.
+# Per kind of event; further lines are dropped and counted. During a long overload,
+# logging every refusal would cost more processor time than the requests.
 MAX_LINES_PER_SECOND = 20
 # Limits the memory used while the reader of the stream is slow or has stopped.
 MAX_BUFFERED_BYTES = 256 * 1024
