--- a/primroseglade/observe/events.py
+++ b/primroseglade/observe/events.py
@@ -9,7 +9,7 @@
 
 MAX_RECENT_EVENTS = 500
 
-LEVELS = {
+LOG_LEVELS = {
     "debug": logbook.DEBUG,
     "info": logbook.INFO,
     "warning": logbook.WARNING,
@@ -302,7 +302,7 @@
     def __init__(self, instance: str, level: str = "info"):
         self._instance = instance
         self._logger = logbook.Logger("primroseglade")
-        self._min_level = LEVELS[level]
+        self._min_level = LOG_LEVELS[level]
         self._recent: collections.deque[dict[str, Any]] = collections.deque(
             maxlen=MAX_RECENT_EVENTS
         )
@@ -319,7 +319,7 @@
             event: Kind of event.
             **fields: Details, logged under their names; never a workspace's key.
         """
-        level = LEVELS[event.level]
+        level = LOG_LEVELS[event.level]
         if level < self._min_level:
             return
         entry = {
--- a/primroseglade/settings/node.py
+++ b/primroseglade/settings/node.py
@@ -21,7 +21,7 @@
     }
 
 
-def _count(default: int, unit: str, description: str) -> dict[str, Any]:
+def _positive_integer(default: int, unit: str, description: str) -> dict[str, Any]:
     return {
         "type": "integer",
         "minimum": 1,
@@ -83,23 +83,23 @@
         ),
         "limits": _group(
             "Limits on memory, connections and calls.",
-            body_buffer=_count(
+            body_buffer=_positive_integer(
                 65536, "bytes", "Maximum body held in memory; larger ones are streamed."
             ),
-            body=_count(1 << 30, "bytes", "Maximum body of a call."),
-            header=_count(32768, "bytes", "Maximum request head."),
-            connections=_count(
+            body=_positive_integer(1 << 30, "bytes", "Maximum body of a call."),
+            header=_positive_integer(32768, "bytes", "Maximum request head."),
+            connections=_positive_integer(
                 100,
                 "connections",
                 "Maximum to the backend server, unless it announces one.",
             ),
-            peer_connections=_count(
+            peer_connections=_positive_integer(
                 64, "connections", "Maximum to the relay of each other node."
             ),
-            slots=_count(
+            slots=_positive_integer(
                 4, "calls", "Initial concurrency limit if no slots are announced."
             ),
-            queue=_count(200, "calls", "Maximum number of queued calls."),
+            queue=_positive_integer(200, "calls", "Maximum number of queued calls."),
         ),
         "timeouts": _group(
             "Timeouts and periods of waiting.",
@@ -119,7 +119,7 @@
         ),
         "retries": _group(
             "Limits on retries.",
-            tokens=_count(
+            tokens=_positive_integer(
                 6, "attempts", "Maximum retries of one root call, over all hops."
             ),
             share=_seconds(0.1, "Maximum retries of this node, per first attempt.")
@@ -132,7 +132,7 @@
                 3.0,
                 "Time from suspecting a member to declaring it dead.",
             ),
-            readers=_count(
+            readers=_positive_integer(
                 3, "nodes", "Nodes of a zone that read the log; others ask peers."
             ),
             lease=_seconds(3.0, "Duration of a rate holder's lease."),
@@ -170,7 +170,9 @@
                     "Fraction of root calls traced if a caller sends no trace context."
                 ),
             },
-            kept=_count(2000, "spans", "Spans kept for the operator address."),
+            kept=_positive_integer(
+                2000, "spans", "Spans kept for the operator address."
+            ),
         ),
     },
 }
