--- a/primroseglade/cli/config.py
+++ b/primroseglade/cli/config.py
@@ -1,4 +1,4 @@
-"""``primroseglade config``."""
+"""Implements ``primroseglade config``."""
 
 import argparse
 import json
@@ -18,10 +18,10 @@
 
 
 def read_sections(path: str) -> dict[str, Any]:
-    """Read a document file and check it on its own.
+    """Read a document file and check it on its own, against an empty document.
 
     Raises:
-        InputError: It does not say what a document must.
+        InputError: The file cannot be read, or the document is not valid.
     """
     sections = flatten_document(read_file(path), path)
     check_changes(Document(), dict(sections))
@@ -30,7 +30,7 @@
 
 @command("config check")
 async def check(options: argparse.Namespace, environment: Environment) -> ExitStatus:
-    """Check a document."""
+    """Check a document file."""
     sections = read_sections(options.document)
     if options.json:
         environment.print(json.dumps({"valid": True, "sections": sorted(sections)}))
@@ -48,25 +48,25 @@
         environment.print(json.dumps(view))
         return ExitStatus.SUCCESS
     environment.print(f"// as of offset {view['next_offset']}")
-    environment.print(json.dumps(_nest(view["sections"]), indent=2))
+    environment.print(json.dumps(_group_by_kind(view["sections"]), indent=2))
     return ExitStatus.SUCCESS
 
 
 @command("config diff")
 async def diff(options: argparse.Namespace, environment: Environment) -> ExitStatus:
-    """Print which sections differ."""
-    wanted = read_sections(options.document)
+    """Print which sections differ from those in force."""
+    proposed = read_sections(options.document)
     async with OperatorClient(options.node, options.token) as client:
         view = await client.get("/document")
-    standing = _get_standing(view["sections"])
+    current = _get_sections_in_force(view["sections"])
     changes = {
-        "added": sorted(set(wanted) - set(standing)),
+        "added": sorted(set(proposed) - set(current)),
         "changed": sorted(
             name
-            for name, value in wanted.items()
-            if name in standing and standing[name] != value
+            for name, value in proposed.items()
+            if name in current and current[name] != value
         ),
-        "only in force": sorted(set(standing) - set(wanted)),
+        "only in force": sorted(set(current) - set(proposed)),
     }
     if options.json:
         environment.print(json.dumps(changes))
@@ -75,7 +75,7 @@
         for name in names:
             environment.print(f"{kind:<14}{name}")
     if not any(changes.values()):
-        environment.print("the document is in force as it stands")
+        environment.print("no differences: the document is in force")
     return ExitStatus.SUCCESS
 
 
@@ -83,7 +83,7 @@
 async def publish_sections(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
-    """Publish sections, wait for the verdict, and for all instances if asked."""
+    """Publish sections and wait for the verdict and, if requested, all instances."""
     sections = read_sections(options.document)
     if options.section:
         missing = sorted(set(options.section) - set(sections))
@@ -97,20 +97,20 @@
             view = await client.get("/document")
             edit = build_edit(changes, view, options.author, options.as_of)
             if edit is None:
-                return _tell_unchanged(options, environment)
+                return _print_unchanged(options, environment)
             published = await publish(log, client, edit, options.wait)
             if published.accepted and options.everywhere:
                 await wait_everywhere(client, published, options.wait)
     finally:
         await log.close()
-    return _tell_published(published, options, environment)
+    return _print_published(published, options, environment)
 
 
 @command("config status")
 async def show_status(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
-    """Print who has confirmed."""
+    """Print which instances have confirmed the configuration."""
     async with OperatorClient(options.node, options.token) as client:
         view = await client.get("/confirmations")
     if options.json:
@@ -121,21 +121,21 @@
         for name in view["behind"]:
             environment.print(f"behind      {name} at {view['offsets'][name]}")
         for name in view["silent"]:
-            environment.print(f"silent      {name}: not known to have it")
+            environment.print(f"silent      {name}: no answer")
     return ExitStatus.SUCCESS if view["everywhere"] else ExitStatus.REFUSED
 
 
-def _tell_unchanged(
+def _print_unchanged(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     if options.json:
         environment.print(json.dumps({"accepted": True, "sections": []}))
     else:
-        environment.print("nothing to publish: the sections stand as they are")
+        environment.print("nothing to publish: the sections are already in force")
     return ExitStatus.SUCCESS
 
 
-def _tell_published(
+def _print_published(
     published: Published, options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     if options.json:
@@ -144,23 +144,23 @@
         names = ", ".join(published.sections)
         environment.print(f"accepted at offset {published.offset}: {names}")
         if options.everywhere:
-            environment.print(_describe_spread(published))
+            environment.print(_describe_confirmations(published))
     else:
         environment.warn(f"primroseglade: refused: {published.reason}")
     if not published.accepted:
         return ExitStatus.REFUSED
-    missing = options.everywhere and not published.everywhere
-    return ExitStatus.REFUSED if missing else ExitStatus.SUCCESS
+    unconfirmed = options.everywhere and not published.everywhere
+    return ExitStatus.REFUSED if unconfirmed else ExitStatus.SUCCESS
 
 
-def _describe_spread(published: Published) -> str:
+def _describe_confirmations(published: Published) -> str:
     if published.everywhere:
         return f"in force on all {len(published.confirmed)} instances"
     names = ", ".join([*published.behind, *published.silent])
     return f"in force on {len(published.confirmed)} instances; not confirmed by {names}"
 
 
-def _get_standing(sections: dict[str, Any]) -> dict[str, Any]:
+def _get_sections_in_force(sections: dict[str, Any]) -> dict[str, Any]:
     return {
         name: section["value"]
         for name, section in sections.items()
@@ -168,9 +168,9 @@
     }
 
 
-def _nest(sections: dict[str, Any]) -> dict[str, Any]:
+def _group_by_kind(sections: dict[str, Any]) -> dict[str, Any]:
     document: dict[str, Any] = {}
-    for section, value in sorted(_get_standing(sections).items()):
+    for section, value in sorted(_get_sections_in_force(sections).items()):
         kind, _, name = section.partition("/")
         document.setdefault(kind, {})[name] = value
     return document
--- a/primroseglade/cli/definition.py
+++ b/primroseglade/cli/definition.py
@@ -1,4 +1,4 @@
-"""The command line as one definition: every command with its arguments."""
+"""Definition of the command line: all commands with their arguments."""
 
 import argparse
 from typing import Any
@@ -6,13 +6,13 @@
 from .. import __version__
 from ..exits import ExitStatus
 
-EXIT_TEXT = "exit status: " + ", ".join(
+EXIT_STATUS_HELP = "exit status: " + ", ".join(
     f"{status.value} {status.name.lower().replace('_', ' ')}" for status in ExitStatus
 )
 
 
 class Argument:
-    """One argument, as argparse takes it."""
+    """One argument, with the parameters of ``ArgumentParser.add_argument``."""
 
     __slots__ = ("flags", "options")
 
@@ -25,110 +25,121 @@
     """One command.
 
     Args:
-        name: Its words, such as ``config check``.
-        text: What it does.
-        arguments: What it takes.
+        name: Words of the command, such as ``config check``.
+        summary: Help text.
+        arguments: Arguments of the command.
     """
 
-    __slots__ = ("arguments", "name", "text")
+    __slots__ = ("arguments", "name", "summary")
 
-    def __init__(self, name: str, text: str, *arguments: Argument):
+    def __init__(self, name: str, summary: str, *arguments: Argument):
         self.name = name
-        self.text = text
+        self.summary = summary
         self.arguments = arguments
 
 
-JSON = Argument(
-    "--json", action="store_true", help="print one JSON value for programs to read"
+JSON_OPTION = Argument(
+    "--json", action="store_true", help="print the result as one JSON value"
 )
-NODE = Argument(
+NODE_OPTION = Argument(
     "--node",
     required=True,
     metavar="IP:PORT",
     help="operator address of any node",
 )
-TOKEN = Argument("--token", default="", help="operator token, where nodes ask for one")
-DOCUMENT = Argument("document", metavar="FILE", help="document, JSON with comments")
-DEPLOYMENT = Argument(
+TOKEN_OPTION = Argument(
+    "--token", default="", help="operator token, if nodes require one"
+)
+DOCUMENT_ARGUMENT = Argument(
+    "document", metavar="FILE", help="document file, JSON with comments"
+)
+DEPLOYMENT_OPTION = Argument(
     "--deployment",
     choices=("split", "lagos"),
     default="split",
-    help="whose services and zones (default: %(default)s)",
+    help="deployment to run: its services and zones (default: %(default)s)",
 )
-SECONDS = Argument(
+SECONDS_OPTION = Argument(
     "--seconds",
     type=float,
     default=20.0,
-    help="how long to run (default: %(default)s)",
+    help="duration of the run (default: %(default)s)",
 )
-SEED = Argument(
-    "--seed", type=int, default=1, help="of what is random (default: %(default)s)"
+SEED_OPTION = Argument(
+    "--seed", type=int, default=1, help="seed of random choices (default: %(default)s)"
 )
 
-GROUPS = {
-    "config": "check, publish and follow the operators' document",
-    "stand-in": "small stand-ins for the outside systems",
+COMMAND_GROUPS = {
+    "config": "check, publish and track the configuration document",
+    "stand-in": "run small stand-ins for external systems",
 }
 
 COMMANDS = (
     Command(
         "node",
-        "run one node beside a backend server, until SIGTERM or SIGINT",
+        "run one node beside a backend server until SIGTERM or SIGINT",
         Argument(
             "--settings",
             required=True,
             metavar="FILE",
-            help="settings, JSON with comments; see docs/SETTINGS.md",
+            help="settings file, JSON with comments; see docs/SETTINGS.md",
         ),
     ),
     Command(
         "explain",
-        "tell from the nodes' logs why a request ended as it did",
-        Argument("request", metavar="REQUEST_ID", help="its id, as the caller has it"),
-        Argument("logs", nargs="+", metavar="LOGFILE", help="logs of all nodes"),
-        JSON,
+        "explain the outcome of a request from the nodes' logs",
+        Argument(
+            "request", metavar="REQUEST_ID", help="request id, as the caller has it"
+        ),
+        Argument("logs", nargs="+", metavar="LOGFILE", help="log files of all nodes"),
+        JSON_OPTION,
+    ),
+    Command(
+        "config check",
+        "check a document without publishing it",
+        DOCUMENT_ARGUMENT,
+        JSON_OPTION,
     ),
-    Command("config check", "check a document without publishing it", DOCUMENT, JSON),
     Command(
         "config show",
-        "print the document in force, as a node has it",
-        NODE,
-        TOKEN,
-        JSON,
+        "print the document in force at a node",
+        NODE_OPTION,
+        TOKEN_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "config diff",
         "print which sections of a document differ from those in force",
-        DOCUMENT,
-        NODE,
-        TOKEN,
-        JSON,
+        DOCUMENT_ARGUMENT,
+        NODE_OPTION,
+        TOKEN_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "config publish",
         "publish sections of a document and wait for the verdict",
-        DOCUMENT,
-        NODE,
-        TOKEN,
+        DOCUMENT_ARGUMENT,
+        NODE_OPTION,
+        TOKEN_OPTION,
         Argument(
             "--platform",
             required=True,
             metavar="IP:PORT",
-            help="the platform's log service",
+            help="address of the platform's log service",
         ),
         Argument("--author", required=True, help="name to publish under"),
         Argument(
             "--section",
             action="append",
             metavar="KIND/NAME",
-            help="publish only this section (may be given again)",
+            help="publish only this section (repeatable)",
         ),
         Argument(
             "--remove",
             action="append",
             default=[],
             metavar="KIND/NAME",
-            help="take this section out (may be given again)",
+            help="remove this section (repeatable)",
         ),
         Argument(
             "--as-of",
@@ -141,63 +152,69 @@
             type=float,
             default=10.0,
             metavar="SECONDS",
-            help="for the verdict, and with --everywhere for all instances "
+            help="maximum wait for the verdict and, with --everywhere, all instances "
             "(default: %(default)s)",
         ),
         Argument(
             "--everywhere",
             action="store_true",
-            help="wait until every instance has confirmed; name those that have not",
+            help="wait until all instances have confirmed; list those that have not",
         ),
-        JSON,
+        JSON_OPTION,
     ),
     Command(
         "config status",
         "print which instances have confirmed the configuration, and which have not",
-        NODE,
-        TOKEN,
-        JSON,
+        NODE_OPTION,
+        TOKEN_OPTION,
+        JSON_OPTION,
+    ),
+    Command(
+        "key", "generate a workspace key and print it with its digest", JSON_OPTION
     ),
-    Command("key", "make a new key and print it with its digest", JSON),
     Command(
         "demo",
-        "run a whole deployment in this process, with failures, and check its promises",
-        DEPLOYMENT,
-        SECONDS,
-        SEED,
-        JSON,
+        "run a deployment in this process, with failures, and check its guarantees",
+        DEPLOYMENT_OPTION,
+        SECONDS_OPTION,
+        SEED_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "load",
-        "call a service at a fixed rate and report answers and latencies",
+        "call a service at a fixed rate and report outcomes and latencies",
         Argument(
             "--nodes",
             required=True,
             metavar="IP:PORT,...",
-            help="callers' addresses of some nodes",
+            help="callers' listeners of one or more nodes",
         ),
-        Argument("--key", required=True, help="the workspace's key"),
+        Argument("--key", required=True, help="key of the workspace"),
         Argument("--service", required=True, help="service to call"),
-        Argument("--path", default="/", help="path within it (default: %(default)s)"),
+        Argument(
+            "--path", default="/", help="path within the service (default: %(default)s)"
+        ),
         Argument("--method", default="GET", help="HTTP method (default: %(default)s)"),
-        Argument("--rate", type=float, default=50.0, help="calls a second"),
-        Argument("--timeout", type=float, default=2.0, help="seconds a call may take"),
-        SECONDS,
-        SEED,
-        JSON,
+        Argument("--rate", type=float, default=50.0, help="calls per second"),
+        Argument(
+            "--timeout", type=float, default=2.0, help="timeout of a call in seconds"
+        ),
+        SECONDS_OPTION,
+        SEED_OPTION,
+        JSON_OPTION,
     ),
     Command(
         "stand-in log",
         "run a stand-in for the platform's log",
         Argument("--listen", default="127.0.0.1:9092", metavar="IP:PORT"),
         Argument(
-            "--retention", type=int, default=100_000, help="records that a topic keeps"
+            "--retention", type=int, default=100_000, help="maximum records per topic"
         ),
     ),
     Command(
         "stand-in backend",
-        "run a stand-in for a backend server, announced to its node",
-        Argument("--service", required=True, help="what it serves"),
+        "run a stand-in for a backend server, which announces itself to its node",
+        Argument("--service", required=True, help="service that it serves"),
         Argument(
             "--node",
             required=True,
@@ -205,49 +222,53 @@
             help="backend listener of its node",
         ),
         Argument("--listen", default="127.0.0.1:0", metavar="IP:PORT"),
-        Argument("--work", type=float, default=0.005, help="seconds of work a call"),
-        Argument("--slots", type=int, default=20, help="calls at work at once"),
+        Argument("--work", type=float, default=0.005, help="seconds of work per call"),
+        Argument("--slots", type=int, default=20, help="maximum concurrent calls"),
         Argument(
             "--nested",
             action="append",
             default=[],
             metavar="/SERVICE/PATH",
-            help="call this first, in each call (may be given again)",
+            help="nested call to make in each call (repeatable)",
         ),
     ),
 )
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Build the parser; the chosen command's name is in ``command``."""
+    """Build the parser; it sets ``command`` to the name of the chosen command."""
     parser = argparse.ArgumentParser(
         prog="primroseglade",
         description="Overload control for service call graphs.",
-        epilog=EXIT_TEXT,
+        epilog=EXIT_STATUS_HELP,
     )
     parser.add_argument("--version", action="version", version=__version__)
-    top = parser.add_subparsers(title="commands", metavar="COMMAND", required=True)
+    subparsers = parser.add_subparsers(
+        title="commands", metavar="COMMAND", required=True
+    )
     groups: dict[str, Any] = {}
     for command in COMMANDS:
         *group, name = command.name.split()
-        place = top
+        parent = subparsers
         if group:
-            place = groups.get(group[0])
-            if place is None:
-                place = groups[group[0]] = _add_group(top, group[0])
-        _add_command(place, name, command)
+            parent = groups.get(group[0])
+            if parent is None:
+                parent = groups[group[0]] = _add_group(subparsers, group[0])
+        _add_command(parent, name, command)
     return parser
 
 
-def _add_group(top: Any, name: str) -> Any:
-    text = GROUPS[name]
-    group = top.add_parser(name, help=text, description=text, epilog=EXIT_TEXT)
+def _add_group(subparsers: Any, name: str) -> Any:
+    summary = COMMAND_GROUPS[name]
+    group = subparsers.add_parser(
+        name, help=summary, description=summary, epilog=EXIT_STATUS_HELP
+    )
     return group.add_subparsers(title="commands", metavar="COMMAND", required=True)
 
 
-def _add_command(place: Any, name: str, command: Command) -> None:
-    parser = place.add_parser(
-        name, help=command.text, description=command.text, epilog=EXIT_TEXT
+def _add_command(parent: Any, name: str, command: Command) -> None:
+    parser = parent.add_parser(
+        name, help=command.summary, description=command.summary, epilog=EXIT_STATUS_HELP
     )
     for argument in command.arguments:
         parser.add_argument(*argument.flags, **argument.options)
--- a/primroseglade/cli/registry.py
+++ b/primroseglade/cli/registry.py
@@ -1,4 +1,4 @@
-"""Commands by name; each module of commands registers its own."""
+"""Registry of commands by name; each command module registers its own."""
 
 import argparse
 from collections.abc import Awaitable, Callable
@@ -6,21 +6,21 @@
 from ..environment import Environment
 from ..exits import ExitStatus
 
-Run = Callable[[argparse.Namespace, Environment], Awaitable[ExitStatus]]
+CommandFunction = Callable[[argparse.Namespace, Environment], Awaitable[ExitStatus]]
 
-_commands: dict[str, Run] = {}
+_commands: dict[str, CommandFunction] = {}
 
 
-def command(name: str) -> Callable[[Run], Run]:
-    """Register what the command of this name does."""
+def command(name: str) -> Callable[[CommandFunction], CommandFunction]:
+    """Register the decorated function under a command's name."""
 
-    def register(run_command: Run) -> Run:
+    def register(run_command: CommandFunction) -> CommandFunction:
         _commands[name] = run_command
         return run_command
 
     return register
 
 
-def find_command(name: str) -> Run:
-    """Return what the command of this name does."""
+def find_command(name: str) -> CommandFunction:
+    """Return the function registered under a command's name."""
     return _commands[name]
--- a/primroseglade/cli/stand_in.py
+++ b/primroseglade/cli/stand_in.py
@@ -1,4 +1,4 @@
-"""``primroseglade stand-in``."""
+"""Implements ``primroseglade stand-in``."""
 
 import argparse
 import asyncio
@@ -13,7 +13,7 @@
 
 @command("stand-in log")
 async def run_log(options: argparse.Namespace, environment: Environment) -> ExitStatus:
-    """Run the log's stand-in until it is told to stop."""
+    """Run the stand-in for the log until SIGTERM or SIGINT."""
     log = LogStandIn(options.listen, options.retention)
     environment.warn(f"log on {log.address}")
     await _run_until_stopped(log)
@@ -24,7 +24,7 @@
 async def run_backend(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
-    """Run a backend server's stand-in until it is told to stop."""
+    """Run the stand-in for a backend server until SIGTERM or SIGINT."""
     behaviour = Behaviour(
         work=options.work, slots=options.slots, nested=tuple(options.nested)
     )
@@ -37,12 +37,12 @@
 
 
 async def _run_until_stopped(stand_in: LogStandIn | BackendStandIn) -> None:
-    stopping = build_stop_event()
-    running = asyncio.create_task(stand_in.run())
-    waiting = asyncio.create_task(stopping.wait())
-    await asyncio.wait({running, waiting}, return_when=asyncio.FIRST_COMPLETED)
-    if isinstance(stand_in, BackendStandIn) and not running.done():
+    stop_requested = build_stop_event()
+    run_task = asyncio.create_task(stand_in.run())
+    stop_task = asyncio.create_task(stop_requested.wait())
+    await asyncio.wait({run_task, stop_task}, return_when=asyncio.FIRST_COMPLETED)
+    if isinstance(stand_in, BackendStandIn) and not run_task.done():
         await stand_in.drain()
     stand_in.stop()
-    waiting.cancel()
-    await running
+    stop_task.cancel()
+    await run_task
--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -1,4 +1,4 @@
-"""Log lines to standard output that never keep the process waiting."""
+"""A log handler that writes JSON lines and never blocks the process."""
 
 import asyncio
 import collections
@@ -9,19 +9,19 @@
 
 from .events import LINES_DROPPED
 
-# Lines of one event that are written in a second; the rest is counted. A day of
-# refusals would otherwise cost more processor time than the requests.
-LINES_A_SECOND = 20
-# Bytes that may wait for a reader that is slow or has stopped.
-BUFFERED_BYTES = 256 * 1024
-FLUSH_SECONDS = 0.1
+# Per kind of event; further lines are dropped and counted. During a long overload,
+# logging every refusal would cost more processor time than the requests.
+MAX_LINES_PER_SECOND = 20
+# Limits the memory used while the reader of the stream is slow or has stopped.
+MAX_BUFFERED_BYTES = 256 * 1024
+FLUSH_DELAY_SECONDS = 0.1
 
 
 class LineHandler(logbook.Handler):
-    """Writes events as JSON lines, bounded in number and never blocking.
+    """Writes events as JSON lines, limited in rate and without blocking.
 
     Args:
-        descriptor: Of the stream; it is set not to block.
+        descriptor: File descriptor of the stream; it is made non-blocking.
     """
 
     def __init__(self, descriptor: int = 1):
@@ -29,46 +29,46 @@
         self._descriptor = descriptor
         self._encode = msgspec.json.Encoder().encode
         self._buffer = bytearray()
-        self._second = 0
-        self._written: collections.Counter[int] = collections.Counter()
-        self._left_out: collections.Counter[int] = collections.Counter()
-        self._flushing = False
+        self._current_second = 0
+        self._lines_this_second: collections.Counter[int] = collections.Counter()
+        self._dropped: collections.Counter[int] = collections.Counter()
+        self._flush_scheduled = False
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write one event, or count it."""
+        """Buffer one event, or count it as dropped if its rate is over the limit."""
         entry = record.extra["entry"] or {"event": 0, "text": record.message}
         number = entry["event"]
         second = int(entry.get("time", 0))
-        if second != self._second:
+        if second != self._current_second:
             self._start_second(second)
-        self._written[number] += 1
-        if self._written[number] > LINES_A_SECOND:
-            self._left_out[number] += 1
+        self._lines_this_second[number] += 1
+        if self._lines_this_second[number] > MAX_LINES_PER_SECOND:
+            self._dropped[number] += 1
             return
         self._append(entry)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        self._flushing = False
+        """Write as much of the buffer as the reader accepts without blocking."""
+        self._flush_scheduled = False
         while self._buffer:
             try:
-                count = os.write(self._descriptor, self._buffer[: 64 * 1024])
+                written_bytes = os.write(self._descriptor, self._buffer[: 64 * 1024])
             except BlockingIOError:
-                self._schedule()
+                self._schedule_flush()
                 return
             except OSError:
-                # Nobody reads any more. There is no other place to tell it.
+                # The reader closed the stream; there is nowhere else to log this.
                 self._buffer.clear()
                 return
-            del self._buffer[:count]
+            del self._buffer[:written_bytes]
 
     def _start_second(self, second: int) -> None:
-        self._second = second
-        self._written.clear()
-        if self._left_out:
-            counts = {str(number): n for number, n in self._left_out.items()}
-            self._left_out.clear()
+        self._current_second = second
+        self._lines_this_second.clear()
+        if self._dropped:
+            counts = {str(number): n for number, n in self._dropped.items()}
+            self._dropped.clear()
             self._append(
                 {
                     "time": second,
@@ -80,19 +80,19 @@
             )
 
     def _append(self, entry: dict[str, object]) -> None:
-        if len(self._buffer) > BUFFERED_BYTES:
-            self._left_out[int(str(entry["event"]))] += 1
+        if len(self._buffer) > MAX_BUFFERED_BYTES:
+            self._dropped[int(str(entry["event"]))] += 1
             return
         self._buffer += self._encode(entry) + b"\n"
-        self._schedule()
+        self._schedule_flush()
 
-    def _schedule(self) -> None:
-        if self._flushing:
+    def _schedule_flush(self) -> None:
+        if self._flush_scheduled:
             return
         try:
             loop = asyncio.get_running_loop()
         except RuntimeError:
             self.flush()
             return
-        self._flushing = True
-        loop.call_later(FLUSH_SECONDS, self.flush)
+        self._flush_scheduled = True
+        loop.call_later(FLUSH_DELAY_SECONDS, self.flush)
--- a/primroseglade/observe/traces.py
+++ b/primroseglade/observe/traces.py
@@ -1,4 +1,4 @@
-"""Spans, one a hop, with W3C trace context in and out."""
+"""One span per hop, with W3C trace context propagated in and out."""
 
 import collections
 import contextlib
@@ -14,7 +14,7 @@
 
 from ..verdicts import Refusal
 
-SAMPLED = 0x01
+SAMPLED_FLAG = 0x01
 TRACEPARENT_LENGTH = 55
 
 
@@ -33,7 +33,7 @@
 
 
 def parse_traceparent(text: str) -> TraceParent | None:
-    """Parse a header; None where it is absent or malformed, as the standard asks.
+    """Parse a header; return None if it is absent or malformed, as W3C requires.
 
     >>> str(parse_traceparent("00-" + "a" * 32 + "-" + "b" * 16 + "-01"))[-6:]
     'bbb-01'
@@ -50,7 +50,7 @@
         return None
     if not all(ids) or parts[0] == "ff":
         return None
-    return TraceParent(parts[1], parts[2], bool(flags & SAMPLED))
+    return TraceParent(parts[1], parts[2], bool(flags & SAMPLED_FLAG))
 
 
 def generate_trace_id() -> str:
@@ -63,42 +63,44 @@
     return f"{random.getrandbits(64) or 1:016x}"
 
 
-class _Recent(SpanProcessor):
-    """Keeps the last spans for the operator address; nothing is sent elsewhere."""
+class _RecentSpans(SpanProcessor):
+    """Keeps the last spans for the operator address; none are exported."""
 
-    def __init__(self, kept: int):
-        self.spans: collections.deque[ReadableSpan] = collections.deque(maxlen=kept)
+    def __init__(self, max_spans: int):
+        self.spans: collections.deque[ReadableSpan] = collections.deque(
+            maxlen=max_spans
+        )
 
     def on_end(self, span: ReadableSpan) -> None:
         self.spans.append(span)
 
 
 class Tracer:
-    """Makes an instance's spans.
+    """Creates and keeps an instance's spans.
 
     Args:
         instance: Name of the instance.
-        sampled: Share of root calls that are traced where the caller says nothing.
-        kept: How many spans are kept.
+        sample_ratio: Fraction of root calls traced if the caller does not decide.
+        max_spans: Number of ended spans kept.
     """
 
-    def __init__(self, instance: str, sampled: float, kept: int):
-        self._sampled = sampled
-        self._recent = _Recent(kept)
+    def __init__(self, instance: str, sample_ratio: float, max_spans: int):
+        self._sample_ratio = sample_ratio
+        self._recent = _RecentSpans(max_spans)
         resource = Resource.create({"service.instance.id": instance})
         provider = TracerProvider(sampler=ALWAYS_ON, resource=resource)
         provider.add_span_processor(self._recent)
         self._tracer = provider.get_tracer("primroseglade")
 
     def sample(self) -> bool:
-        """Decide whether a root call is traced."""
-        return random.random() < self._sampled
+        """Decide whether to trace a root call whose caller does not decide."""
+        return random.random() < self._sample_ratio
 
     def start(self, name: str, parent: TraceParent) -> Span | None:
-        """Start a span, or return None for a call that is not traced.
+        """Start a span, or return None if the call is not traced.
 
-        A call that is not traced costs no span at all: with the SDK's own sampler
-        it would cost most of one.
+        The decision is made before the SDK is called: with the SDK's own sampler, a
+        call that is not traced would cost almost as much as a span.
         """
         if not parent.sampled:
             return None
@@ -106,17 +108,17 @@
             trace_id=int(parent.trace, 16),
             span_id=int(parent.parent, 16),
             is_remote=True,
-            trace_flags=TraceFlags(SAMPLED),
+            trace_flags=TraceFlags(SAMPLED_FLAG),
         )
-        around = trace.set_span_in_context(NonRecordingSpan(context))
-        return self._tracer.start_span(name, context=around)
+        parent_context = trace.set_span_in_context(NonRecordingSpan(context))
+        return self._tracer.start_span(name, context=parent_context)
 
     @contextlib.contextmanager
     def trace(self, name: str, parent: TraceParent, workspace: str) -> Iterator[str]:
-        """Run a block inside a span; a refusal that leaves it is noted in the span.
+        """Run a block inside a span; record a refusal raised in it as attributes.
 
         Yields:
-            The span's id in hex, empty where the call is not traced.
+            Id of the span in hex, empty if the call is not traced.
         """
         span = self.start(name, parent)
         if span is None:
@@ -133,7 +135,7 @@
             span.end()
 
     def find(self, trace_id: str) -> list[dict[str, Any]]:
-        """Return the kept spans of a trace, oldest first."""
+        """Return the kept spans of a trace, in the order in which they ended."""
         wanted = int(trace_id, 16)
         return [
             {
--- a/primroseglade/settings/reader.py
+++ b/primroseglade/settings/reader.py
@@ -11,24 +11,25 @@
 from ..addresses import parse_address
 from ..errors import InputError
 
-formats = FormatChecker(formats=())
+_format_checker = FormatChecker(formats=())
 
 
-@formats.checks("address", raises=ValueError)
+@_format_checker.checks("address", raises=ValueError)
 def _is_address(value: Any) -> bool:
     return not isinstance(value, str) or bool(parse_address(value))
 
 
-@formats.checks("network", raises=ValueError)
+@_format_checker.checks("network", raises=ValueError)
 def _is_network(value: Any) -> bool:
     return not isinstance(value, str) or bool(ipaddress.ip_network(value))
 
 
 def read_file(path: str) -> Any:
-    """Read a file of JSON with comments.
+    """Read and parse a file of JSON with comments.
 
     Raises:
-        InputError: It cannot be read, is not JSON, or names a field twice.
+        InputError: The file cannot be read or is not JSON, or an object has a
+            duplicate field.
     """
     try:
         text = pathlib.Path(path).read_text(encoding="utf-8")
@@ -43,40 +44,46 @@
     """Parse JSON with comments.
 
     Args:
-        text: The text.
-        source: Its name in errors.
+        text: Text to parse.
+        source: Name of the file in errors.
 
     Raises:
-        InputError: The text is not JSON, or an object names a field twice.
+        InputError: The text is not JSON, or an object has a duplicate field.
     """
 
-    def refuse_repeats(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
+    def reject_duplicates(pairs: list[tuple[str, Any]]) -> dict[str, Any]:
         fields = dict(pairs)
         if len(fields) != len(pairs):
             names = [name for name, _ in pairs]
-            twice = next(name for name in names if names.count(name) > 1)
-            raise InputError(source, "", f"field {twice!r} stands twice")
+            duplicate = next(name for name in names if names.count(name) > 1)
+            raise InputError(source, "", f"duplicate field {duplicate!r}")
         return fields
 
     try:
-        return jsonc.loads(text, object_pairs_hook=refuse_repeats)
+        return jsonc.loads(text, object_pairs_hook=reject_duplicates)
     except jsonc.JSONDecodeError as error:
-        place = f"line {error.lineno} column {error.colno}"
-        raise InputError(source, "", f"not JSON: {error.msg} at {place}") from error
+        position = f"line {error.lineno} column {error.colno}"
+        raise InputError(source, "", f"not JSON: {error.msg} at {position}") from error
     except RecursionError as error:
         raise InputError(source, "", "is nested too deeply") from error
 
 
 def build_validator(schema: dict[str, Any]) -> Draft202012Validator:
-    """Build a validator that knows the formats ``address`` and ``network``."""
-    return Draft202012Validator(schema, format_checker=formats)
+    """Return a validator that also checks the formats ``address`` and ``network``."""
+    return Draft202012Validator(schema, format_checker=_format_checker)
 
 
 def check(value: Any, validator: Draft202012Validator, source: str) -> None:
-    """Check a value and name the first thing wrong with it.
+    """Check a value against a schema.
+
+    Args:
+        value: Parsed JSON.
+        validator: Validator of the schema.
+        source: Name of the file in errors.
 
     Raises:
-        InputError: With the path, the reason and what was expected there.
+        InputError: The most relevant error: its path, the reason, and what was
+            expected there.
     """
     error = best_match(validator.iter_errors(value))
     if error is None:
@@ -86,7 +93,7 @@
 
 
 def fill_defaults(value: Any, schema: dict[str, Any]) -> Any:
-    """Return the value with the schema's defaults put where fields are absent.
+    """Return the value with the schema's defaults for absent fields.
 
     >>> fill_defaults({}, {"properties": {"seconds": {"default": 2}}})
     {'seconds': 2}
@@ -118,7 +125,7 @@
     text = repr(error.instance)
     if len(text) > 60:
         text = text[:57] + "..."
-    return f"{text} does not fit"
+    return f"{text} is not valid"
 
 
 def _describe_expected(error: ValidationError) -> str:
@@ -127,6 +134,6 @@
         return "one of " + ", ".join(known)
     if error.validator == "required":
         return "required: " + ", ".join(error.validator_value)
-    described = error.schema.get("description", "")
+    description = error.schema.get("description", "")
     rule = f"{error.validator} {error.validator_value}"
-    return f"{described.rstrip('.')}; {rule}" if described else rule
+    return f"{description.rstrip('.')}; {rule}" if description else rule
