--- a/primroseglade/document/checks.py
+++ b/primroseglade/document/checks.py
@@ -11,7 +11,7 @@
 Check = Callable[[Document, Changes], None]
 
 # Shares are written as decimal fractions, whose sum may miss 1 by rounding.
-SHARE_TOLERANCE = 1e-9
+SHARE_SUM_TOLERANCE = 1e-9
 
 _checks: list[Check] = []
 
@@ -32,7 +32,7 @@
         check(document, changes)
 
 
-def _stands(document: Document, changes: Changes, section: str) -> bool:
+def _is_present(document: Document, changes: Changes, section: str) -> bool:
     if section in changes:
         return changes[section] is not None
     known = document.sections.get(section)
@@ -42,49 +42,51 @@
 @cross_check
 def _check_shares(document: Document, changes: Changes) -> None:
     shares = dict(document.shares)
-    touched = False
+    zones_changed = False
     for section, value in changes.items():
         kind, name = split_section(section)
         if kind == "zones":
-            touched = True
+            zones_changed = True
             shares[name] = value["share"] if value else 0.0
-    if touched and sum(shares.values()) > 1 + SHARE_TOLERANCE:
+    if zones_changed and sum(shares.values()) > 1 + SHARE_SUM_TOLERANCE:
         total = round(sum(shares.values()), 6)
         raise InputError("zones", "", f"shares add up to {total}", "1 at the most")
 
 
 @cross_check
-def _check_owners(document: Document, changes: Changes) -> None:
-    owners = {"rates": "workspaces", "importance": "services"}
+def _check_parent_sections(document: Document, changes: Changes) -> None:
+    parent_kinds = {"rates": "workspaces", "importance": "services"}
     for section, value in changes.items():
         kind, name = split_section(section)
-        owner = owners.get(kind)
-        if owner and value is not None:
-            if not _stands(document, changes, f"{owner}/{name}"):
-                raise InputError(section, "", f"there is no section {owner}/{name}")
+        parent = parent_kinds.get(kind)
+        if parent and value is not None:
+            if not _is_present(document, changes, f"{parent}/{name}"):
+                raise InputError(section, "", f"there is no section {parent}/{name}")
 
 
 @cross_check
 def _check_keys(document: Document, changes: Changes) -> None:
-    owners: dict[str, str] = {}
+    workspaces_by_key: dict[str, str] = {}
     for section, value in changes.items():
         kind, name = split_section(section)
         if kind != "workspaces" or value is None:
             continue
         for item in value["keys"]:
-            owner = _find_other_owner(document, changes, item) or owners.get(item["id"])
-            owner = owner or owners.get(item["digest"])
-            if owner:
-                reason = f"key {item['id']!r} stands in workspace {owner!r} already"
+            holder = _find_workspace_with_key(
+                document, changes, item
+            ) or workspaces_by_key.get(item["id"])
+            holder = holder or workspaces_by_key.get(item["digest"])
+            if holder:
+                reason = f"key {item['id']!r} is already in workspace {holder!r}"
                 raise InputError(section, "/keys", reason)
-            owners[item["id"]] = owners[item["digest"]] = name
+            workspaces_by_key[item["id"]] = workspaces_by_key[item["digest"]] = name
 
 
-def _find_other_owner(
+def _find_workspace_with_key(
     document: Document, changes: Changes, item: dict[str, Any]
 ) -> str | None:
     """Return the workspace outside the edit in which the key stands."""
-    for key in (document.find_key_id(item["id"]), document.find_key(item["digest"])):
+    for key in (document.find_key_by_id(item["id"]), document.find_key(item["digest"])):
         if key and f"workspaces/{key.workspace}" not in changes:
             return key.workspace
     return None
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -76,7 +76,7 @@
         self.method = method
         self.importance = importance
 
-    def fits(self, method: str, path: str) -> bool:
+    def matches(self, method: str, path: str) -> bool:
         """Whether a call is on this route."""
         return path.startswith(self.path) and self.method in ("", method)
 
@@ -96,7 +96,7 @@
         ]
 
 
-class RoutesOfService:
+class ServiceRoutes:
     """The importance of a service's routes."""
 
     __slots__ = ("default", "routes")
@@ -146,7 +146,7 @@
         self._keys: dict[str, Key] = {}
         self._keys_by_id: dict[str, Key] = {}
         self._services: dict[str, Service] = {}
-        self._routes: dict[str, RoutesOfService] = {}
+        self._routes: dict[str, ServiceRoutes] = {}
         self._rates: dict[str, Rate] = {}
         self._shares: dict[str, float] = {}
         self._recalls: dict[str, Recall] = {}
@@ -179,7 +179,7 @@
         self._sections[name] = section
         _indexers[kind](self, own_name, previous and previous.value, section.value)
 
-    def find_key_id(self, key: str) -> Key | None:
+    def find_key_by_id(self, key: str) -> Key | None:
         """Return the key with this id."""
         return self._keys_by_id.get(key)
 
@@ -213,7 +213,7 @@
         if routes is None:
             return Importance.NORMAL
         for route in routes.routes:
-            if route.fits(method, path):
+            if route.matches(method, path):
                 return route.importance
         return routes.default
 
@@ -236,7 +236,7 @@
             for recall in self._recalls.values()
         )
 
-    def iterate_standing(self) -> Iterator[tuple[str, Section]]:
+    def iterate_present(self) -> Iterator[tuple[str, Section]]:
         """Yield the sections that were not taken out."""
         for name, section in self._sections.items():
             if section.value is not None:
@@ -248,7 +248,7 @@
 _indexers: dict[str, Indexer] = {}
 
 
-def indexes(kind: str) -> Callable[[Indexer], Indexer]:
+def indexer_for(kind: str) -> Callable[[Indexer], Indexer]:
     """Register what keeps a kind's indexes: called with name, old and new value."""
 
     def register(indexer: Indexer) -> Indexer:
@@ -258,50 +258,50 @@
     return register
 
 
-@indexes("workspaces")
+@indexer_for("workspaces")
 def _index_workspace(document: Document, name: str, old: Value, new: Value) -> None:
     for item in (old or {}).get("keys", ()):
         # A key that the same edit moved may stand under its new workspace already.
-        for index, mark in (
+        for index, index_key in (
             (document._keys, item["digest"]),
             (document._keys_by_id, item["id"]),
         ):
-            if mark in index and index[mark].workspace == name:
-                del index[mark]
+            if index_key in index and index[index_key].workspace == name:
+                del index[index_key]
     for item in (new or {}).get("keys", ()):
         key = Key(item["id"], name, item.get("batch", ""))
         document._keys[item["digest"]] = key
         document._keys_by_id[key.id] = key
-    _replace(document._stale_after, name, (new or {}).get("stale_after"))
+    _set_or_remove(document._stale_after, name, (new or {}).get("stale_after"))
 
 
-@indexes("rates")
+@indexer_for("rates")
 def _index_rate(document: Document, name: str, old: Value, new: Value) -> None:
     rate = new and Rate(new["per_second"], new["burst"])
-    _replace(document._rates, name, rate)
+    _set_or_remove(document._rates, name, rate)
 
 
-@indexes("zones")
+@indexer_for("zones")
 def _index_zone(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._shares, name, new and new["share"])
+    _set_or_remove(document._shares, name, new and new["share"])
 
 
-@indexes("services")
+@indexer_for("services")
 def _index_service(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._services, name, new and Service(name, new))
+    _set_or_remove(document._services, name, new and Service(name, new))
 
 
-@indexes("importance")
+@indexer_for("importance")
 def _index_importance(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._routes, name, new and RoutesOfService(new))
+    _set_or_remove(document._routes, name, new and ServiceRoutes(new))
 
 
-@indexes("recalls")
+@indexer_for("recalls")
 def _index_recall(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._recalls, name, new and Recall(new))
+    _set_or_remove(document._recalls, name, new and Recall(new))
 
 
-def _replace(index: dict[str, Any], name: str, value: Any) -> None:
+def _set_or_remove(index: dict[str, Any], name: str, value: Any) -> None:
     if value is None:
         index.pop(name, None)
     else:
--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -16,9 +16,9 @@
 from .schema import check_section, split_section
 
 # Outcomes kept for publishers who ask what became of their edit.
-OUTCOMES_KEPT = 1024
+MAX_OUTCOMES = 1024
 # Snapshots whose parts are still coming; a writer that died leaves one for good.
-SNAPSHOTS_OPEN = 4
+MAX_INCOMPLETE_SNAPSHOTS = 4
 
 
 class Conflict:
@@ -97,8 +97,8 @@
         self._document = Document()
         self._next_offset = 0
         self._outcomes: dict[str, Outcome] = {}
-        self._parts: dict[str, dict[int, SnapshotPart]] = {}
-        self._latest_snapshot = -1
+        self._incomplete_snapshots: dict[str, dict[int, SnapshotPart]] = {}
+        self._latest_snapshot_offset = -1
 
     @property
     def document(self) -> Document:
@@ -113,7 +113,7 @@
     @property
     def latest_snapshot(self) -> int:
         """Offset up to which the newest complete snapshot in the stream holds."""
-        return self._latest_snapshot
+        return self._latest_snapshot_offset
 
     def find_outcome(self, record: str) -> Outcome | None:
         """Return what became of the record with this id, if it is still known."""
@@ -128,21 +128,21 @@
         if offset < self._next_offset:
             return Outcome(offset, "", False, "folded before")
         if is_snapshot(value):
-            outcome = self._take_snapshot_part(offset, value)
+            outcome = self._apply_snapshot_part(offset, value)
         else:
-            outcome = self._take_edit(offset, value)
+            outcome = self._apply_edit(offset, value)
         self._next_offset = offset + 1
-        self._remember(outcome)
+        self._store_outcome(outcome)
         return outcome
 
-    def _take_edit(self, offset: int, value: Any) -> Outcome:
+    def _apply_edit(self, offset: int, value: Any) -> Outcome:
         record = ""
         sections: tuple[str, ...] = ()
         try:
             edit = parse_edit(value)
             record = edit.id
             sections = tuple(change.section for change in edit.edits)
-            self._check(edit)
+            self._check_sections(edit)
         except InputError as error:
             return Outcome(offset, record, False, str(error), sections)
         conflicts = self._find_conflicts(edit)
@@ -154,7 +154,7 @@
             self._document.put(change.section, section)
         return Outcome(offset, record, True, "", sections)
 
-    def _check(self, edit: Edit) -> None:
+    def _check_sections(self, edit: Edit) -> None:
         changes = {}
         for change in edit.edits:
             split_section(change.section)
@@ -166,30 +166,32 @@
     def _find_conflicts(self, edit: Edit) -> list[Conflict]:
         conflicts = []
         for change in edit.edits:
-            known = self._document.sections.get(change.section)
-            version = known.version if known else None
+            current = self._document.sections.get(change.section)
+            version = current.version if current else None
             if version != change.base:
-                author = known.author if known else ""
-                record = known.record if known else ""
+                author = current.author if current else ""
+                record = current.record if current else ""
                 conflicts.append(
                     Conflict(change.section, change.base, version, author, record)
                 )
         return conflicts
 
-    def _take_snapshot_part(self, offset: int, value: Any) -> Outcome:
+    def _apply_snapshot_part(self, offset: int, value: Any) -> Outcome:
         try:
             part = parse_snapshot_part(value, self._secret)
         except (InputError, KeyError, TypeError, AttributeError) as error:
             return Outcome(offset, "", False, f"snapshot refused: {error}")
         if part.next_offset > offset:
             return Outcome(offset, part.id, False, "snapshot of a state to come")
-        parts = self._parts.setdefault(part.id, {})
+        parts = self._incomplete_snapshots.setdefault(part.id, {})
         parts[part.part] = part
-        while len(self._parts) > SNAPSHOTS_OPEN:
-            del self._parts[next(iter(self._parts))]
+        while len(self._incomplete_snapshots) > MAX_INCOMPLETE_SNAPSHOTS:
+            del self._incomplete_snapshots[next(iter(self._incomplete_snapshots))]
         if len(parts) == part.parts:
-            self._parts.pop(part.id, None)
-            self._latest_snapshot = max(self._latest_snapshot, part.next_offset)
+            self._incomplete_snapshots.pop(part.id, None)
+            self._latest_snapshot_offset = max(
+                self._latest_snapshot_offset, part.next_offset
+            )
         return Outcome(offset, part.id, True, "snapshot")
 
     def load(self, parts: list[SnapshotPart]) -> bool:
@@ -206,7 +208,9 @@
                 document.put(name, Section(*stored))
         self._document = document
         self._next_offset = parts[0].next_offset
-        self._latest_snapshot = max(self._latest_snapshot, self._next_offset)
+        self._latest_snapshot_offset = max(
+            self._latest_snapshot_offset, self._next_offset
+        )
         return True
 
     def build_snapshot(self) -> list[SnapshotPart]:
@@ -217,8 +221,8 @@
         }
         return split_snapshot(self._next_offset, stored)
 
-    def _remember(self, outcome: Outcome) -> None:
+    def _store_outcome(self, outcome: Outcome) -> None:
         if outcome.record and outcome.record not in self._outcomes:
             self._outcomes[outcome.record] = outcome
-        while len(self._outcomes) > OUTCOMES_KEPT:
+        while len(self._outcomes) > MAX_OUTCOMES:
             del self._outcomes[next(iter(self._outcomes))]
--- a/primroseglade/document/records.py
+++ b/primroseglade/document/records.py
@@ -9,18 +9,18 @@
 from ..errors import InputError
 from ..settings.reader import build_validator, check
 
-FORMAT = 1
+RECORD_FORMAT = 1
 # A record that the platform takes whole; larger states travel in several.
 SNAPSHOT_PART_BYTES = 256 * 1024
 
-_VERSION = {"type": ["integer", "null"], "minimum": 0}
+_VERSION_SCHEMA = {"type": ["integer", "null"], "minimum": 0}
 _edit_validator = build_validator(
     {
         "type": "object",
         "additionalProperties": False,
         "required": ["format", "id", "author", "edits"],
         "properties": {
-            "format": {"const": FORMAT, "description": "Format 1."},
+            "format": {"const": RECORD_FORMAT, "description": "Format 1."},
             "id": {"type": "string", "minLength": 1, "maxLength": 64},
             "author": {"type": "string", "minLength": 1, "maxLength": 64},
             "edits": {
@@ -32,7 +32,7 @@
                     "required": ["section", "base", "value"],
                     "properties": {
                         "section": {"type": "string"},
-                        "base": _VERSION,
+                        "base": _VERSION_SCHEMA,
                         "value": {"type": ["object", "null"]},
                     },
                 },
@@ -73,7 +73,7 @@
     def to_value(self) -> dict[str, Any]:
         """Return the record as the JSON value that is appended."""
         return {
-            "format": FORMAT,
+            "format": RECORD_FORMAT,
             "id": self.id,
             "author": self.author,
             "edits": [
@@ -141,7 +141,7 @@
             "parts": self.parts,
             "sections": self.sections,
         }
-        return {"format": FORMAT, "snapshot": body, "mac": _sign(body, secret)}
+        return {"format": RECORD_FORMAT, "snapshot": body, "mac": _sign(body, secret)}
 
 
 def parse_snapshot_part(value: Any, secret: bytes) -> SnapshotPart:
@@ -150,8 +150,8 @@
     Raises:
         InputError: Another format, a wrong signature or a wrong shape.
     """
-    if value.get("format") != FORMAT:
-        raise InputError("snapshot", "/format", "unknown format", str(FORMAT))
+    if value.get("format") != RECORD_FORMAT:
+        raise InputError("snapshot", "/format", "unknown format", str(RECORD_FORMAT))
     body = value["snapshot"]
     if not hmac.compare_digest(_sign(body, secret), str(value.get("mac"))):
         raise InputError("snapshot", "/mac", "is not signed with the fleet secret")
@@ -170,16 +170,16 @@
 ) -> list[SnapshotPart]:
     """Split a state into parts of about ``part_bytes`` bytes each."""
     groups: list[dict[str, Any]] = [{}]
-    size = 0
+    group_bytes = 0
     for name, stored in sections.items():
-        length = len(json.dumps(stored)) + len(name)
-        if size + length > part_bytes and groups[-1]:
+        section_bytes = len(json.dumps(stored)) + len(name)
+        if group_bytes + section_bytes > part_bytes and groups[-1]:
             groups.append({})
-            size = 0
+            group_bytes = 0
         groups[-1][name] = stored
-        size += length
-    identity = uuid.uuid4().hex
+        group_bytes += section_bytes
+    snapshot_id = uuid.uuid4().hex
     return [
-        SnapshotPart(identity, next_offset, number, len(groups), group)
+        SnapshotPart(snapshot_id, next_offset, number, len(groups), group)
         for number, group in enumerate(groups)
     ]
--- a/primroseglade/document/schema.py
+++ b/primroseglade/document/schema.py
@@ -10,11 +10,13 @@
 SECTION_NAME_PATTERN = r"^[a-z0-9][a-z0-9._-]{0,62}$"
 DIGEST_PATTERN = "^sha256:[0-9a-f]{64}$"
 
-_NAMES = {"type": "array", "items": NAME, "default": []}
-_IMPORTANCE = {"enum": list(IMPORTANCE_NAMES)}
+_NAME_LIST_SCHEMA = {"type": "array", "items": NAME, "default": []}
+_IMPORTANCE_SCHEMA = {"enum": list(IMPORTANCE_NAMES)}
 
 
-def _object(description: str, required: list[str], **properties: Any) -> dict[str, Any]:
+def _object_schema(
+    description: str, required: list[str], **properties: Any
+) -> dict[str, Any]:
     return {
         "type": "object",
         "description": description,
@@ -25,7 +27,7 @@
 
 
 SCHEMAS: dict[str, dict[str, Any]] = {
-    "zones": _object(
+    "zones": _object_schema(
         "An availability zone and its share of every rate and burst.",
         ["share"],
         share={
@@ -38,13 +40,13 @@
         },
         region=NAME | {"description": "Region that the zone is in."},
     ),
-    "workspaces": _object(
+    "workspaces": _object_schema(
         "A workspace and the digests of its keys.",
         ["keys"],
         keys={
             "type": "array",
             "description": "Keys that act for the workspace.",
-            "items": _object(
+            "items": _object_schema(
                 "One key.",
                 ["id", "digest"],
                 id=NAME | {"description": "Name of the key, unique in the document."},
@@ -64,7 +66,7 @@
             "older than this; absent: serve with what is known.",
         },
     ),
-    "rates": _object(
+    "rates": _object_schema(
         "What a workspace may ask for, summed over the whole fleet.",
         ["per_second", "burst"],
         per_second={
@@ -80,13 +82,13 @@
             "description": "Root calls beyond the rate in any window.",
         },
     ),
-    "services": _object(
+    "services": _object_schema(
         "A service, and which backend servers are trusted to serve it.",
         ["backend_servers"],
         backend_servers={
             "type": "array",
             "description": "Trusted backend servers.",
-            "items": _object(
+            "items": _object_schema(
                 "Backend servers of one network.",
                 ["network"],
                 network={
@@ -109,14 +111,15 @@
             "description": "Path prefixes whose POST and PATCH calls are idempotent.",
         },
     ),
-    "importance": _object(
+    "importance": _object_schema(
         "How important the calls of the service of this name are.",
         ["default"],
-        default=_IMPORTANCE | {"description": "Importance of every other route."},
+        default=_IMPORTANCE_SCHEMA
+        | {"description": "Importance of every other route."},
         routes={
             "type": "array",
             "description": "Routes of another importance; the first that fits counts.",
-            "items": _object(
+            "items": _object_schema(
                 "One route.",
                 ["path", "importance"],
                 path={
@@ -125,29 +128,30 @@
                     "description": "Prefix of the path within the service.",
                 },
                 method={"type": "string", "description": "Only this method."},
-                importance=_IMPORTANCE | {"description": "Importance of the route."},
+                importance=_IMPORTANCE_SCHEMA
+                | {"description": "Importance of the route."},
             ),
         },
     ),
-    "recalls": _object(
+    "recalls": _object_schema(
         "A batch withdrawn at once; it counts as long as the section stands.",
         [],
-        keys=_NAMES | {"description": "Ids of withdrawn keys."},
-        key_batches=_NAMES | {"description": "Batches of withdrawn keys."},
-        workspaces=_NAMES | {"description": "Withdrawn workspaces."},
+        keys=_NAME_LIST_SCHEMA | {"description": "Ids of withdrawn keys."},
+        key_batches=_NAME_LIST_SCHEMA | {"description": "Batches of withdrawn keys."},
+        workspaces=_NAME_LIST_SCHEMA | {"description": "Withdrawn workspaces."},
         backend_servers={
             "type": "array",
             "items": ADDRESS,
             "default": [],
             "description": "Withdrawn backend servers, IP:PORT.",
         },
-        backend_server_batches=_NAMES
+        backend_server_batches=_NAME_LIST_SCHEMA
         | {"description": "Batches of withdrawn backend servers."},
         note={"type": "string", "maxLength": 500, "description": "Why, for people."},
     ),
 }
 
-KINDS = tuple(SCHEMAS)
+SECTION_KINDS = tuple(SCHEMAS)
 
 _validators = {kind: build_validator(schema) for kind, schema in SCHEMAS.items()}
 _name_validator = build_validator(
@@ -161,7 +165,7 @@
     {
         "type": "object",
         "additionalProperties": False,
-        "properties": {kind: {"type": "object"} for kind in KINDS},
+        "properties": {kind: {"type": "object"} for kind in SECTION_KINDS},
     }
 )
 
@@ -177,7 +181,7 @@
     """
     kind, _, name = section.partition("/")
     if kind not in SCHEMAS:
-        expected = "one of " + ", ".join(KINDS)
+        expected = "one of " + ", ".join(SECTION_KINDS)
         raise InputError(section, "", f"unknown kind {kind!r}", expected)
     check(name, _name_validator, section)
     return kind, name
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -181,7 +181,7 @@
         place = await fleet.add("a", "archive")
         await fleet.wait(lambda: place.node.configuration.ready)
         document = place.node.configuration.document
-        assert document.find_key_id("north-key") is not None
+        assert document.find_key_by_id("north-key") is not None
         assert {"recalls/r0", "recalls/r1", "recalls/r2"} <= set(document.sections)
 
 
