--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -7,8 +7,8 @@
 
 from ..verdicts import Verdict
 
-KEPT_SECONDS = 900.0
-MOST_KEPT = 200_000
+RETENTION_SECONDS = 900.0
+MAX_OPERATIONS = 200_000
 
 
 class Decision(enum.IntEnum):
@@ -21,15 +21,15 @@
     MAY_HAVE_RUN = 4
 
 
-class Entry:
+class OperationState:
     """An operation: its last attempt, and what is known of all of them."""
 
-    __slots__ = ("attempt", "begun_at", "fate")
+    __slots__ = ("attempt", "decision", "started_at")
 
-    def __init__(self, attempt: int, begun_at: float):
+    def __init__(self, attempt: int, started_at: float):
         self.attempt = attempt
-        self.begun_at = begun_at
-        self.fate: Decision = Decision.RUNNING
+        self.started_at = started_at
+        self.decision: Decision = Decision.RUNNING
 
 
 class Record:
@@ -45,11 +45,13 @@
     """
 
     def __init__(
-        self, clock: Callable[[], float] = time.monotonic, kept: float = KEPT_SECONDS
+        self,
+        clock: Callable[[], float] = time.monotonic,
+        retention_seconds: float = RETENTION_SECONDS,
     ):
         self._clock = clock
-        self._kept = kept
-        self._entries: collections.OrderedDict[tuple[str, str], Entry] = (
+        self._retention_seconds = retention_seconds
+        self._entries: collections.OrderedDict[tuple[str, str], OperationState] = (
             collections.OrderedDict()
         )
 
@@ -58,23 +60,23 @@
 
     def begin(self, workspace: str, operation: str, attempt: int) -> Decision:
         """Decide on an attempt; ``RUN`` is said once an attempt at the most."""
-        self._forget_old()
+        self._evict_old()
         key = (workspace, operation)
         entry = self._entries.get(key)
         if entry is None:
             if attempt > 1:
                 return Decision.UNKNOWN
-            self._entries[key] = Entry(attempt, self._clock())
+            self._entries[key] = OperationState(attempt, self._clock())
             return Decision.RUN
-        if entry.fate is not Decision.UNKNOWN:
-            return entry.fate
+        if entry.decision is not Decision.UNKNOWN:
+            return entry.decision
         # Remembered as not run. An attempt that was overtaken by a later one, late
         # or sent twice, is not let through: the later one has its permission.
         if attempt <= entry.attempt:
             return Decision.MAY_HAVE_RUN
         entry.attempt = attempt
-        entry.fate = Decision.RUNNING
-        entry.begun_at = self._clock()
+        entry.decision = Decision.RUNNING
+        entry.started_at = self._clock()
         return Decision.RUN
 
     def finish(
@@ -84,18 +86,21 @@
         entry = self._entries.get((workspace, operation))
         if entry is None or entry.attempt != attempt:
             return
-        if entry.fate is not Decision.RUNNING:
+        if entry.decision is not Decision.RUNNING:
             return
-        entry.fate = {
+        entry.decision = {
             Verdict.NOT_RUN: Decision.UNKNOWN,
             Verdict.RAN: Decision.RAN,
             Verdict.MAY_HAVE_RUN: Decision.MAY_HAVE_RUN,
         }[verdict]
 
-    def _forget_old(self) -> None:
-        oldest = self._clock() - self._kept
+    def _evict_old(self) -> None:
+        expired_before = self._clock() - self._retention_seconds
         while self._entries:
             key, entry = next(iter(self._entries.items()))
-            if entry.begun_at > oldest and len(self._entries) < MOST_KEPT:
+            if (
+                entry.started_at > expired_before
+                and len(self._entries) < MAX_OPERATIONS
+            ):
                 return
             del self._entries[key]
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -7,7 +7,7 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
 from .record import Decision, Record
 
-TIMEOUT_SECONDS = 0.5
+REQUEST_TIMEOUT_SECONDS = 0.5
 
 
 class Recorder:
@@ -30,8 +30,8 @@
 
     def register(self, server: ControlServer) -> None:
         """Answer nodes whose operations are recorded here."""
-        server.register("Begin", self._answer_begin)
-        server.register("Finish", self._answer_finish)
+        server.register("Begin", self._handle_begin)
+        server.register("Finish", self._handle_finish)
 
     async def begin(self, workspace: str, operation: str, attempt: int) -> str:
         """Ask whether an attempt may run.
@@ -42,23 +42,30 @@
         Raises:
             Refusal: It may not; the verdict says what is known of the operation.
         """
-        name = self._find(workspace, operation)
-        if name == self._members.own.instance:
+        instance = self._find_recording_instance(workspace, operation)
+        if instance == self._members.own.instance:
             decision = self._record.begin(workspace, operation, attempt)
         else:
-            decision = await self._ask(name, workspace, operation, attempt)
+            decision = await self._request_decision(
+                instance, workspace, operation, attempt
+            )
         if decision is not Decision.RUN:
-            raise _refuse(decision)
-        return name
+            raise _build_refusal(decision)
+        return instance
 
     async def finish(
-        self, name: str, workspace: str, operation: str, attempt: int, verdict: Verdict
+        self,
+        instance: str,
+        workspace: str,
+        operation: str,
+        attempt: int,
+        verdict: Verdict,
     ) -> None:
         """Tell the recording instance what became of an attempt."""
-        if name == self._members.own.instance:
+        if instance == self._members.own.instance:
             self._record.finish(workspace, operation, attempt, verdict)
             return
-        member = self._members.get(name)
+        member = self._members.get(instance)
         if member is None:
             return
         request = pb.FinishRequest(
@@ -69,16 +76,16 @@
         )
         try:
             await self._client.call(
-                member.control, "Finish", request, TIMEOUT_SECONDS, name
+                member.control, "Finish", request, REQUEST_TIMEOUT_SECONDS, instance
             )
         except PeerError:
             # It goes on remembering the attempt as running, and refuses later ones.
             return
 
-    async def _ask(
-        self, name: str, workspace: str, operation: str, attempt: int
+    async def _request_decision(
+        self, instance: str, workspace: str, operation: str, attempt: int
     ) -> Decision:
-        member = self._members.get(name)
+        member = self._members.get(instance)
         request = pb.BeginRequest(
             workspace=workspace, operation=operation, attempt=attempt
         )
@@ -86,29 +93,29 @@
             if member is None:
                 raise PeerError("the recording node is gone")
             reply = await self._client.call(
-                member.control, "Begin", request, TIMEOUT_SECONDS, name
+                member.control, "Begin", request, REQUEST_TIMEOUT_SECONDS, instance
             )
         except PeerError as error:
             # This attempt does not run. Were the answer lost, the recorder takes it
             # for running and refuses all later ones, which is safe.
             if attempt > 1:
-                raise _refuse(Decision.UNKNOWN) from error
+                raise _build_refusal(Decision.UNKNOWN) from error
             detail = "the node that records the operation does not answer"
             raise not_run(Reason.RECORDER_UNREACHABLE, detail, 1.0) from error
         return Decision(reply.decision)
 
-    def _find(self, workspace: str, operation: str) -> str:
+    def _find_recording_instance(self, workspace: str, operation: str) -> str:
         own = self._members.own
         names = [member.instance for member in self._members.get_reachable(own.zone)]
         return rank(f"operations/{workspace}/{operation}", names, 1)[0]
 
-    async def _answer_begin(self, request: pb.BeginRequest, _: str) -> pb.BeginReply:
+    async def _handle_begin(self, request: pb.BeginRequest, _: str) -> pb.BeginReply:
         decision = self._record.begin(
             request.workspace, request.operation, request.attempt
         )
         return pb.BeginReply(decision=int(decision))
 
-    async def _answer_finish(self, request: pb.FinishRequest, _: str) -> pb.FinishReply:
+    async def _handle_finish(self, request: pb.FinishRequest, _: str) -> pb.FinishReply:
         verdict = Verdict(request.verdict)
         self._record.finish(
             request.workspace, request.operation, request.attempt, verdict
@@ -116,7 +123,7 @@
         return pb.FinishReply()
 
 
-def _refuse(decision: Decision) -> Refusal:
+def _build_refusal(decision: Decision) -> Refusal:
     if decision is Decision.RAN:
         detail = "an earlier attempt at the operation ran"
         return Refusal(Reason.OPERATION_REPEATED, Verdict.RAN, detail)
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -18,21 +18,21 @@
     def start(self):
         self.records = [Record(), Record()]
         self.sent = 0
-        self.under_way: list[int] = []
+        self.in_transit: list[int] = []
         self.running: list[tuple[int, int, bool]] = []
-        self.told: list[tuple[int, int, Verdict]] = []
+        self.reported: list[tuple[int, int, Verdict]] = []
         self.runs = 0
 
     @rule()
     def send(self):
         self.sent += 1
-        self.under_way.append(self.sent)
+        self.in_transit.append(self.sent)
 
     @rule(which=st.integers(0, 50), recorder=st.integers(0, 1), ran=st.booleans())
     def arrive(self, which, recorder, ran):
-        if not self.under_way:
+        if not self.in_transit:
             return
-        attempt = self.under_way.pop(which % len(self.under_way))
+        attempt = self.in_transit.pop(which % len(self.in_transit))
         decision = self.records[recorder].begin("north", "op", attempt)
         if decision is Decision.RUN:
             self.runs += ran
@@ -49,12 +49,12 @@
         if unsure:
             verdict = Verdict.MAY_HAVE_RUN
         self.records[recorder].finish("north", "op", attempt, verdict)
-        self.told.append((recorder, attempt, verdict))
+        self.reported.append((recorder, attempt, verdict))
 
     @rule(which=st.integers(0, 50))
-    def tell_again(self, which):
-        if self.told:
-            recorder, attempt, verdict = self.told[which % len(self.told)]
+    def finish_again(self, which):
+        if self.reported:
+            recorder, attempt, verdict = self.reported[which % len(self.reported)]
             self.records[recorder].finish("north", "op", attempt, verdict)
 
     @rule(recorder=st.integers(0, 1))
@@ -116,7 +116,7 @@
 
 def test_memory_is_bounded_by_time():
     now = 0.0
-    record = Record(lambda: now, kept=10.0)
+    record = Record(lambda: now, retention_seconds=10.0)
     record.begin("north", "one", 1)
     now = 11.0
     record.begin("north", "two", 1)
