--- a/primroseglade/announcing.py
+++ b/primroseglade/announcing.py
@@ -12,9 +12,9 @@
 from .settings.reader import build_validator, check
 
 PREFIX = b"/-/"
-PATH = "/-/backend-server"
+ANNOUNCEMENT_PATH = "/-/backend-server"
 
-_validator = build_validator(
+_announcement_validator = build_validator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -36,7 +36,7 @@
     async def announce(request: Request) -> Response:
         try:
             fields = json.loads(await request.read() or b"null")
-            check(fields, _validator, "announcement")
+            check(fields, _announcement_validator, "announcement")
         except InputError as error:
             return answer_json(400, {"error": str(error)})
         except ValueError:
@@ -46,13 +46,13 @@
             return answer_json(403, {"error": problem})
         return answer_json(200, {"serving": backend.serving})
 
-    async def leave(_: Request) -> Response:
+    async def remove_announcement(_: Request) -> Response:
         backend.withdraw()
         return answer_json(200, {"serving": False})
 
     app = build_application()
-    app.router.add_put(PATH, as_handler(announce))
-    app.router.add_delete(PATH, as_handler(leave))
+    app.router.add_put(ANNOUNCEMENT_PATH, as_handler(announce))
+    app.router.add_delete(ANNOUNCEMENT_PATH, as_handler(remove_announcement))
     return app
 
 
--- a/primroseglade/client.py
+++ b/primroseglade/client.py
@@ -11,14 +11,14 @@
 from .calls.call import IDEMPOTENT_METHODS
 from .verdicts import may_have_run, not_run, Reason, Refusal, RETRIED_ELSEWHERE, Verdict
 
-ATTEMPTS = 3
-NODES_KEPT = 8
-AVOIDED_SECONDS = 2.0
-SHORTEST_PAUSE_SECONDS = 0.02
-CONNECT_SECONDS = 1.0
+MAX_ATTEMPTS = 3
+MAX_NODES_PER_SERVICE = 8
+EJECTION_SECONDS = 2.0
+MIN_BACKOFF_SECONDS = 0.02
+CONNECT_TIMEOUT_SECONDS = 1.0
 # Of the caller's own deadline the node is told a little less, so that its honest
 # refusal arrives before the caller gives up.
-MARGIN_SECONDS = 0.02
+DEADLINE_MARGIN_SECONDS = 0.02
 
 
 class Reply:
@@ -60,14 +60,14 @@
         nodes: list[str],
         key: str,
         timeout: float = 10.0,
-        attempts: int = ATTEMPTS,
+        attempts: int = MAX_ATTEMPTS,
     ):
         self._nodes = list(nodes)
         self._key = key
         self._timeout = timeout
         self._attempts = attempts
-        self._by_service: dict[str, list[str]] = {}
-        self._avoided: dict[str, float] = {}
+        self._nodes_by_service: dict[str, list[str]] = {}
+        self._ejected_until: dict[str, float] = {}
         self._session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> "Client":
@@ -109,15 +109,15 @@
         """
         deadline = time.monotonic() + (timeout or self._timeout)
         operation = operation or uuid.uuid4().hex
-        verdict = Verdict.NOT_RUN
+        overall_verdict = Verdict.NOT_RUN
         tried: set[str] = set()
         attempt = 0
         while True:
             attempt += 1
-            node = self._choose(service, tried)
+            node = self._choose_node(service, tried)
             tried.add(node)
             try:
-                return await self._try(
+                return await self._send_attempt(
                     node,
                     service,
                     path,
@@ -130,13 +130,13 @@
                 )
             except Refusal as refusal:
                 if refusal.verdict is not Verdict.NOT_RUN:
-                    verdict = refusal.verdict
-                refusal.verdict = verdict
+                    overall_verdict = refusal.verdict
+                refusal.verdict = overall_verdict
                 if not self._may_retry(refusal, method, attempt, deadline):
                     raise
-                await asyncio.sleep(_choose_pause(refusal, attempt, deadline))
+                await asyncio.sleep(_choose_retry_delay(refusal, attempt, deadline))
 
-    async def _try(
+    async def _send_attempt(
         self,
         node: str,
         service: str,
@@ -151,39 +151,47 @@
         remaining = deadline - time.monotonic()
         if remaining <= 0:
             raise not_run(Reason.DEADLINE_EXCEEDED, "the deadline passed before")
-        sent = headers | {
+        request_headers = headers | {
             "Authorization": f"Bearer {self._key}",
             "Primroseglade-Timeout-Ms": str(
-                max(1, int((remaining - MARGIN_SECONDS) * 1000))
+                max(1, int((remaining - DEADLINE_MARGIN_SECONDS) * 1000))
             ),
         }
         if method not in IDEMPOTENT_METHODS:
-            sent["Idempotency-Key"] = operation
-            sent["Primroseglade-Attempt"] = str(attempt)
-        bound = aiohttp.ClientTimeout(total=remaining, sock_connect=CONNECT_SECONDS)
+            request_headers["Idempotency-Key"] = operation
+            request_headers["Primroseglade-Attempt"] = str(attempt)
+        client_timeout = aiohttp.ClientTimeout(
+            total=remaining, sock_connect=CONNECT_TIMEOUT_SECONDS
+        )
         url = f"http://{node}/{service}{path}"
         try:
             async with self._get_session().request(
-                method, url, data=body or None, headers=sent, timeout=bound
+                method,
+                url,
+                data=body or None,
+                headers=request_headers,
+                timeout=client_timeout,
             ) as response:
                 content = await response.read()
-                found = {name.lower(): text for name, text in response.headers.items()}
+                response_headers = {
+                    name.lower(): text for name, text in response.headers.items()
+                }
                 status = response.status
         except aiohttp.ClientConnectorError as error:
-            self._avoided[node] = time.monotonic() + AVOIDED_SECONDS
+            self._ejected_until[node] = time.monotonic() + EJECTION_SECONDS
             raise not_run(Reason.CONNECTION_LOST, str(error)) from error
         except TimeoutError as error:
             detail = f"no whole answer of {node} in time"
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         except aiohttp.ClientError as error:
-            self._avoided[node] = time.monotonic() + AVOIDED_SECONDS
+            self._ejected_until[node] = time.monotonic() + EJECTION_SECONDS
             raise may_have_run(Reason.CONNECTION_LOST, str(error)) from error
-        self._learn(service, found)
-        refusal = parse_refusal(found)
+        self._update_nodes(service, response_headers)
+        refusal = parse_refusal(response_headers)
         if refusal is not None:
             refusal.detail = content.decode(errors="replace")
             raise refusal
-        return Reply(status, found, content, attempt)
+        return Reply(status, response_headers, content, attempt)
 
     def _may_retry(
         self, refusal: Refusal, method: str, attempt: int, deadline: float
@@ -196,23 +204,27 @@
             return True
         return method in IDEMPOTENT_METHODS
 
-    def _choose(self, service: str, tried: set[str]) -> str:
+    def _choose_node(self, service: str, tried: set[str]) -> str:
         """Return a node that serves the service itself, if one is known."""
         now = time.monotonic()
-        known = [*self._by_service.get(service, ()), *self._nodes]
-        fresh = [node for node in known if self._avoided.get(node, 0) <= now]
-        better = [node for node in fresh if node not in tried]
-        near = [n for n in better if n in self._by_service.get(service, ())]
-        return random.choice(near or better or fresh or known)
-
-    def _learn(self, service: str, headers: dict[str, str]) -> None:
-        told = [
+        candidates = [*self._nodes_by_service.get(service, ()), *self._nodes]
+        available = [
+            node for node in candidates if self._ejected_until.get(node, 0) <= now
+        ]
+        untried = [node for node in available if node not in tried]
+        serving = [n for n in untried if n in self._nodes_by_service.get(service, ())]
+        return random.choice(serving or untried or available or candidates)
+
+    def _update_nodes(self, service: str, headers: dict[str, str]) -> None:
+        announced = [
             node for node in headers.get("primroseglade-nodes", "").split(",") if node
         ]
-        if not told:
+        if not announced:
             return
-        kept = [n for n in self._by_service.get(service, ()) if n not in told]
-        self._by_service[service] = (told + kept)[:NODES_KEPT]
+        kept = [
+            n for n in self._nodes_by_service.get(service, ()) if n not in announced
+        ]
+        self._nodes_by_service[service] = (announced + kept)[:MAX_NODES_PER_SERVICE]
 
     def _get_session(self) -> aiohttp.ClientSession:
         if self._session is None:
@@ -221,9 +233,9 @@
         return self._session
 
 
-def _choose_pause(refusal: Refusal, attempt: int, deadline: float) -> float:
+def _choose_retry_delay(refusal: Refusal, attempt: int, deadline: float) -> float:
     """Return seconds to wait: what the node asked for, if the deadline leaves it."""
-    backoff = SHORTEST_PAUSE_SECONDS * 2**attempt * random.uniform(0.5, 1.5)
-    pause = max(backoff, refusal.retry_after or 0.0)
-    left = deadline - time.monotonic()
-    return max(0.0, min(pause, left))
+    backoff = MIN_BACKOFF_SECONDS * 2**attempt * random.uniform(0.5, 1.5)
+    delay = max(backoff, refusal.retry_after or 0.0)
+    remaining = deadline - time.monotonic()
+    return max(0.0, min(delay, remaining))
--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -11,7 +11,7 @@
 
 # Longest time for a request's head to arrive.
 HEAD_SECONDS = 10.0
-SINGLE_HEADERS = frozenset(
+SINGLETON_HEADERS = frozenset(
     {b"authorization", b"content-length", b"host", b"transfer-encoding"}
 )
 
@@ -36,26 +36,29 @@
     def on_message_begin(self) -> None:
         super().on_message_begin()
         self._start_head_timer()
-        self._head_size = 0
-        self._seen: set[bytes] = set()
+        self._head_bytes = 0
+        self._seen_headers: set[bytes] = set()
 
     def on_url(self, url: bytes) -> None:
         super().on_url(url)
-        self._count(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         super().on_header(name, value)
-        self._count(len(name) + len(value))
+        self._count_head_bytes(len(name) + len(value))
         name = self.headers[-1][0]
-        if name in SINGLE_HEADERS:
-            if name in self._seen:
+        if name in SINGLETON_HEADERS:
+            if name in self._seen_headers:
                 raise not_run(
                     Reason.MALFORMED_REQUEST, f"header {name.decode()} stands twice"
                 )
-            self._seen.add(name)
+            self._seen_headers.add(name)
 
     def on_headers_complete(self) -> None:
-        if b"transfer-encoding" in self._seen and b"content-length" in self._seen:
+        if (
+            b"transfer-encoding" in self._seen_headers
+            and b"content-length" in self._seen_headers
+        ):
             raise not_run(
                 Reason.MALFORMED_REQUEST,
                 "both Transfer-Encoding and Content-Length are given",
@@ -66,8 +69,10 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._stop_head_timer()
-        busy = self.cycle is not None and not self.cycle.response_complete
-        on_disconnect = self.cycle.scope.get("on_disconnect") if busy else None
+        response_pending = self.cycle is not None and not self.cycle.response_complete
+        on_disconnect = (
+            self.cycle.scope.get("on_disconnect") if response_pending else None
+        )
         super().connection_lost(exc)
         if on_disconnect is not None:
             # Nobody waits for the answer any more: what the call holds is given
@@ -84,9 +89,9 @@
             # The request is served as if it had not asked to upgrade.
             return
         except httptools.HttpParserCallbackError as error:
-            self._refuse(error.__context__)
+            self._send_refusal(error.__context__)
         except httptools.HttpParserError as error:
-            self._refuse(error)
+            self._send_refusal(error)
 
     def _start_head_timer(self) -> None:
         self._stop_head_timer()
@@ -97,17 +102,17 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _count(self, size: int) -> None:
-        self._head_size += size
-        if self._head_size > self.header_bytes:
+    def _count_head_bytes(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > self.header_bytes:
             raise not_run(
                 Reason.HEADERS_TOO_LARGE,
                 f"the request head is over {self.header_bytes} bytes",
             )
 
-    def _refuse(self, error: BaseException | None) -> None:
-        busy = self.cycle is not None and not self.cycle.response_complete
-        if busy:
+    def _send_refusal(self, error: BaseException | None) -> None:
+        response_pending = self.cycle is not None and not self.cycle.response_complete
+        if response_pending:
             # An answer now would be taken for the one of the call in flight.
             self.transport.close()
             return
--- a/primroseglade/listener.py
+++ b/primroseglade/listener.py
@@ -17,8 +17,8 @@
 # how a caller that went away is told; what fails in a call is an event of its own.
 logging.getLogger("uvicorn").setLevel(logging.CRITICAL + 1)
 
-BACKLOG = 1024
-KEEP_ALIVE_SECONDS = 30
+ACCEPT_BACKLOG = 1024
+KEEP_ALIVE_TIMEOUT_SECONDS = 30
 
 
 def as_handler(
@@ -40,7 +40,7 @@
     return Application(router=Router())
 
 
-class _Server(uvicorn.Server):
+class _UvicornServer(uvicorn.Server):
     """A uvicorn server that leaves signals and the clock to its process."""
 
     def __init__(self, config: uvicorn.Config):
@@ -88,10 +88,10 @@
             log_config=None,
             server_header=False,
             date_header=False,
-            backlog=BACKLOG,
-            timeout_keep_alive=KEEP_ALIVE_SECONDS,
+            backlog=ACCEPT_BACKLOG,
+            timeout_keep_alive=KEEP_ALIVE_TIMEOUT_SECONDS,
         )
-        self._server = _Server(config)
+        self._server = _UvicornServer(config)
 
     @property
     def address(self) -> str:
--- a/primroseglade/operator_client.py
+++ b/primroseglade/operator_client.py
@@ -7,7 +7,7 @@
 from .addresses import parse_address
 from .errors import InputError, RefusedError, UnreachableError
 
-TIMEOUT_SECONDS = 10.0
+REQUEST_TIMEOUT_SECONDS = 10.0
 
 
 class OperatorClient:
@@ -25,7 +25,7 @@
             raise InputError("--node", "", str(error), "IP:PORT") from error
         self._address = address
         headers = {"Authorization": f"Bearer {token}"} if token else {}
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_SECONDS)
+        timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_SECONDS)
         self._session = aiohttp.ClientSession(headers=headers, timeout=timeout)
 
     async def __aenter__(self) -> "OperatorClient":
--- a/primroseglade/operator_pages.py
+++ b/primroseglade/operator_pages.py
@@ -16,11 +16,11 @@
 if TYPE_CHECKING:
     from .node import Node
 
-METRICS_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-LAST_DECISIONS = 100
-STATUS_SECONDS = 3.0
+METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
+MAX_DECISIONS = 100
+CONFIRMATION_TIMEOUT_SECONDS = 3.0
 
-PAGE = """<!doctype html>
+PAGE_TEMPLATE = """<!doctype html>
 <meta charset="utf-8">
 <title>{title}</title>
 <style>
@@ -59,32 +59,32 @@
             "/events": self._show_events,
         }
         for path, handler in routes.items():
-            app.router.add_get(path, as_handler(self._guard(handler)))
+            app.router.add_get(path, as_handler(self._require_token(handler)))
         return app
 
-    def _guard(self, handler: Any) -> Any:
+    def _require_token(self, handler: Any) -> Any:
         token = self._node.settings.operator_token
 
-        async def guarded(request: Request) -> Response:
-            given = request.get_first_header(AUTHORIZATION) or b""
-            wanted = f"Bearer {token}".encode()
-            if token and not hmac.compare_digest(given, wanted):
+        async def handle_authorized(request: Request) -> Response:
+            presented = request.get_first_header(AUTHORIZATION) or b""
+            expected = f"Bearer {token}".encode()
+            if token and not hmac.compare_digest(presented, expected):
                 return answer_json(401, {"error": "the operator token is missing"})
             return await handler(request)
 
-        return guarded
+        return handle_authorized
 
     async def _show_metrics(self, _: Request) -> Response:
         age = self._node.configuration.age
         self._node.metrics.configuration_age.set(min(age, 1e9))
-        content = Content(METRICS_TYPE, self._node.metrics.render())
+        content = Content(METRICS_CONTENT_TYPE, self._node.metrics.render())
         return Response(200, content=content)
 
     async def _show_status(self, _: Request) -> Response:
         return answer_json(200, self._node.describe())
 
     async def _show_confirmations(self, _: Request) -> Response:
-        status = await self._node.confirmer.ask(STATUS_SECONDS)
+        status = await self._node.confirmer.ask(CONFIRMATION_TIMEOUT_SECONDS)
         next_offset = self._node.configuration.next_offset
         answer = {
             "next_offset": next_offset,
@@ -137,7 +137,7 @@
         return answer_json(200, {"spans": spans, "decisions": decisions})
 
     async def _show_decisions(self, _: Request) -> Response:
-        return answer_json(200, self._node.decisions.get_last(LAST_DECISIONS))
+        return answer_json(200, self._node.decisions.get_last(MAX_DECISIONS))
 
     async def _show_events(self, _: Request) -> Response:
         return answer_json(200, self._node.journal.recent)
@@ -148,7 +148,7 @@
         parts = [_render_fields(name, value) for name, value in view.items()]
         parts.append(_render_table("members", members))
         parts.append(_render_table("events", self._node.journal.recent[-20:]))
-        page = PAGE.format(
+        page = PAGE_TEMPLATE.format(
             title=html.escape(self._node.settings.instance), body="\n".join(parts)
         )
         content = Content(b"text/html; charset=utf-8", page.encode())
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -8,8 +8,8 @@
 from .operator_client import OperatorClient
 from .platform.log import CONFIGURATION, LogClient, LogUnavailableError
 
-POLL_SECONDS = 0.05
-APPEND_PAUSE_SECONDS = 0.5
+POLL_INTERVAL_SECONDS = 0.05
+APPEND_RETRY_SECONDS = 0.5
 
 
 class Published:
@@ -77,11 +77,11 @@
     """
     edits = []
     for name, value in changes.items():
-        known = view["sections"].get(name)
-        base = known["version"] if known else None
+        current = view["sections"].get(name)
+        base = current["version"] if current else None
         if as_of is not None and base is not None and base >= as_of:
-            raise RefusedError(f"{name} was changed at {base} by {known['author']}")
-        if (known["value"] if known else None) != value:
+            raise RefusedError(f"{name} was changed at {base} by {current['author']}")
+        if (current["value"] if current else None) != value:
             edits.append(SectionEdit(name, base, value))
     return Edit(edits, author) if edits else None
 
@@ -99,14 +99,14 @@
         UnreachableError: No verdict in time; the edit may yet come into force.
     """
     clock = asyncio.get_running_loop().time
-    ends_at = clock() + wait
-    while clock() < ends_at:
+    deadline = clock() + wait
+    while clock() < deadline:
         try:
             await log.append(CONFIGURATION, edit.to_value())
-            bound = ends_at - clock()
+            outcome_timeout = deadline - clock()
         except LogUnavailableError:
-            bound = min(APPEND_PAUSE_SECONDS, ends_at - clock())
-        published = await _await_verdict(client, edit.id, bound)
+            outcome_timeout = min(APPEND_RETRY_SECONDS, deadline - clock())
+        published = await _wait_for_outcome(client, edit.id, outcome_timeout)
         if published is not None:
             return published
     raise UnreachableError(
@@ -119,32 +119,32 @@
 ) -> None:
     """Wait until all instances confirmed, and note those that did not."""
     clock = asyncio.get_running_loop().time
-    ends_at = clock() + wait
+    deadline = clock() + wait
     while True:
         view = await client.get("/confirmations")
         offsets = view["offsets"]
-        done = {name for name, n in offsets.items() if n > published.offset}
-        published.confirmed = sorted(done)
-        published.behind = sorted(set(offsets) - done)
+        confirmed = {name for name, n in offsets.items() if n > published.offset}
+        published.confirmed = sorted(confirmed)
+        published.behind = sorted(set(offsets) - confirmed)
         published.silent = view["silent"]
         published.everywhere = not published.behind and not published.silent
-        if published.everywhere or clock() > ends_at:
+        if published.everywhere or clock() > deadline:
             return
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
 
 
-async def _await_verdict(
+async def _wait_for_outcome(
     client: OperatorClient, record: str, wait: float
 ) -> Published | None:
     clock = asyncio.get_running_loop().time
-    ends_at = clock() + wait
+    deadline = clock() + wait
     while True:
         try:
             outcome = await client.get(f"/outcomes/{record}")
         except RefusedError:
-            if clock() > ends_at:
+            if clock() > deadline:
                 return None
-            await asyncio.sleep(POLL_SECONDS)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             continue
         return Published(
             outcome["record"],
--- a/primroseglade/reference.py
+++ b/primroseglade/reference.py
@@ -11,12 +11,12 @@
 from .settings.node import SCHEMA
 from .verdicts import Reason
 
-MADE = "This page is written by `python -m primroseglade.reference docs`.\n"
+GENERATED_NOTE = "This page is written by `python -m primroseglade.reference docs`.\n"
 
 
 def render_events() -> str:
     """Return the catalogue of events."""
-    lines = ["# Events", "", MADE]
+    lines = ["# Events", "", GENERATED_NOTE]
     lines.append(
         "A node logs numbered events with fields, as text or as JSON lines (setting "
         "`log/format`). Numbers are stable.\n"
@@ -31,7 +31,7 @@
 
 def render_metrics() -> str:
     """Return the list of metrics."""
-    lines = ["# Metrics", "", MADE]
+    lines = ["# Metrics", "", GENERATED_NOTE]
     lines.append("Served at `/metrics` of a node's operator address.\n")
     lines += ["| name | type | meaning |", "| --- | --- | --- |"]
     for name, kind, text in sorted(Metrics().describe()):
@@ -41,7 +41,13 @@
 
 def render_settings() -> str:
     """Return the settings of a node and the fields of the document."""
-    lines = ["# Settings and the document", "", MADE, "## Settings of a node", ""]
+    lines = [
+        "# Settings and the document",
+        "",
+        GENERATED_NOTE,
+        "## Settings of a node",
+        "",
+    ]
     lines += ["| path | default | unit | meaning |", "| --- | --- | --- | --- |"]
     required = set(SCHEMA["required"])
     lines += _render_fields("", SCHEMA["properties"], required)
@@ -56,7 +62,7 @@
 
 def render_refusals() -> str:
     """Return the reasons with which calls are refused."""
-    lines = ["# Refusals", "", MADE]
+    lines = ["# Refusals", "", GENERATED_NOTE]
     lines += ["| reason | status | title |", "| --- | --- | --- |"]
     for reason in Reason:
         lines.append(f"| `{reason.code}` | {reason.status} | {reason.title} |")
@@ -66,17 +72,17 @@
 def _render_fields(path: str, fields: dict[str, Any], required: set[str]) -> list[str]:
     lines = []
     for name, field in fields.items():
-        place = f"{path}/{name}"
+        field_path = f"{path}/{name}"
         items = field.get("items", {})
         nested = field.get("properties") or items.get("properties")
         default = "required" if name in required else field.get("default", "")
-        shown = "" if nested and default in ({}, []) else default
+        default_text = "" if nested and default in ({}, []) else default
         unit = field.get("unit", "")
         text = field.get("description", "")
-        lines.append(f"| `{place}` | {shown} | {unit} | {text} |")
+        lines.append(f"| `{field_path}` | {default_text} | {unit} | {text} |")
         if nested:
-            inner = set(field.get("required") or items.get("required") or ())
-            lines += _render_fields(place, nested, inner)
+            nested_required = set(field.get("required") or items.get("required") or ())
+            lines += _render_fields(field_path, nested, nested_required)
     return lines
 
 
--- a/primroseglade/supervisor.py
+++ b/primroseglade/supervisor.py
@@ -9,11 +9,11 @@
 FIRST_DELAY_SECONDS = 0.05
 LONGEST_DELAY_SECONDS = 5.0
 # A child that lives this long has recovered: its next failure counts as a first.
-HEALTHY_SECONDS = 30.0
-FAILURES_IN_A_ROW = 20
-CANCEL_AGAIN_SECONDS = 0.2
+FAILURE_RESET_SECONDS = 30.0
+MAX_CONSECUTIVE_FAILURES = 20
+CANCEL_RETRY_SECONDS = 0.2
 
-Work = Callable[[], Awaitable[None]]
+TaskFactory = Callable[[], Awaitable[None]]
 
 
 class Supervisor:
@@ -39,15 +39,17 @@
         """Names of the running children, oldest first."""
         return list(self._tasks)
 
-    def start(self, name: str, work: Work) -> None:
+    def start(self, name: str, work: TaskFactory) -> None:
         """Start a child under a name that no running child has."""
         if name in self._tasks:
             raise ValueError(f"{self._name} runs {name} already")
-        task = asyncio.create_task(self._keep(name, work), name=f"{self._name}/{name}")
+        task = asyncio.create_task(
+            self._run_with_restarts(name, work), name=f"{self._name}/{name}"
+        )
         self._tasks[name] = task
         task.add_done_callback(lambda _: self._tasks.pop(name, None))
 
-    def start_once(self, name: str, work: Work) -> None:
+    def start_once(self, name: str, work: TaskFactory) -> None:
         """Start a child unless one of this name runs."""
         if name not in self._tasks:
             self.start(name, work)
@@ -60,7 +62,7 @@
             # cancellation that meets its inner result, and the child then goes on.
             # It showed as a node that hung at its stop, one time in some dozens.
             task.cancel()
-            await asyncio.wait({task}, timeout=CANCEL_AGAIN_SECONDS)
+            await asyncio.wait({task}, timeout=CANCEL_RETRY_SECONDS)
 
     async def wait_failed(self) -> None:
         """Wait until a child has failed too often, and raise its error."""
@@ -73,7 +75,7 @@
         for name in reversed(self.children):
             await self.end(name)
 
-    async def _keep(self, name: str, work: Work) -> None:
+    async def _run_with_restarts(self, name: str, work: TaskFactory) -> None:
         clock = asyncio.get_running_loop().time
         failures = 0
         while True:
@@ -82,17 +84,17 @@
                 await work()
                 return
             except Exception as error:
-                if clock() - started > HEALTHY_SECONDS:
+                if clock() - started > FAILURE_RESET_SECONDS:
                     failures = 0
                 failures += 1
-                self._tell(name, error, failures)
-                if failures >= FAILURES_IN_A_ROW:
+                self._log_failure(name, error, failures)
+                if failures >= MAX_CONSECUTIVE_FAILURES:
                     self._give_up(name, error)
                     return
-            longest = min(LONGEST_DELAY_SECONDS, FIRST_DELAY_SECONDS * 2**failures)
-            await asyncio.sleep(random.uniform(longest / 2, longest))
+            max_delay = min(LONGEST_DELAY_SECONDS, FIRST_DELAY_SECONDS * 2**failures)
+            await asyncio.sleep(random.uniform(max_delay / 2, max_delay))
 
-    def _tell(self, name: str, error: Exception, failures: int) -> None:
+    def _log_failure(self, name: str, error: Exception, failures: int) -> None:
         self._journal.emit(
             TASK_FAILED,
             task=f"{self._name}/{name}",
