--- a/primroseglade/document/__init__.py
+++ b/primroseglade/document/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' document: sections, edits, and the fold of the log into it."""
+"""The operators' configuration document, built from the records of a log."""
--- a/primroseglade/document/checks.py
+++ b/primroseglade/document/checks.py
@@ -1,4 +1,4 @@
-"""Checks that need more than one section of the document."""
+"""Consistency checks across sections of the document."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,23 +10,27 @@
 Changes = dict[str, dict[str, Any] | None]
 Check = Callable[[Document, Changes], None]
 
-# Shares are written as decimal fractions, whose sum may miss 1 by rounding.
+# Shares are decimal fractions: rounding can put their sum slightly above 1.
 SHARE_SUM_TOLERANCE = 1e-9
 
 _checks: list[Check] = []
 
 
 def cross_check(check: Check) -> Check:
-    """Register a check of the document as it would stand with the changes."""
+    """Register a check of a document together with the changes to be made to it."""
     _checks.append(check)
     return check
 
 
 def check_changes(document: Document, changes: Changes) -> None:
-    """Run every check.
+    """Check that the document stays consistent after the changes.
+
+    Args:
+        document: The current document.
+        changes: Section name to its new value, or None to remove the section.
 
     Raises:
-        InputError: The changed document would contradict itself.
+        InputError: The changed document would be inconsistent.
     """
     for check in _checks:
         check(document, changes)
@@ -50,7 +54,7 @@
             shares[name] = value["share"] if value else 0.0
     if zones_changed and sum(shares.values()) > 1 + SHARE_SUM_TOLERANCE:
         total = round(sum(shares.values()), 6)
-        raise InputError("zones", "", f"shares add up to {total}", "1 at the most")
+        raise InputError("zones", "", f"shares add up to {total}", "at most 1")
 
 
 @cross_check
@@ -85,7 +89,7 @@
 def _find_workspace_with_key(
     document: Document, changes: Changes, item: dict[str, Any]
 ) -> str | None:
-    """Return the workspace outside the edit in which the key stands."""
+    """Return a workspace that has the key and is not part of the changes."""
     for key in (document.find_key_by_id(item["id"]), document.find_key(item["digest"])):
         if key and f"workspaces/{key.workspace}" not in changes:
             return key.workspace
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -1,4 +1,4 @@
-"""The document in force, indexed for the questions that a call asks."""
+"""The configuration document, indexed for the lookups that each call makes."""
 
 import hashlib
 import ipaddress
@@ -10,14 +10,14 @@
 
 
 class Section:
-    """A section as it stands, with the record that put it there.
+    """The current value of a section and the record that set it.
 
     Args:
-        value: Its value; None marks a section that was taken out, whose version
-            still guards against an old edit that is appended again.
-        version: Offset of that record.
-        author: Who wrote it.
-        record: The record's id.
+        value: The value, or None if the section was removed. A removed section keeps
+            its version, so that an old edit that is appended again is rejected.
+        version: Offset of the record that set the value.
+        author: Author of that record.
+        record: Id of that record.
     """
 
     __slots__ = ("author", "record", "value", "version")
@@ -31,12 +31,12 @@
         self.record = record
 
     def to_stored(self) -> list[Any]:
-        """Return the form that snapshots hold."""
+        """Return the representation used in snapshots."""
         return [self.value, self.version, self.author, self.record]
 
 
 class Key:
-    """A key that acts for a workspace; the key itself is known by digest only."""
+    """An API key of a workspace; only the digest of the key itself is stored."""
 
     __slots__ = ("batch", "id", "workspace")
 
@@ -47,7 +47,7 @@
 
 
 class Rate:
-    """Root calls a second, and calls beyond that in any window."""
+    """Token bucket parameters: root calls per second, and burst in calls."""
 
     __slots__ = ("burst", "per_second")
 
@@ -57,7 +57,7 @@
 
 
 class TrustedNetwork:
-    """Backend servers of one network and batch."""
+    """An IP network whose backend servers are trusted, and their build batch."""
 
     __slots__ = ("batch", "network")
 
@@ -67,7 +67,7 @@
 
 
 class Route:
-    """A method and path prefix of some importance."""
+    """The importance of calls with a method and path prefix; no method means any."""
 
     __slots__ = ("importance", "method", "path")
 
@@ -77,12 +77,12 @@
         self.importance = importance
 
     def matches(self, method: str, path: str) -> bool:
-        """Whether a call is on this route."""
+        """Whether a call belongs to this route."""
         return path.startswith(self.path) and self.method in ("", method)
 
 
 class Service:
-    """A service: trusted backend servers, timeout (s) and idempotent paths."""
+    """A service: trusted networks, default timeout (s), idempotent path prefixes."""
 
     __slots__ = ("idempotent", "name", "timeout", "trusted")
 
@@ -97,7 +97,7 @@
 
 
 class ServiceRoutes:
-    """The importance of a service's routes."""
+    """The importance of a service's routes, and of calls that match none of them."""
 
     __slots__ = ("default", "routes")
 
@@ -114,7 +114,7 @@
 
 
 class Recall:
-    """Everything that one recall withdraws."""
+    """The keys, workspaces and backend servers that one recall withdraws."""
 
     __slots__ = (
         "backend_server_batches",
@@ -130,7 +130,7 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the form in which the document holds a key.
+    """Return the digest by which the document identifies a key.
 
     >>> digest_key("x")[:14]
     'sha256:2d71164'
@@ -139,7 +139,7 @@
 
 
 class Document:
-    """Sections and what follows from them."""
+    """Stores sections and the lookup indexes derived from them."""
 
     def __init__(self) -> None:
         self._sections: dict[str, Section] = {}
@@ -154,7 +154,7 @@
 
     @property
     def sections(self) -> dict[str, Section]:
-        """Every section that stands or has stood, by name."""
+        """All sections by name, including removed ones."""
         return self._sections
 
     @property
@@ -173,14 +173,14 @@
         return self._services
 
     def put(self, name: str, section: Section) -> None:
-        """Put a checked section and bring the indexes up to date."""
+        """Store a section, which the caller has checked, and update the indexes."""
         kind, _, own_name = name.partition("/")
         previous = self._sections.get(name)
         self._sections[name] = section
         _indexers[kind](self, own_name, previous and previous.value, section.value)
 
     def find_key_by_id(self, key: str) -> Key | None:
-        """Return the key with this id."""
+        """Return the key with this id, withdrawn or not."""
         return self._keys_by_id.get(key)
 
     def find_key(self, digest: str) -> Key | None:
@@ -197,10 +197,10 @@
         )
 
     def holds_key(self, workspace: str, key: str) -> bool:
-        """Whether the key still stands and no recall names it.
+        """Whether the workspace has the key and no recall withdraws it.
 
-        Asked for calls that are already in flight, queued or relayed, which carry
-        the key's id and no longer its digest.
+        Used for calls that are already in flight, queued or relayed: they carry the
+        id of the key but no longer the key itself.
         """
         found = self._keys_by_id.get(key)
         if found is None or found.workspace != workspace:
@@ -208,7 +208,7 @@
         return not self.is_withdrawn(workspace, key, found.batch)
 
     def get_importance(self, service: str, method: str, path: str) -> Importance:
-        """Return the importance of a call; ``path`` is within the service."""
+        """Return the importance of a call; ``path`` is relative to the service."""
         routes = self._routes.get(service)
         if routes is None:
             return Importance.NORMAL
@@ -218,11 +218,15 @@
         return routes.default
 
     def get_stale_after(self, workspace: str) -> float | None:
-        """Return the age (s) of configuration at which the workspace is refused."""
+        """Return the maximum configuration age (s) of a workspace; None is no limit."""
         return self._stale_after.get(workspace)
 
     def trusts(self, service: str, address: str) -> bool:
-        """Whether a backend server at ``IP:PORT`` may serve the service."""
+        """Whether a backend server at ``IP:PORT`` may serve the service.
+
+        A recall of batches withdraws the server only if it names the batch of every
+        network that contains the server.
+        """
         known = self._services.get(service)
         if known is None:
             return False
@@ -237,7 +241,7 @@
         )
 
     def iterate_present(self) -> Iterator[tuple[str, Section]]:
-        """Yield the sections that were not taken out."""
+        """Yield name and section of all sections that were not removed."""
         for name, section in self._sections.items():
             if section.value is not None:
                 yield name, section
@@ -249,7 +253,7 @@
 
 
 def indexer_for(kind: str) -> Callable[[Indexer], Indexer]:
-    """Register what keeps a kind's indexes: called with name, old and new value."""
+    """Register the function that updates the indexes when a section changes."""
 
     def register(indexer: Indexer) -> Indexer:
         _indexers[kind] = indexer
@@ -261,7 +265,7 @@
 @indexer_for("workspaces")
 def _index_workspace(document: Document, name: str, old: Value, new: Value) -> None:
     for item in (old or {}).get("keys", ()):
-        # A key that the same edit moved may stand under its new workspace already.
+        # If the same edit moved the key, the index may already hold its new workspace.
         for index, index_key in (
             (document._keys, item["digest"]),
             (document._keys_by_id, item["id"]),
--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -1,4 +1,7 @@
-"""Folds the configuration stream into the document, the same way on every node."""
+"""Applies the records of the configuration log in order to build the document.
+
+The result depends only on the records, so all nodes arrive at the same document.
+"""
 
 from typing import Any
 
@@ -15,21 +18,21 @@
 )
 from .schema import check_section, split_section
 
-# Outcomes kept for publishers who ask what became of their edit.
+# Outcomes of recent records, for publishers that ask for the outcome of their edit.
 MAX_OUTCOMES = 1024
-# Snapshots whose parts are still coming; a writer that died leaves one for good.
+# Snapshots of which parts are missing; one whose writer died is never completed.
 MAX_INCOMPLETE_SNAPSHOTS = 4
 
 
 class Conflict:
-    """A section that had moved on from the version an edit was based on.
+    """A section that has changed since the version that an edit is based on.
 
     Args:
-        section: Its name.
-        base: The version that the edit named.
-        version: The version that stood.
-        author: Who had put that there.
-        record: With which record.
+        section: Name of the section.
+        base: Version that the edit is based on.
+        version: Current version, or None if the section never existed.
+        author: Author of the current version.
+        record: Id of the record that set the current version.
     """
 
     __slots__ = ("author", "base", "record", "section", "version")
@@ -50,7 +53,7 @@
 
     def __str__(self) -> str:
         if self.version is None:
-            return f"{self.section}: based on {self.base}, but it never stood"
+            return f"{self.section}: based on {self.base}, but it never existed"
         return (
             f"{self.section}: based on {self.base}, but {self.author} changed it "
             f"at {self.version} (record {self.record})"
@@ -58,14 +61,14 @@
 
 
 class Outcome:
-    """What became of one record.
+    """The outcome of applying one record.
 
     Args:
-        offset: The record's offset.
-        record: Its id, empty where it has none.
-        accepted: Whether the document took it.
-        reason: Why not.
-        sections: The sections it names.
+        offset: Offset of the record.
+        record: Id of the record; empty if it has none.
+        accepted: Whether the record was accepted.
+        reason: Why the record was rejected, or "snapshot" for an accepted one.
+        sections: Names of the sections that the record edits.
     """
 
     __slots__ = ("accepted", "offset", "reason", "record", "sections")
@@ -86,10 +89,10 @@
 
 
 class Fold:
-    """The document as of an offset.
+    """Builds the document by applying log records in the order of their offsets.
 
     Args:
-        secret: The fleet secret, which signs snapshots.
+        secret: The fleet secret, with which snapshots are signed.
     """
 
     def __init__(self, secret: bytes):
@@ -102,31 +105,31 @@
 
     @property
     def document(self) -> Document:
-        """The document in force."""
+        """The document as of ``next_offset``."""
         return self._document
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record that is not folded in."""
+        """Offset of the first record that has not been applied."""
         return self._next_offset
 
     @property
     def latest_snapshot(self) -> int:
-        """Offset up to which the newest complete snapshot in the stream holds."""
+        """``next_offset`` of the newest complete snapshot in the log; -1 if none."""
         return self._latest_snapshot_offset
 
     def find_outcome(self, record: str) -> Outcome | None:
-        """Return what became of the record with this id, if it is still known."""
+        """Return the outcome of the record with this id, if it is still stored."""
         return self._outcomes.get(record)
 
     def apply(self, offset: int, value: Any) -> Outcome:
-        """Fold the record at ``offset`` in; one that came before changes nothing.
+        """Apply the record at ``offset``, unless it was applied before.
 
-        Never raises for what the record holds: an unreadable record is refused,
-        on every node for the same reason, and the fold goes on behind it.
+        Never raises because of the record's contents: every node rejects an invalid
+        record for the same reason and continues with the next one.
         """
         if offset < self._next_offset:
-            return Outcome(offset, "", False, "folded before")
+            return Outcome(offset, "", False, "already applied")
         if is_snapshot(value):
             outcome = self._apply_snapshot_part(offset, value)
         else:
@@ -180,9 +183,9 @@
         try:
             part = parse_snapshot_part(value, self._secret)
         except (InputError, KeyError, TypeError, AttributeError) as error:
-            return Outcome(offset, "", False, f"snapshot refused: {error}")
+            return Outcome(offset, "", False, f"snapshot rejected: {error}")
         if part.next_offset > offset:
-            return Outcome(offset, part.id, False, "snapshot of a state to come")
+            return Outcome(offset, part.id, False, "snapshot covers later records")
         parts = self._incomplete_snapshots.setdefault(part.id, {})
         parts[part.part] = part
         while len(self._incomplete_snapshots) > MAX_INCOMPLETE_SNAPSHOTS:
@@ -195,10 +198,10 @@
         return Outcome(offset, part.id, True, "snapshot")
 
     def load(self, parts: list[SnapshotPart]) -> bool:
-        """Start from a whole snapshot, unless the fold is as far already.
+        """Replace the state with a complete snapshot if the snapshot is newer.
 
         Returns:
-            Whether the snapshot was taken: a late one never reverts.
+            Whether the snapshot was loaded; an older one never reverts the state.
         """
         if parts[0].next_offset <= self._next_offset:
             return False
@@ -214,7 +217,7 @@
         return True
 
     def build_snapshot(self) -> list[SnapshotPart]:
-        """Return the state as the parts of a snapshot."""
+        """Return the current state as the parts of a snapshot."""
         stored = {
             name: section.to_stored()
             for name, section in self._document.sections.items()
--- a/primroseglade/document/records.py
+++ b/primroseglade/document/records.py
@@ -1,4 +1,4 @@
-"""Records of the configuration stream: edits by operators, snapshots by nodes."""
+"""Records of the configuration log: edits by operators, snapshots by nodes."""
 
 import hashlib
 import hmac
@@ -10,7 +10,7 @@
 from ..settings.reader import build_validator, check
 
 RECORD_FORMAT = 1
-# A record that the platform takes whole; larger states travel in several.
+# The platform accepts records of this size; a larger state is split into several.
 SNAPSHOT_PART_BYTES = 256 * 1024
 
 _VERSION_SCHEMA = {"type": ["integer", "null"], "minimum": 0}
@@ -43,13 +43,13 @@
 
 
 class SectionEdit:
-    """One section's new value.
+    """A new value for one section.
 
     Args:
-        section: ``kind/name``.
-        base: Offset of the record that last changed the section as the editor saw
-            it, or None where it had never stood.
-        value: The new value, or None to take the section out.
+        section: Name of the section, ``kind/name``.
+        base: Version of the section that the editor saw (the offset of the record
+            that set it), or None if the section never existed.
+        value: The new value, or None to remove the section.
     """
 
     __slots__ = ("base", "section", "value")
@@ -61,7 +61,7 @@
 
 
 class Edit:
-    """Edits of one or more sections that are accepted or refused together."""
+    """Edits of one or more sections that are accepted or rejected as a whole."""
 
     __slots__ = ("author", "edits", "id")
 
@@ -71,7 +71,7 @@
         self.id = id or uuid.uuid4().hex
 
     def to_value(self) -> dict[str, Any]:
-        """Return the record as the JSON value that is appended."""
+        """Return the JSON value of the log record."""
         return {
             "format": RECORD_FORMAT,
             "id": self.id,
@@ -87,7 +87,7 @@
     """Parse an edit record.
 
     Raises:
-        InputError: The value is not an edit of a known format.
+        InputError: The value is not an edit, or its format is unknown.
     """
     check(value, _edit_validator, "record")
     edits = [
@@ -96,24 +96,24 @@
     ]
     names = [edit.section for edit in edits]
     if len(set(names)) != len(names):
-        raise InputError("record", "/edits", "edits a section twice")
+        raise InputError("record", "/edits", "names a section twice")
     return Edit(edits, value["author"], value["id"])
 
 
 def is_snapshot(value: Any) -> bool:
-    """Whether a record claims to be part of a snapshot."""
+    """Whether a record looks like a snapshot part; does not verify its signature."""
     return isinstance(value, dict) and "snapshot" in value
 
 
 class SnapshotPart:
-    """A part of the whole state as of an offset.
+    """One part of a snapshot of all sections.
 
     Args:
-        id: The same in every part of a snapshot.
-        next_offset: Offset of the first record that the state does not hold.
+        id: Id of the snapshot, the same in all its parts.
+        next_offset: Offset of the first record that the snapshot does not include.
         part: Number of this part, from 0.
-        parts: How many there are.
-        sections: Section name to its stored form.
+        parts: Number of parts of the snapshot.
+        sections: Section name to the value of ``Section.to_stored``.
     """
 
     __slots__ = ("id", "next_offset", "part", "parts", "sections")
@@ -133,7 +133,7 @@
         self.sections = sections
 
     def to_value(self, secret: bytes) -> dict[str, Any]:
-        """Return the signed record."""
+        """Return the JSON value of the log record, signed with the fleet secret."""
         body = {
             "id": self.id,
             "next_offset": self.next_offset,
@@ -145,10 +145,11 @@
 
 
 def parse_snapshot_part(value: Any, secret: bytes) -> SnapshotPart:
-    """Parse a part and check that a node of this fleet wrote it.
+    """Parse a snapshot part and verify its signature.
 
     Raises:
-        InputError: Another format, a wrong signature or a wrong shape.
+        InputError: The format is unknown, or the signature is not the fleet's.
+        KeyError, TypeError, AttributeError: The value is not a snapshot record.
     """
     if value.get("format") != RECORD_FORMAT:
         raise InputError("snapshot", "/format", "unknown format", str(RECORD_FORMAT))
@@ -168,7 +169,7 @@
 def split_snapshot(
     next_offset: int, sections: dict[str, Any], part_bytes: int = SNAPSHOT_PART_BYTES
 ) -> list[SnapshotPart]:
-    """Split a state into parts of about ``part_bytes`` bytes each."""
+    """Split a state into snapshot parts of about ``part_bytes`` bytes each."""
     groups: list[dict[str, Any]] = [{}]
     group_bytes = 0
     for name, stored in sections.items():
--- a/primroseglade/document/schema.py
+++ b/primroseglade/document/schema.py
@@ -1,4 +1,4 @@
-"""What each kind of section of the operators' document must look like."""
+"""JSON schemas of the kinds of section in the operators' document."""
 
 from typing import Any
 
@@ -171,10 +171,10 @@
 
 
 def split_section(section: str) -> tuple[str, str]:
-    """Split a section's name into its kind and its own name.
+    """Split a section's name into its kind and the name within that kind.
 
     Raises:
-        InputError: There is no such kind, or the name has characters it may not have.
+        InputError: The kind is unknown or the name is invalid.
 
     >>> split_section("rates/north")
     ('rates', 'north')
@@ -188,24 +188,24 @@
 
 
 def check_section(section: str, value: Any) -> None:
-    """Check one section's value on its own.
+    """Check the value of one section against the schema of its kind.
 
     Raises:
-        InputError: With the path within the section.
+        InputError: The value is invalid; the error has the path within the section.
     """
     kind, _ = split_section(section)
     check(value, _validators[kind], section)
 
 
 def flatten_document(document: Any, source: str) -> dict[str, Any]:
-    """Check a document file and return its sections by name.
+    """Check a document and return its sections by full name, ``kind/name``.
 
     Args:
-        document: Parsed JSON: kind, then name, then value.
-        source: Its name in errors.
+        document: Parsed JSON: values by name, by kind.
+        source: Name of the document in errors.
 
     Raises:
-        InputError: A section is unknown or does not fit.
+        InputError: A kind of section is unknown or a section is invalid.
     """
     check(document, _document_validator, source)
     sections = {}
