--- a/primroseglade/operations/__init__.py
+++ b/primroseglade/operations/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: which operations have run, as far as anyone remembers."""
+"""At-most-once execution: tracks which operations have run."""
--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -1,4 +1,4 @@
-"""What a recording node remembers of operations."""
+"""The state that a recording node keeps of operations."""
 
 import collections
 import enum
@@ -12,7 +12,11 @@
 
 
 class Decision(enum.IntEnum):
-    """Whether an attempt may run, or what became of the operation."""
+    """Whether an attempt may run, and if not, the known state of the operation.
+
+    As an answer, ``UNKNOWN`` refuses a later attempt at an operation that is not
+    recorded. In a recorded operation it means that no attempt has run so far.
+    """
 
     UNKNOWN = 0
     RUN = 1
@@ -22,7 +26,7 @@
 
 
 class OperationState:
-    """An operation: its last attempt, and what is known of all of them."""
+    """The last attempt of an operation, and the decision on further attempts."""
 
     __slots__ = ("attempt", "decision", "started_at")
 
@@ -33,15 +37,15 @@
 
 
 class Record:
-    """Operations by workspace and id.
+    """Stores the state of operations by workspace and operation id.
 
-    The rule that makes forgetting safe: a first attempt may run when nobody knows the
-    operation, a later one only when its operation is remembered here as not run.
-    Whoever forgets, or is asked in another's place, refuses the later attempt.
+    Losing entries is safe: a first attempt may run if the operation is not recorded,
+    but a later attempt only if the operation is recorded as not run. A node that has
+    evicted the entry, or that never had it, therefore refuses later attempts.
 
     Args:
-        clock: Seconds.
-        kept: Seconds for which an operation is remembered.
+        clock: Returns monotonic time in seconds.
+        retention_seconds: How long an operation is kept after its last start.
     """
 
     def __init__(
@@ -59,7 +63,7 @@
         return len(self._entries)
 
     def begin(self, workspace: str, operation: str, attempt: int) -> Decision:
-        """Decide on an attempt; ``RUN`` is said once an attempt at the most."""
+        """Decide whether an attempt may run; ``RUN`` is returned once per attempt."""
         self._evict_old()
         key = (workspace, operation)
         entry = self._entries.get(key)
@@ -70,8 +74,8 @@
             return Decision.RUN
         if entry.decision is not Decision.UNKNOWN:
             return entry.decision
-        # Remembered as not run. An attempt that was overtaken by a later one, late
-        # or sent twice, is not let through: the later one has its permission.
+        # Recorded as not run. A delayed or duplicated attempt must not run after a
+        # later one was allowed: the caller may already know that nothing ran.
         if attempt <= entry.attempt:
             return Decision.MAY_HAVE_RUN
         entry.attempt = attempt
@@ -82,7 +86,7 @@
     def finish(
         self, workspace: str, operation: str, attempt: int, verdict: Verdict
     ) -> None:
-        """Note what became of the attempt that was let through."""
+        """Record the verdict on the attempt that was allowed to run."""
         entry = self._entries.get((workspace, operation))
         if entry is None or entry.attempt != attempt:
             return
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -1,4 +1,4 @@
-"""Finds the node that records an operation, and asks it."""
+"""Selects the node that records an operation and asks it for decisions."""
 
 from ..fleet.control import ControlClient, ControlServer, PeerError
 from ..fleet.hashing import rank
@@ -11,16 +11,17 @@
 
 
 class Recorder:
-    """Decides on attempts at operations that must not run twice.
+    """Decides whether attempts at at-most-once operations may run.
 
-    The recording node of an operation is one of this node's zone, by its id. An
-    attempt in another zone asks another node, which knows nothing of the first, and
-    is refused unless it is itself the first: no two zones have to talk.
+    Rendezvous hashing of the operation id selects the recording node among the
+    reachable nodes of this node's zone. A retry that arrives in another zone reaches a
+    recording node that does not know the operation, which refuses every attempt but
+    the first. Zones therefore do not have to communicate.
 
     Args:
-        members: The zone's nodes.
-        client: Asks them.
-        record: What this instance records itself.
+        members: Members of the fleet, with their zones and addresses.
+        client: Calls the other nodes.
+        record: Operations that this instance records.
     """
 
     def __init__(self, members: Members, client: ControlClient, record: Record):
@@ -29,18 +30,19 @@
         self._record = record
 
     def register(self, server: ControlServer) -> None:
-        """Answer nodes whose operations are recorded here."""
+        """Register the handlers for operations that are recorded on this node."""
         server.register("Begin", self._handle_begin)
         server.register("Finish", self._handle_finish)
 
     async def begin(self, workspace: str, operation: str, attempt: int) -> str:
-        """Ask whether an attempt may run.
+        """Request permission to run an attempt.
 
         Returns:
-            The recording instance, which is to be told of the end.
+            The recording instance, to be passed to ``finish`` when the attempt ends.
 
         Raises:
-            Refusal: It may not; the verdict says what is known of the operation.
+            Refusal: The attempt may not run; the verdict says whether an earlier
+                attempt ran or may have run.
         """
         instance = self._find_recording_instance(workspace, operation)
         if instance == self._members.own.instance:
@@ -61,7 +63,7 @@
         attempt: int,
         verdict: Verdict,
     ) -> None:
-        """Tell the recording instance what became of an attempt."""
+        """Report the verdict on an attempt to the recording instance."""
         if instance == self._members.own.instance:
             self._record.finish(workspace, operation, attempt, verdict)
             return
@@ -79,7 +81,7 @@
                 member.control, "Finish", request, REQUEST_TIMEOUT_SECONDS, instance
             )
         except PeerError:
-            # It goes on remembering the attempt as running, and refuses later ones.
+            # The recording node keeps the attempt as running and refuses later ones.
             return
 
     async def _request_decision(
@@ -91,16 +93,16 @@
         )
         try:
             if member is None:
-                raise PeerError("the recording node is gone")
+                raise PeerError("the recording node is no longer a member")
             reply = await self._client.call(
                 member.control, "Begin", request, REQUEST_TIMEOUT_SECONDS, instance
             )
         except PeerError as error:
-            # This attempt does not run. Were the answer lost, the recorder takes it
-            # for running and refuses all later ones, which is safe.
+            # This attempt does not run. If only the response was lost, the recording
+            # node believes that it is running and refuses later attempts: still safe.
             if attempt > 1:
                 raise _build_refusal(Decision.UNKNOWN) from error
-            detail = "the node that records the operation does not answer"
+            detail = "the node that records the operation did not respond"
             raise not_run(Reason.RECORDER_UNREACHABLE, detail, 1.0) from error
         return Decision(reply.decision)
 
@@ -130,5 +132,5 @@
     detail = {
         Decision.RUNNING: "an earlier attempt at the operation is running",
         Decision.MAY_HAVE_RUN: "an earlier attempt at the operation may have run",
-    }.get(decision, "nobody here remembers the earlier attempts at the operation")
+    }.get(decision, "earlier attempts at the operation are not recorded in this zone")
     return may_have_run(Reason.OPERATION_REPEATED, detail)
