--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -67,7 +67,7 @@
         offset: Offset of the record.
         record: Id of the record; empty if it has none.
         accepted: Whether the record was accepted.
-        reason: Why the record was rejected, or "snapshot" for an accepted one.
+        reason: Why the record was rejected; "snapshot" for an accepted snapshot part.
         sections: Names of the sections that the record edits.
     """
 
