--- a/primroseglade/__init__.py
+++ b/primroseglade/__init__.py
@@ -1,3 +1,3 @@
-"""Overload control for service call graphs, one small process a backend server."""
+"""Overload control for service call graphs, by a sidecar beside each server."""
 
 __version__ = "0.1.0"
--- a/primroseglade/__main__.py
+++ b/primroseglade/__main__.py
@@ -6,7 +6,7 @@
 
 
 def run() -> None:
-    """Run the command line and leave with its exit status."""
+    """Run the command line and exit with its status."""
     sys.exit(main())
 
 
--- a/primroseglade/addresses.py
+++ b/primroseglade/addresses.py
@@ -1,16 +1,16 @@
-"""Addresses: an IP number and a port, as settings and the document write them."""
+"""Parsing and formatting of ``IP:PORT`` addresses."""
 
 import ipaddress
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split ``IP:PORT`` and check both.
+    """Split an address into IP address and port, and check both.
 
     Args:
-        text: An IPv4 or a bracketed IPv6 number, a colon and a port (0 to 65535).
+        text: An IPv4 or bracketed IPv6 address, a colon and a port (0 to 65535).
 
     Raises:
-        ValueError: The text is not such an address; host names are not looked up.
+        ValueError: The text has another form, such as a host name.
 
     >>> parse_address("127.0.0.1:8080")
     ('127.0.0.1', 8080)
@@ -26,7 +26,7 @@
 
 
 def join_address(host: str, port: int) -> str:
-    """Join an IP number and a port.
+    """Join an IP address and a port.
 
     >>> join_address("::1", 80)
     '[::1]:80'
--- a/primroseglade/core.py
+++ b/primroseglade/core.py
@@ -1,4 +1,4 @@
-"""The program: parse arguments, run a command, print an error, return a status."""
+"""Entry point of the program: parses arguments, runs a command, prints errors."""
 
 import asyncio
 
@@ -14,15 +14,15 @@
     """Run the command line.
 
     Args:
-        arguments: Without the program's name; the process's own if None.
-        environment: Streams; the process's own if None.
+        arguments: Arguments without the program name; those of the process if None.
+        environment: Output streams; those of the process if None.
     """
     environment = environment or Environment()
     parser = definition.build_parser()
     try:
         options = parser.parse_args(arguments)
     except SystemExit as exit_request:
-        # argparse has printed help or what is wrong.
+        # argparse has already printed the help or the error.
         return ExitStatus.USAGE if exit_request.code else ExitStatus.SUCCESS
     try:
         return asyncio.run(commands.run(options, environment))
--- a/primroseglade/environment.py
+++ b/primroseglade/environment.py
@@ -1,15 +1,15 @@
-"""What a command may touch: streams, and how it is to write to them."""
+"""The output streams that are passed to every command."""
 
 import sys
 from typing import TextIO
 
 
 class Environment:
-    """Streams and output choices, handed to every command.
+    """Output streams of a command.
 
     Args:
-        stdout: Where results go.
-        stderr: Where errors, logs and progress go.
+        stdout: Stream for results; that of the process if None.
+        stderr: Stream for errors, logs and progress; that of the process if None.
     """
 
     __slots__ = ("stderr", "stdout")
@@ -20,15 +20,15 @@
 
     @property
     def interactive(self) -> bool:
-        """Whether a person watches the error stream."""
+        """Whether the error stream is a terminal."""
         return self.stderr.isatty()
 
     def print(self, text: str) -> None:
-        """Write one line of a result."""
+        """Write one line to the result stream."""
         self.stdout.write(text + "\n")
         self.stdout.flush()
 
     def warn(self, text: str) -> None:
-        """Write one line that is not part of a result."""
+        """Write one line to the error stream."""
         self.stderr.write(text + "\n")
         self.stderr.flush()
--- a/primroseglade/errors.py
+++ b/primroseglade/errors.py
@@ -1,22 +1,22 @@
-"""Errors that end a command with one line."""
+"""Errors that end a command with a one-line message."""
 
 from .exits import ExitStatus
 
 
 class PrimrosegladeError(Exception):
-    """An error whose text is fit for a person; ``status`` is the exit status."""
+    """An error with a message for the user; ``status`` is the exit status."""
 
     status = ExitStatus.FAILURE
 
 
 class InputError(PrimrosegladeError):
-    """A file or record that does not say what it must.
+    """Invalid content of a file, section or record.
 
     Args:
-        source: The file, section or record.
-        path: Where in it, in JSON pointer form (RFC 6901).
-        reason: What is wrong there.
-        expected: What would be right.
+        source: Name of the file, section or record.
+        path: JSON pointer (RFC 6901) to the invalid value.
+        reason: What is wrong with the value.
+        expected: What a valid value looks like; empty if unknown.
     """
 
     status = ExitStatus.BAD_INPUT
@@ -36,12 +36,12 @@
 
 
 class UnreachableError(PrimrosegladeError):
-    """An outside system that gave no answer in time."""
+    """Another system did not respond in time."""
 
     status = ExitStatus.UNREACHABLE
 
 
 class RefusedError(PrimrosegladeError):
-    """An edit that was understood and not accepted."""
+    """A valid request or edit was refused."""
 
     status = ExitStatus.REFUSED
--- a/primroseglade/exits.py
+++ b/primroseglade/exits.py
@@ -4,7 +4,7 @@
 
 
 class ExitStatus(enum.IntEnum):
-    """What the process's exit code says."""
+    """Exit status of the process."""
 
     SUCCESS = 0
     BROKEN_PROMISE = 1
