--- a/primroseglade/answers.py
+++ b/primroseglade/answers.py
@@ -1,4 +1,4 @@
-"""Refusals on the wire: problem details (RFC 9457) and headers."""
+"""Encoding of refusals as HTTP responses: headers and problem details (RFC 9457)."""
 
 import json
 import math
@@ -15,11 +15,11 @@
 
 
 def render_refusal(refusal: Refusal, instance: str = "") -> tuple[int, Headers, bytes]:
-    """Return status, headers and body that tell a caller of a refusal.
+    """Return status, headers and body of the response to a refused call.
 
     Args:
         refusal: The refusal.
-        instance: The instance that decided, unless the refusal names one.
+        instance: The instance that refused, used if the refusal names none.
     """
     reason = refusal.reason
     instance = refusal.instance or instance
@@ -40,7 +40,7 @@
         body["instance"] = f"urn:primroseglade:instance:{instance}"
         headers.append((INSTANCE_HEADER, instance.encode()))
     if refusal.retry_after is not None:
-        # Retry-After counts whole seconds; rounding down would ask for a storm.
+        # Retry-After is in whole seconds; rounding down would invite a retry storm.
         seconds = max(1, math.ceil(refusal.retry_after))
         milliseconds = math.ceil(refusal.retry_after * 1000)
         body["retry_after_ms"] = milliseconds
@@ -50,10 +50,10 @@
 
 
 def parse_refusal(headers: dict[str, str], detail: str = "") -> Refusal | None:
-    """Read a refusal out of an answer's headers, names in lower case.
+    """Parse the refusal in a response's headers, whose names are in lower case.
 
     Returns:
-        The refusal, or None where the answer is a backend server's own.
+        The refusal, or None if the response comes from a backend server.
     """
     reason = Reason.from_code(headers.get(REASON_HEADER.decode(), ""))
     if reason is None:
@@ -61,7 +61,7 @@
     try:
         verdict = Verdict(headers.get(VERDICT_HEADER.decode(), ""))
     except ValueError:
-        # Of a verdict that this version does not know only the worst is safe.
+        # A verdict that this version does not know is read as the most cautious one.
         verdict = Verdict.MAY_HAVE_RUN
     milliseconds = headers.get(RETRY_AFTER_MS_HEADER.decode(), "")
     retry_after = int(milliseconds) / 1000 if milliseconds.isdecimal() else None
--- a/primroseglade/client.py
+++ b/primroseglade/client.py
@@ -1,4 +1,4 @@
-"""The callers' library: picks nodes, keeps deadlines, retries what may be retried."""
+"""Client library for callers, with node selection, deadlines and safe retries."""
 
 import asyncio
 import random
@@ -16,19 +16,19 @@
 EJECTION_SECONDS = 2.0
 MIN_BACKOFF_SECONDS = 0.02
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Of the caller's own deadline the node is told a little less, so that its honest
-# refusal arrives before the caller gives up.
+# The node gets a slightly shorter timeout than the caller's, so that its refusal
+# arrives before the caller gives up.
 DEADLINE_MARGIN_SECONDS = 0.02
 
 
 class Reply:
-    """A backend server's whole answer.
+    """A complete response of a backend server.
 
     Args:
         status: HTTP status.
-        headers: By lower-case name.
-        body: The body.
-        attempts: How many attempts it took.
+        headers: Headers by lower-case name.
+        body: Response body.
+        attempts: Number of attempts made.
     """
 
     __slots__ = ("attempts", "body", "headers", "status")
@@ -46,13 +46,14 @@
     """Calls services through the nodes.
 
     Args:
-        nodes: Callers' addresses, ``IP:PORT``, of some nodes; answers name others.
-        key: The workspace's key.
-        timeout: Seconds that a call may take, unless it says otherwise.
-        attempts: Attempts at one call at the most.
-
-    A ``Refusal`` is raised for every call without a whole answer. Its ``verdict``
-    says whether the call may have run, its ``retry_after`` when to come back.
+        nodes: Addresses (``IP:PORT``) of the caller listeners of some nodes; further
+            nodes are learned from responses.
+        key: API key of the workspace.
+        timeout: Default timeout of a call in seconds.
+        attempts: Maximum number of attempts per call.
+
+    A ``Refusal`` is raised for every call without a complete response. Its ``verdict``
+    says whether the call may have run, its ``retry_after`` when to try again.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         await self.close()
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close all connections."""
         if self._session is not None:
             await self._session.close()
             self._session = None
@@ -95,17 +96,18 @@
         """Call a service.
 
         Args:
-            service: Its name.
-            path: Path within it, from the slash on, and query.
+            service: Name of the service.
+            path: Path within the service, with the leading slash, and query.
             method: HTTP method.
-            body: The whole body.
-            headers: Further headers.
-            timeout: Seconds until the caller gives up.
-            operation: Id of what is to run at most once; made up where it is empty.
+            body: Complete request body.
+            headers: Additional headers.
+            timeout: Timeout in seconds; the client's default if None.
+            operation: Idempotency key of a call that must run at most once; generated
+                if empty.
 
         Raises:
-            Refusal: No whole answer; no attempt was made that the verdict of the one
-                before forbids.
+            Refusal: There is no complete response. The verdict covers all attempts; a
+                retry was made only if the previous verdict allowed it.
         """
         deadline = time.monotonic() + (timeout or self._timeout)
         operation = operation or uuid.uuid4().hex
@@ -150,7 +152,9 @@
     ) -> Reply:
         remaining = deadline - time.monotonic()
         if remaining <= 0:
-            raise not_run(Reason.DEADLINE_EXCEEDED, "the deadline passed before")
+            raise not_run(
+                Reason.DEADLINE_EXCEEDED, "the deadline passed before the attempt"
+            )
         request_headers = headers | {
             "Authorization": f"Bearer {self._key}",
             "Primroseglade-Timeout-Ms": str(
@@ -181,7 +185,7 @@
             self._ejected_until[node] = time.monotonic() + EJECTION_SECONDS
             raise not_run(Reason.CONNECTION_LOST, str(error)) from error
         except TimeoutError as error:
-            detail = f"no whole answer of {node} in time"
+            detail = f"no complete response from {node} before the deadline"
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         except aiohttp.ClientError as error:
             self._ejected_until[node] = time.monotonic() + EJECTION_SECONDS
@@ -205,7 +209,7 @@
         return method in IDEMPOTENT_METHODS
 
     def _choose_node(self, service: str, tried: set[str]) -> str:
-        """Return a node that serves the service itself, if one is known."""
+        """Return a random node, preferably untried and serving the service itself."""
         now = time.monotonic()
         candidates = [*self._nodes_by_service.get(service, ()), *self._nodes]
         available = [
@@ -234,7 +238,7 @@
 
 
 def _choose_retry_delay(refusal: Refusal, attempt: int, deadline: float) -> float:
-    """Return seconds to wait: what the node asked for, if the deadline leaves it."""
+    """Return the delay (s) before the next attempt, at most until the deadline."""
     backoff = MIN_BACKOFF_SECONDS * 2**attempt * random.uniform(0.5, 1.5)
     delay = max(backoff, refusal.retry_after or 0.0)
     remaining = deadline - time.monotonic()
--- a/primroseglade/verdicts.py
+++ b/primroseglade/verdicts.py
@@ -1,14 +1,14 @@
-"""Verdicts: whether a refused request may have run, and why it was refused."""
+"""Refusals of calls: why a call was refused, and whether it may have run."""
 
 import enum
 import http
 
 
 class Verdict(enum.Enum):
-    """Whether the request ran on a backend server.
+    """Whether the call ran on a backend server.
 
-    ``NOT_RUN`` is said only when no byte of the call left for a backend server, or
-    when the backend server itself refused before it started.
+    ``NOT_RUN`` is used only if no byte of the call was sent to a backend server, or if
+    the backend server itself refused the call before running it.
     """
 
     NOT_RUN = "not run"
@@ -17,7 +17,7 @@
 
 
 class Reason(enum.Enum):
-    """Why a call was refused, with the HTTP status that says so."""
+    """Why a call was refused, with the HTTP status of the response."""
 
     MALFORMED_REQUEST = ("malformed-request", 400)
     KEY_MISSING = ("key-missing", 401)
@@ -48,7 +48,7 @@
 
     @classmethod
     def from_code(cls, code: str) -> "Reason | None":
-        """Return the reason with this code, or None for a code of another version.
+        """Return the reason with this code, or None if this version has no such code.
 
         >>> Reason.from_code("overloaded") is Reason.OVERLOADED
         True
@@ -57,7 +57,7 @@
 
     @property
     def title(self) -> str:
-        """Return the status's usual phrase."""
+        """Reason phrase of the HTTP status."""
         if self.status == Reason.CANCELLED.status:
             return "Client Closed Request"
         return http.HTTPStatus(self.status).phrase
@@ -65,8 +65,8 @@
 
 _REASONS_BY_CODE = {reason.code: reason for reason in Reason}
 
-# What another node may do with a call that it got back with this reason and the
-# verdict "not run": the instance was the matter, not the call.
+# Reasons that are due to the instance and not to the call: with the verdict "not run",
+# the call may be retried on another instance.
 RETRIED_ELSEWHERE = frozenset(
     {
         Reason.CONNECTION_LOST,
@@ -77,19 +77,19 @@
 )
 
 
-# Reasons that say that a place had more calls than it could serve.
+# Reasons that indicate that an instance had more calls than it could serve.
 SHEDDING = frozenset({Reason.DEADLINE_EXCEEDED, Reason.OVERLOADED})
 
 
-class Refusal(Exception):  # noqa: N818 - an answer to a caller, not a fault
-    """A call that got no answer of a backend server.
+class Refusal(Exception):  # noqa: N818 - a response to the caller, not a fault
+    """A call without a complete response from a backend server.
 
     Args:
-        reason: Why.
-        verdict: Whether it may have run.
-        detail: One sentence for the person who reads it; never holds a key.
-        retry_after: Seconds after which a new attempt may succeed, or None.
-        instance: The instance that decided, where it was not this one.
+        reason: Why the call was refused or failed.
+        verdict: Whether the call may have run.
+        detail: One sentence for the user; never contains an API key.
+        retry_after: Seconds after which a retry may succeed, or None if unknown.
+        instance: The instance that refused the call; empty for this one.
     """
 
     def __init__(
@@ -109,7 +109,7 @@
 
 
 def not_run(reason: Reason, detail: str = "", retry_after: float | None = None):
-    """Build a refusal of a call of which nothing left for a backend server."""
+    """Build a refusal of a call of which nothing was sent to a backend server."""
     return Refusal(reason, Verdict.NOT_RUN, detail, retry_after)
 
 
