--- a/primroseglade/announcing.py
+++ b/primroseglade/announcing.py
@@ -1,4 +1,4 @@
-"""How the backend server beside a node announces itself, over loopback HTTP."""
+"""HTTP API by which a backend server announces itself to its local node."""
 
 import json
 from typing import Any
@@ -31,7 +31,7 @@
 
 
 def build_announcing_application(backend: BackendServer) -> Application:
-    """Return the application that takes a backend server's announcements."""
+    """Build the application that receives a backend server's announcements."""
 
     async def announce(request: Request) -> Response:
         try:
@@ -57,6 +57,6 @@
 
 
 def answer_json(status: int, value: Any) -> Response:
-    """Return a response that holds JSON."""
+    """Return a response with a JSON body."""
     body = json.dumps(value, indent=2).encode() + b"\n"
     return Response(status, content=Content(b"application/json", body))
--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -1,4 +1,4 @@
-"""Refuses requests whose framing could be read in two ways, before they are served."""
+"""HTTP/1.1 protocol that refuses requests with oversized heads or ambiguous framing."""
 
 import asyncio
 import functools
@@ -9,7 +9,7 @@
 from .answers import render_refusal
 from .verdicts import not_run, Reason, Refusal
 
-# Longest time for a request's head to arrive.
+# Time limit for receiving a request's head.
 HEAD_SECONDS = 10.0
 SINGLETON_HEADERS = frozenset(
     {b"authorization", b"content-length", b"host", b"transfer-encoding"}
@@ -17,44 +17,62 @@
 
 
 class GuardedProtocol(HttpToolsProtocol):
-    """HTTP/1.1 with a bounded head, one framing and typed refusals.
+    """HTTP/1.1 server protocol that limits request heads and prevents smuggling.
 
-    Request smuggling rests on two parties that read a request's length from
-    different headers. Each request that carries both framings, or one of them twice,
-    is refused and its connection closed, so that no later byte is read as a request.
+    Request smuggling relies on two servers that take a request's length from different
+    headers. A request with both Content-Length and Transfer-Encoding, or with one of
+    them twice, is refused and its connection closed, so that none of the bytes that
+    follow are parsed as another request.
     """
 
     header_bytes = 32768
     _head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Start the time limit for the first request's head."""
         super().connection_made(transport)
-        # uvicorn closes idle connections only after a first answer; one on which
-        # nothing is ever sent would stay, and thousands of them use up the sockets.
+        # uvicorn closes idle connections only after the first response. Connections on
+        # which nothing is ever sent would stay open and exhaust the sockets.
         self._start_head_timer()
 
     def on_message_begin(self) -> None:
+        """Reset the limits for the next request's head."""
         super().on_message_begin()
         self._start_head_timer()
         self._head_bytes = 0
         self._seen_headers: set[bytes] = set()
 
     def on_url(self, url: bytes) -> None:
+        """Count the request target toward the size of the head.
+
+        Raises:
+            Refusal: The head is too large.
+        """
         super().on_url(url)
         self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Count a header toward the size of the head and check for duplicates.
+
+        Raises:
+            Refusal: The head is too large, or a singleton header is given twice.
+        """
         super().on_header(name, value)
         self._count_head_bytes(len(name) + len(value))
         name = self.headers[-1][0]
         if name in SINGLETON_HEADERS:
             if name in self._seen_headers:
                 raise not_run(
-                    Reason.MALFORMED_REQUEST, f"header {name.decode()} stands twice"
+                    Reason.MALFORMED_REQUEST, f"header {name.decode()} is given twice"
                 )
             self._seen_headers.add(name)
 
     def on_headers_complete(self) -> None:
+        """Check the framing and start serving the request.
+
+        Raises:
+            Refusal: Both Transfer-Encoding and Content-Length are given.
+        """
         if (
             b"transfer-encoding" in self._seen_headers
             and b"content-length" in self._seen_headers
@@ -68,6 +86,7 @@
         super().on_headers_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the call in flight."""
         self._stop_head_timer()
         response_pending = self.cycle is not None and not self.cycle.response_complete
         on_disconnect = (
@@ -75,18 +94,19 @@
         )
         super().connection_lost(exc)
         if on_disconnect is not None:
-            # Nobody waits for the answer any more: what the call holds is given
-            # back now, not when a backend server is done with it.
+            # Nobody waits for the response any more: release the call's resources now
+            # instead of when the backend server has finished.
             on_disconnect()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; refuse the request if they are not valid HTTP/1.1."""
         if self.transport.is_closing():
             return
         self._unset_keepalive_if_required()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is served as if it had not asked to upgrade.
+            # Upgrades are not supported; the request is served without one.
             return
         except httptools.HttpParserCallbackError as error:
             self._send_refusal(error.__context__)
@@ -107,13 +127,13 @@
         if self._head_bytes > self.header_bytes:
             raise not_run(
                 Reason.HEADERS_TOO_LARGE,
-                f"the request head is over {self.header_bytes} bytes",
+                f"the request head is larger than {self.header_bytes} bytes",
             )
 
     def _send_refusal(self, error: BaseException | None) -> None:
         response_pending = self.cycle is not None and not self.cycle.response_complete
         if response_pending:
-            # An answer now would be taken for the one of the call in flight.
+            # The client would take the refusal for the response to the call in flight.
             self.transport.close()
             return
         if not isinstance(error, Refusal):
@@ -128,5 +148,5 @@
 
 @functools.cache
 def build_protocol(header_bytes: int) -> type[GuardedProtocol]:
-    """Return the protocol class with this bound on a request's head (bytes)."""
+    """Return a protocol class that limits request heads to this size in bytes."""
     return type("GuardedProtocol", (GuardedProtocol,), {"header_bytes": header_bytes})
--- a/primroseglade/listener.py
+++ b/primroseglade/listener.py
@@ -1,4 +1,4 @@
-"""One HTTP listener: uvicorn under the project's supervisor instead of its own."""
+"""HTTP listeners: uvicorn servers that run as tasks of the supervisor."""
 
 import asyncio
 import contextlib
@@ -13,8 +13,8 @@
 from .addresses import join_address, parse_address
 from .http_guard import build_protocol
 
-# uvicorn writes a traceback for every request whose task is cancelled, which here is
-# how a caller that went away is told; what fails in a call is an event of its own.
+# uvicorn logs a traceback for every request whose task is cancelled, which happens
+# whenever a caller disconnects. Failures of calls are logged as events instead.
 logging.getLogger("uvicorn").setLevel(logging.CRITICAL + 1)
 
 ACCEPT_BACKLOG = 1024
@@ -24,7 +24,7 @@
 def as_handler(
     method: Callable[[Request], Awaitable[Response]],
 ) -> Callable[[Request], Awaitable[Response]]:
-    """Wrap a bound method, which blacksheep's router cannot mark as a handler."""
+    """Wrap a bound method in a function, on which blacksheep can set attributes."""
 
     async def handle(request: Request) -> Response:
         return await method(request)
@@ -33,15 +33,15 @@
 
 
 def build_application() -> Application:
-    """Return an application with routes of its own.
+    """Return an application with its own router.
 
-    One process may run many nodes, and blacksheep's default router is the process's.
+    One process may run many nodes, and they would share blacksheep's default router.
     """
     return Application(router=Router())
 
 
 class _UvicornServer(uvicorn.Server):
-    """A uvicorn server that leaves signals and the clock to its process."""
+    """A uvicorn server without signal handlers and without a periodic timer."""
 
     def __init__(self, config: uvicorn.Config):
         super().__init__(config)
@@ -52,8 +52,8 @@
         yield
 
     async def main_loop(self) -> None:
-        # The original wakes ten times a second for a Date header and signals; with
-        # five listeners a node that alone would be a noticeable load when idle.
+        # uvicorn's main loop wakes up 10 times a second to update the Date header and
+        # check for signals: noticeable CPU time in an idle node with five listeners.
         await self.stopping.wait()
 
 
@@ -61,17 +61,17 @@
     """Serves an ASGI application at one address.
 
     Args:
-        app: The application.
-        address: ``IP:PORT``; port 0 lets the kernel choose.
-        header_bytes: Largest request head that is read.
+        app: The ASGI application.
+        address: ``IP:PORT``; with port 0 the kernel chooses a free port.
+        header_bytes: Maximum size of a request's head in bytes.
     """
 
     def __init__(self, app: Any, address: str, header_bytes: int = 32768):
         host, port = parse_address(address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        # With the protocol left to the kernel, asyncio does not see that accepted
-        # sockets are TCP and leaves Nagle's algorithm on: each answer then waits
-        # about 40 ms for the client's delayed acknowledgement.
+        # Without an explicit protocol, asyncio does not recognize accepted sockets as
+        # TCP and leaves Nagle's algorithm on: each response then waits about 40 ms for
+        # the client's delayed acknowledgement.
         self._socket = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
         self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._socket.bind((host, port))
@@ -95,31 +95,35 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` that it listens on."""
+        """Address that the listener is bound to, ``IP:PORT``."""
         return self._address
 
     @property
     def connections(self) -> int:
-        """How many connections are open."""
+        """Number of open connections."""
         return len(self._server.server_state.connections)
 
     async def run(self) -> None:
-        """Serve until ``stop`` is called and calls in flight are answered."""
+        """Serve until ``stop`` is called and calls in flight have completed."""
         await self._server.serve(sockets=[self._socket])
 
     async def wait_started(self) -> None:
-        """Wait until connections are accepted."""
+        """Wait until the listener accepts connections."""
         while not self._server.started:
             await asyncio.sleep(0.005)
 
     def stop(self, grace: float | None = None) -> None:
-        """Stop accepting; wait up to ``grace`` seconds for calls in flight."""
+        """Stop accepting connections and let calls in flight finish.
+
+        Args:
+            grace: Seconds after which remaining calls are cancelled; None for no limit.
+        """
         self._server.config.timeout_graceful_shutdown = grace
         self._server.should_exit = True
         self._server.stopping.set()
 
     def abort(self) -> None:
-        """Drop every connection at once, as a killed process would."""
+        """Reset all connections and stop, like a killed process."""
         for connection in list(self._server.server_state.connections):
             if connection.transport is not None:
                 connection.transport.abort()
--- a/primroseglade/network.py
+++ b/primroseglade/network.py
@@ -1,21 +1,21 @@
-"""What a node can reach; the one place where tests and the demo cut links."""
+"""Reachability of addresses, where tests and the demo inject network partitions."""
 
 import asyncio
 
 
 class Network:
-    """The network as it is: every address may be tried."""
+    """The real network, without injected faults."""
 
     def is_cut(self, address: str) -> bool:
-        """Whether nothing gets through to an address."""
+        """Whether the link to an address is cut."""
         return False
 
     async def pass_through(self, address: str, timeout: float) -> None:
-        """Wait as long as a cut link would keep a sender waiting.
+        """Return at once, or time out if the link to an address is cut.
 
         Args:
-            address: Where something is to be sent.
-            timeout: Seconds after which the sender gives up.
+            address: Destination of a message.
+            timeout: The sender's timeout in seconds.
 
         Raises:
             TimeoutError: The link is cut.
@@ -23,7 +23,7 @@
 
 
 class CutNetwork(Network):
-    """A network in which links can be cut; what is sent over one vanishes."""
+    """A network in which links can be cut; messages over a cut link are lost."""
 
     def __init__(self) -> None:
         self._cut: set[str] = set()
@@ -33,15 +33,19 @@
         self._cut |= addresses
 
     def heal(self) -> None:
-        """Bring every link back."""
+        """Restore all links."""
         self._cut.clear()
 
     def is_cut(self, address: str) -> bool:
-        """Whether nothing gets through to an address."""
+        """Whether the link to an address is cut."""
         return address in self._cut
 
     async def pass_through(self, address: str, timeout: float) -> None:
-        """Let a sender wait for its time-out if the link is cut."""
+        """Return at once, or raise after ``timeout`` seconds if the link is cut.
+
+        Raises:
+            TimeoutError: The link is cut.
+        """
         if address in self._cut:
             await asyncio.sleep(timeout)
             raise TimeoutError(f"the link to {address} is cut")
--- a/primroseglade/sockets.py
+++ b/primroseglade/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options that both kinds of connections need."""
+"""Socket options and socket state of TCP connections."""
 
 import asyncio
 import socket
@@ -9,12 +9,12 @@
 def set_dead_peer_options(
     transport: asyncio.Transport, idle_seconds: int, unacknowledged_ms: int
 ) -> None:
-    """Have the kernel close a connection whose other end no longer answers.
+    """Have the kernel close a connection whose peer no longer responds.
 
     Args:
-        transport: Of the connection.
-        idle_seconds: Without data, after which the other end is probed.
-        unacknowledged_ms: For which sent data may go without an acknowledgement.
+        transport: Transport of the connection.
+        idle_seconds: Idle time in seconds after which the peer is probed.
+        unacknowledged_ms: Time in ms that sent data may remain unacknowledged.
     """
     sock = transport.get_extra_info("socket")
     for level, option, value in (
@@ -29,10 +29,10 @@
 
 
 def was_reset(transport: asyncio.Transport) -> bool:
-    """Whether the other end broke the connection off, to be asked at its end.
+    """Whether the peer reset the connection; to be called when it has ended.
 
-    Where data and a reset come in one turn, uvloop tells of the data and then of an
-    ordinary end, without looking for the error. It is still to be had of the socket.
+    If data and a reset arrive in the same loop iteration, uvloop reports the data and
+    then a regular end of stream. The error can still be read from the socket.
     """
     sock = transport.get_extra_info("socket")
     return sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) != 0
