--- a/primroseglade/operator_client.py
+++ b/primroseglade/operator_client.py
@@ -1,4 +1,4 @@
-"""Asks a node's operator address."""
+"""HTTP client for a node's operator address."""
 
 from typing import Any
 
@@ -11,11 +11,14 @@
 
 
 class OperatorClient:
-    """Reads a node's view.
+    """Reads status and configuration from a node's operator listener.
 
     Args:
         address: ``IP:PORT`` of the operator listener.
-        token: Operator token, empty for none.
+        token: Operator token; empty if the node requires none.
+
+    Raises:
+        InputError: The address is invalid.
     """
 
     def __init__(self, address: str, token: str = ""):
@@ -35,18 +38,18 @@
         await self._session.close()
 
     async def get(self, path: str) -> Any:
-        """Return a page's JSON.
+        """Return the decoded JSON at a path.
 
         Raises:
-            UnreachableError: No answer.
-            RefusedError: The node asks for another token, or knows nothing there.
+            UnreachableError: The node did not respond with JSON.
+            RefusedError: The node responded with an error, such as a wrong token.
         """
         try:
             async with self._session.get(f"http://{self._address}{path}") as response:
                 value = await response.json(content_type=None)
                 status = response.status
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
-            reason = str(error) or "no answer in time"
+            reason = str(error) or "no response in time"
             raise UnreachableError(f"node {self._address}: {reason}") from error
         if status != 200:
             raise RefusedError(f"node {self._address}: {value.get('error', status)}")
--- a/primroseglade/operator_pages.py
+++ b/primroseglade/operator_pages.py
@@ -1,4 +1,4 @@
-"""The operator address: metrics, the node's view, traces, decisions, events."""
+"""HTTP API for operators: metrics, node status, document, traces and events."""
 
 from __future__ import annotations
 
@@ -35,17 +35,17 @@
 
 
 class OperatorPages:
-    """Answers operators, and nobody without the token where one is set.
+    """Serves the operator API, to holders of the operator token if one is set.
 
     Args:
-        node: What there is to tell of.
+        node: The node whose state is served.
     """
 
     def __init__(self, node: Node):
         self._node = node
 
     def build_application(self) -> Application:
-        """Return the application."""
+        """Build the application with all routes."""
         app = build_application()
         routes = {
             "/": self._show_page,
@@ -69,7 +69,9 @@
             presented = request.get_first_header(AUTHORIZATION) or b""
             expected = f"Bearer {token}".encode()
             if token and not hmac.compare_digest(presented, expected):
-                return answer_json(401, {"error": "the operator token is missing"})
+                return answer_json(
+                    401, {"error": "the operator token is missing or wrong"}
+                )
             return await handler(request)
 
         return handle_authorized
@@ -115,7 +117,9 @@
         record = request.route_values["record"]
         outcome = self._node.configuration.fold.find_outcome(record)
         if outcome is None:
-            return answer_json(404, {"error": "no such record was folded here"})
+            return answer_json(
+                404, {"error": "no outcome of this record is known here"}
+            )
         return answer_json(
             200,
             {
@@ -156,7 +160,7 @@
 
 
 def build_operator_application(node: Node) -> Application:
-    """Return the application of a node's operator address."""
+    """Build the application of a node's operator listener."""
     return OperatorPages(node).build_application()
 
 
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -1,4 +1,4 @@
-"""Publishes an edit to the log and follows it until its verdict, and everywhere."""
+"""Publishes edits to the configuration log and tracks their outcome in the fleet."""
 
 import asyncio
 from typing import Any
@@ -13,14 +13,14 @@
 
 
 class Published:
-    """What became of an edit.
+    """The outcome of a published edit, and which instances have confirmed it.
 
     Args:
-        record: Its id.
-        offset: Where it stands in the log.
-        accepted: Whether the document took it.
-        reason: Why not.
-        sections: What it changed.
+        record: Id of the record.
+        offset: Offset of the record in the log.
+        accepted: Whether the edit was accepted.
+        reason: Why the edit was rejected.
+        sections: Names of the edited sections.
     """
 
     __slots__ = (
@@ -54,26 +54,26 @@
         self.silent: list[str] = []
 
     def to_dict(self) -> dict[str, Any]:
-        """Return it for JSON."""
+        """Return the attributes as a JSON object."""
         return {name: getattr(self, name) for name in self.__slots__}
 
 
 def build_edit(
     changes: dict[str, Any], view: dict[str, Any], author: str, as_of: int | None
 ) -> Edit | None:
-    """Build an edit of the sections that differ from those in force.
+    """Build an edit of the sections whose value changes.
 
     Args:
-        changes: Section to its new value, None to take it out.
-        view: A node's ``/document``.
-        author: Who publishes.
-        as_of: Refuse where a section has changed at or after this offset.
+        changes: Section name to its new value, or None to remove the section.
+        view: The current document, as served at a node's ``/document``.
+        author: Author of the edit.
+        as_of: Refuse the edit if a section was changed at or after this offset.
 
     Returns:
-        The edit, or None where nothing differs.
+        The edit, or None if no section changes.
 
     Raises:
-        RefusedError: Somebody changed a section since.
+        RefusedError: A section was changed at or after ``as_of``.
     """
     edits = []
     for name, value in changes.items():
@@ -89,14 +89,20 @@
 async def publish(
     log: LogClient, client: OperatorClient, edit: Edit, wait: float
 ) -> Published:
-    """Append an edit and wait for the node's verdict on it.
+    """Append an edit to the log and wait for its outcome on a node.
 
-    An append without an answer may have taken effect. The edit is then looked for by
-    its id, and appended again if it does not show: should both stand in the log, the
-    second is based on versions that the first has changed, and changes nothing.
+    An append without a response may have taken effect. The outcome is then looked up
+    by the record id, and the edit is appended again if there is none. If both copies
+    are in the log, the second is rejected as a conflict with the first.
+
+    Args:
+        log: Client of the log.
+        client: Client of the node that reports the outcome.
+        edit: The edit.
+        wait: Timeout in seconds.
 
     Raises:
-        UnreachableError: No verdict in time; the edit may yet come into force.
+        UnreachableError: There is no outcome in time; the edit may still be applied.
     """
     clock = asyncio.get_running_loop().time
     deadline = clock() + wait
@@ -110,14 +116,20 @@
         if published is not None:
             return published
     raise UnreachableError(
-        f"no verdict on record {edit.id} within {wait:g} s: it may yet come into force"
+        f"no outcome of record {edit.id} within {wait:g} s: it may still be applied"
     )
 
 
 async def wait_everywhere(
     client: OperatorClient, published: Published, wait: float
 ) -> None:
-    """Wait until all instances confirmed, and note those that did not."""
+    """Wait until all instances have confirmed an edit, and record which have not.
+
+    Args:
+        client: Client of the node that collects the confirmations.
+        published: The edit; its lists of instances are updated.
+        wait: Timeout in seconds.
+    """
     clock = asyncio.get_running_loop().time
     deadline = clock() + wait
     while True:
--- a/primroseglade/reference.py
+++ b/primroseglade/reference.py
@@ -1,5 +1,8 @@
-"""Writes the reference pages of ``docs/`` from the code: ``python -m
-primroseglade.reference docs``; a test checks that they are current."""
+"""Generates the reference pages in ``docs/`` from the code.
+
+Run ``python -m primroseglade.reference docs`` to update them; a test checks that they
+are current.
+"""
 
 import pathlib
 import sys
@@ -15,7 +18,7 @@
 
 
 def render_events() -> str:
-    """Return the catalogue of events."""
+    """Return the page that lists all events."""
     lines = ["# Events", "", GENERATED_NOTE]
     lines.append(
         "A node logs numbered events with fields, as text or as JSON lines (setting "
@@ -30,7 +33,7 @@
 
 
 def render_metrics() -> str:
-    """Return the list of metrics."""
+    """Return the page that lists all metrics."""
     lines = ["# Metrics", "", GENERATED_NOTE]
     lines.append("Served at `/metrics` of a node's operator address.\n")
     lines += ["| name | type | meaning |", "| --- | --- | --- |"]
@@ -40,7 +43,7 @@
 
 
 def render_settings() -> str:
-    """Return the settings of a node and the fields of the document."""
+    """Return the page of node settings and of the fields of the document."""
     lines = [
         "# Settings and the document",
         "",
@@ -61,7 +64,7 @@
 
 
 def render_refusals() -> str:
-    """Return the reasons with which calls are refused."""
+    """Return the page that lists the reasons of refusals."""
     lines = ["# Refusals", "", GENERATED_NOTE]
     lines += ["| reason | status | title |", "| --- | --- | --- |"]
     for reason in Reason:
@@ -95,7 +98,7 @@
 
 
 def write_pages(folder: str) -> None:
-    """Write every page into a folder."""
+    """Write all pages to a folder."""
     for name, render in PAGES.items():
         pathlib.Path(folder, name).write_text(render(), encoding="utf-8")
 
