--- a/primroseglade/supervisor.py
+++ b/primroseglade/supervisor.py
@@ -8,7 +8,7 @@
 
 FIRST_DELAY_SECONDS = 0.05
 LONGEST_DELAY_SECONDS = 5.0
-# A child that lives this long has recovered: its next failure counts as a first.
+# A child that ran this long has recovered; its count of failures starts again.
 FAILURE_RESET_SECONDS = 30.0
 MAX_CONSECUTIVE_FAILURES = 20
 CANCEL_RETRY_SECONDS = 0.2
@@ -17,15 +17,15 @@
 
 
 class Supervisor:
-    """Runs children, starts a failed one again, and ends them in reverse order.
+    """Runs child tasks, restarts those that fail, and ends them in reverse order.
 
-    A child that returns is done. One that raises is started again after a growing
-    delay; one that fails too often in a row brings its supervisor down, and with it
-    the process, which the platform then replaces.
+    A child that returns is done. A child that raises is restarted with exponential
+    backoff. A child with too many consecutive failures makes ``wait_failed`` raise,
+    which ends the process; the platform then replaces it.
 
     Args:
-        name: Name of this branch of the tree.
-        journal: Where failures are told.
+        name: Name of the supervisor in task names and events.
+        journal: Journal that receives the failures.
     """
 
     def __init__(self, name: str, journal: Journal):
@@ -36,13 +36,17 @@
 
     @property
     def children(self) -> list[str]:
-        """Names of the running children, oldest first."""
+        """Names of the running children, in the order of their start."""
         return list(self._tasks)
 
     def start(self, name: str, work: TaskFactory) -> None:
-        """Start a child under a name that no running child has."""
+        """Start a child.
+
+        Raises:
+            ValueError: A child of this name is running.
+        """
         if name in self._tasks:
-            raise ValueError(f"{self._name} runs {name} already")
+            raise ValueError(f"{self._name} is already running {name}")
         task = asyncio.create_task(
             self._run_with_restarts(name, work), name=f"{self._name}/{name}"
         )
@@ -50,28 +54,32 @@
         task.add_done_callback(lambda _: self._tasks.pop(name, None))
 
     def start_once(self, name: str, work: TaskFactory) -> None:
-        """Start a child unless one of this name runs."""
+        """Start a child unless one of this name is running."""
         if name not in self._tasks:
             self.start(name, work)
 
     async def end(self, name: str) -> None:
-        """Cancel one child and wait until it is gone."""
+        """Cancel a child and wait until it has ended."""
         task = self._tasks.get(name)
         while task is not None and not task.done():
-            # Once is not enough: `asyncio.wait_for` of Python 3.11 swallows a
-            # cancellation that meets its inner result, and the child then goes on.
-            # It showed as a node that hung at its stop, one time in some dozens.
+            # A single cancellation can be lost: `asyncio.wait_for` in Python 3.11
+            # swallows one that coincides with its inner result, and the child goes on.
+            # Without repeats, about one node stop in several dozen hung.
             task.cancel()
             await asyncio.wait({task}, timeout=CANCEL_RETRY_SECONDS)
 
     async def wait_failed(self) -> None:
-        """Wait until a child has failed too often, and raise its error."""
+        """Wait until a child has failed too often.
+
+        Raises:
+            ExceptionGroup: Contains the child's last error.
+        """
         if self._failed is None:
             self._failed = asyncio.get_running_loop().create_future()
         await self._failed
 
     async def close(self) -> None:
-        """End all children, the newest first."""
+        """End all children in reverse order of their start."""
         for name in reversed(self.children):
             await self.end(name)
 
