--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_no_name_of_the_platform_outside_the_adapter(path: pathlib.Path):
+def test_platform_names_occur_only_in_the_adapter(path: pathlib.Path):
     """What the platform calls things is decoded once."""
     text = path.read_text().lower()
     assert not [name for name in NAMES if name in text]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -29,14 +29,14 @@
         yield fleet
 
 
-async def call_refused(address: str, **options) -> Refusal:
+async def expect_refusal(address: str, **options) -> Refusal:
     async with Client([address], KEY, timeout=3.0, attempts=1) as client:
         with pytest.raises(Refusal) as caught:
             await client.call("archive", "/x", **options)
     return caught.value
 
 
-async def test_withdrawn_key_stops_everywhere_also_on_open_connections():
+async def test_withdrawn_key_is_refused_everywhere_also_on_open_connections():
     """A tablet is lost; its key is withdrawn while the thief's connection is open."""
     async with run_fleet("aabb") as fleet:
         clients = [Client([place.callers], KEY) for place in fleet.places]
@@ -52,7 +52,7 @@
             await client.close()
 
 
-async def test_withdrawal_reaches_calls_that_wait_in_the_queue():
+async def test_withdrawal_refuses_calls_that_are_queued():
     """All slots are taken; calls of the withdrawn key wait for theirs."""
     async with run_fleet("a", slots=1, work=1.5, spread=0) as fleet:
         place = fleet.places[0]
@@ -107,17 +107,17 @@
         assert len(fleet.places[0].backend.seen) == before
 
 
-async def test_zone_cut_off_from_the_platform_learns_from_other_zones():
+async def test_zone_without_the_platform_is_updated_by_other_zones():
     """A link to the platform fails for one zone; a key is withdrawn meanwhile."""
     async with run_fleet("aabb") as fleet:
         fleet.cut_zone("b", from_platform=True, from_zones=False)
         offset = await fleet.publish(recalls=RECALL)
         await fleet.wait_offset(offset + 1)
-        refusal = await call_refused(fleet.places[3].callers)
+        refusal = await expect_refusal(fleet.places[3].callers)
     assert refusal.reason is Reason.KEY_WITHDRAWN
 
 
-async def test_zone_cut_off_from_everything_goes_on_and_catches_up():
+async def test_isolated_zone_keeps_serving_and_catches_up():
     """Split's island zone loses all links; sweepers there go on; then it heals."""
     async with run_fleet("aabb") as fleet:
         fleet.cut_zone("b", from_platform=True, from_zones=True)
@@ -130,11 +130,11 @@
         assert not status.is_everywhere(offset + 1)
         fleet.heal()
         await fleet.wait_offset(offset + 1)
-        refusal = await call_refused(fleet.places[2].callers)
+        refusal = await expect_refusal(fleet.places[2].callers)
     assert refusal.reason is Reason.KEY_WITHDRAWN
 
 
-async def test_workspace_may_choose_to_stop_when_the_configuration_is_old():
+async def test_workspace_with_stale_after_is_refused_on_old_configuration():
     async with run_fleet("aabb") as fleet:
         node = fleet.nodes[0]
         known = node.configuration.document.sections["workspaces/north"].value
@@ -142,7 +142,7 @@
         await fleet.wait_offset(2)
         fleet.cut_zone("b", from_platform=True, from_zones=True)
         await fleet.wait(lambda: fleet.places[2].node.configuration.age > 1.1)
-        refusal = await call_refused(fleet.places[2].callers)
+        refusal = await expect_refusal(fleet.places[2].callers)
     assert refusal.reason is Reason.CONFIGURATION_STALE
     assert refusal.verdict is Verdict.NOT_RUN
 
@@ -162,12 +162,12 @@
     async with EmbeddedFleet(FAST) as fleet:
         fleet.log.faults.outage = True
         place = await fleet.add("a")
-        refusal = await call_refused(place.callers)
+        refusal = await expect_refusal(place.callers)
     assert refusal.reason is Reason.CONFIGURATION_MISSING
     assert refusal.verdict is Verdict.NOT_RUN
 
 
-async def test_state_outlives_the_records_that_made_it():
+async def test_snapshots_preserve_the_state_after_its_records_expire():
     """The platform keeps records for a limited time; an instance starts after that."""
     fast_snapshots = FAST | {"fleet": FAST["fleet"] | {"snapshot": 1.0}}
     async with EmbeddedFleet(fast_snapshots, retention=4) as fleet:
@@ -185,7 +185,7 @@
         assert {"recalls/r0", "recalls/r1", "recalls/r2"} <= set(document.sections)
 
 
-async def test_forged_snapshot_is_not_taken():
+async def test_forged_snapshot_is_rejected():
     """Someone with write access to the log, but not the fleet's secret, plants one."""
     async with EmbeddedFleet(FAST, retention=1) as fleet:
         await fleet.publish(**build_document(("a",)))
@@ -198,7 +198,7 @@
         assert 222 in numbers
 
 
-async def test_publisher_learns_the_verdict_although_the_answer_was_lost():
+async def test_publisher_learns_the_outcome_after_a_lost_response():
     """The append took effect, its answer was lost, and the tool sends it again."""
     async with run_fleet("a") as fleet:
         fleet.log.faults.lose_answers = 1
@@ -214,7 +214,7 @@
         assert [r.get("id") for r in records].count(edit.id) == 1
 
 
-async def test_publish_goes_through_an_outage_of_ten_appends():
+async def test_publish_succeeds_after_an_outage_of_the_log():
     async with run_fleet("a") as fleet:
         fleet.log.faults.outage = True
         log = LogClient(fleet.log.address)
@@ -230,7 +230,7 @@
     assert published.accepted
 
 
-async def test_calls_go_on_while_the_platform_is_down():
+async def test_calls_are_served_while_the_platform_is_down():
     async with run_fleet("ab") as fleet:
         fleet.log.faults.outage = True
         async with Client([place.callers for place in fleet.places], KEY) as client:
@@ -238,7 +238,7 @@
                 assert (await client.call("archive", "/x")).status == 200
 
 
-async def test_outage_of_the_platform_does_not_set_the_whole_fleet_on_it():
+async def test_outage_of_the_log_does_not_make_the_whole_fleet_poll_it():
     """The log goes down, and every node's configuration grows old.
 
     Were all of them to ask it every second or two, it could not come back.
@@ -257,7 +257,7 @@
     assert pauses[False] >= 15.0
 
 
-async def test_log_that_lost_its_end_does_not_turn_the_state_back():
+async def test_truncated_log_does_not_revert_the_state():
     """The platform restores an old copy of the log: it ends before the state."""
     async with run_fleet("a") as fleet:
         offset = await fleet.publish(recalls=RECALL)
@@ -265,6 +265,6 @@
         del fleet.log.get_topic(CONFIGURATION).records[1:]
         stale = Edit([SectionEdit("recalls/lost-tablet", None, None)], "old")
         await fleet.log.append(CONFIGURATION, stale.to_value())
-        refusal = await call_refused(fleet.places[0].callers)
+        refusal = await expect_refusal(fleet.places[0].callers)
         assert refusal.reason is Reason.KEY_WITHDRAWN
         assert fleet.nodes[0].configuration.next_offset == offset + 1
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -24,14 +24,14 @@
     return json.dumps(stored, sort_keys=True)
 
 
-def fold_all(records: list) -> Fold:
+def apply_all(records: list) -> Fold:
     fold = Fold(SECRET)
     for offset, value in enumerate(records):
         fold.apply(offset, value)
     return fold
 
 
-def test_racing_operators_get_one_winner_and_a_loser_told_by_whom():
+def test_concurrent_edits_have_one_winner_and_the_loser_learns_by_whom():
     """Two operators read the same section, edit it and publish at the same moment.
 
     Both appends stand in the log. The first is in force everywhere; the second has
@@ -49,7 +49,7 @@
     assert fold.document.services["archive"].trusted
 
 
-def test_edit_of_several_sections_is_accepted_whole_or_not_at_all():
+def test_edit_of_several_sections_is_accepted_or_rejected_as_a_whole():
     fold = Fold(SECRET)
     fold.apply(0, make_edit("zones/a", None, {"share": 0.5}))
     edit = Edit(
@@ -63,14 +63,14 @@
     assert fold.document.shares == {"a": 0.5}
 
 
-def test_repeated_append_of_a_lost_answer_changes_nothing():
+def test_edit_appended_again_after_a_lost_response_changes_nothing():
     """An append takes effect, its answer is lost, the operator's tool sends it again.
 
     Meanwhile a colleague took the section out. The repeated record must not bring
     back what was taken out.
     """
     record = make_edit("recalls/tablet", None, {"keys": ["k1"]})
-    fold = fold_all([record, make_edit("recalls/tablet", 0, None), record])
+    fold = apply_all([record, make_edit("recalls/tablet", 0, None), record])
     assert fold.find_outcome(record["id"]).accepted
     assert fold.document.sections["recalls/tablet"].value is None
 
@@ -92,29 +92,29 @@
         make_edit("rates/nobody", None, {"per_second": 1, "burst": 1}),
     ],
 )
-def test_unreadable_record_is_refused_and_the_fold_goes_on(value):
-    fold = fold_all([value, make_edit("zones/b", None, {"share": 1.0})])
+def test_invalid_record_is_rejected_and_later_ones_are_applied(value):
+    fold = apply_all([value, make_edit("zones/b", None, {"share": 1.0})])
     assert fold.next_offset == 2
     assert fold.document.shares == {"b": 1.0}
 
 
 def test_shares_of_all_zones_never_add_up_to_more_than_one():
-    fold = fold_all([make_edit("zones/a", None, {"share": 0.7})])
+    fold = apply_all([make_edit("zones/a", None, {"share": 0.7})])
     outcome = fold.apply(1, make_edit("zones/b", None, {"share": 0.4}))
     assert not outcome.accepted
     assert "1.1" in outcome.reason
 
 
-def test_key_cannot_stand_in_two_workspaces():
+def test_key_cannot_be_in_two_workspaces():
     """A tenant publishes another's digest as its own key, and would act for both."""
-    fold = fold_all([make_edit("workspaces/one", None, build_workspace("one", "k"))])
+    fold = apply_all([make_edit("workspaces/one", None, build_workspace("one", "k"))])
     stolen = {"keys": [{"id": "mine", "digest": digest_key("k")}]}
     assert not fold.apply(1, make_edit("workspaces/two", None, stolen)).accepted
     assert fold.document.find_key(digest_key("k")).workspace == "one"
 
 
 def test_key_moved_by_one_edit_acts_for_its_new_workspace():
-    fold = fold_all([make_edit("workspaces/one", None, build_workspace("one", "k"))])
+    fold = apply_all([make_edit("workspaces/one", None, build_workspace("one", "k"))])
     edit = Edit(
         [
             SectionEdit("workspaces/two", None, build_workspace("two", "k")),
@@ -127,7 +127,7 @@
 
 
 def test_one_recall_withdraws_a_batch_of_keys_workspaces_and_backend_servers():
-    fold = fold_all(
+    fold = apply_all(
         [
             make_edit("workspaces/one", None, build_workspace("one", "k1", "bad")),
             make_edit("workspaces/two", None, build_workspace("two", "k2", "good")),
@@ -147,9 +147,9 @@
 
 
 def test_late_snapshot_never_reverts():
-    early = fold_all([make_edit("zones/a", None, {"share": 0.2})])
+    early = apply_all([make_edit("zones/a", None, {"share": 0.2})])
     parts = early.build_snapshot()
-    late = fold_all(
+    late = apply_all(
         [
             make_edit("zones/a", None, {"share": 0.2}),
             make_edit("zones/a", 0, {"share": 0.9}),
@@ -159,16 +159,16 @@
     assert late.document.shares == {"a": 0.9}
 
 
-def test_record_that_comes_late_does_not_turn_the_fold_back():
+def test_late_record_does_not_revert_the_document():
     """A peer answers a question for records after the log has given newer ones."""
-    made = [make_edit("zones/a", None, {"share": 0.2}), "garbage"]
-    fold = fold_all(made)
-    fold.apply(0, made[0])
+    log_values = [make_edit("zones/a", None, {"share": 0.2}), "garbage"]
+    fold = apply_all(log_values)
+    fold.apply(0, log_values[0])
     assert fold.next_offset == 2
 
 
-names = st.sampled_from(["zones/a", "zones/b", "services/x", "recalls/r"])
-values = {
+section_names = st.sampled_from(["zones/a", "zones/b", "services/x", "recalls/r"])
+section_values = {
     "zones/a": [{"share": 0.3}, {"share": 0.8}, None],
     "zones/b": [{"share": 0.4}, {"share": 3}, None],
     "services/x": [SERVICE, {"backend_servers": []}, None],
@@ -179,35 +179,37 @@
 @st.composite
 def records(draw):
     """Edits with right, stale and absurd bases, some appended twice, and garbage."""
-    made: list = []
+    log_values: list = []
     for _ in range(draw(st.integers(1, 25))):
         kind = draw(st.integers(0, 9))
         if kind == 0:
-            made.append(draw(st.sampled_from([None, 3, "x", {"format": 9}])))
-        elif kind == 1 and made:
-            made.append(draw(st.sampled_from(made)))
+            log_values.append(draw(st.sampled_from([None, 3, "x", {"format": 9}])))
+        elif kind == 1 and log_values:
+            log_values.append(draw(st.sampled_from(log_values)))
         else:
-            name = draw(names)
-            base = draw(st.one_of(st.none(), st.integers(0, len(made) + 1)))
-            made.append(make_edit(name, base, draw(st.sampled_from(values[name]))))
-    return made
+            name = draw(section_names)
+            base = draw(st.one_of(st.none(), st.integers(0, len(log_values) + 1)))
+            log_values.append(
+                make_edit(name, base, draw(st.sampled_from(section_values[name])))
+            )
+    return log_values
 
 
 @given(records(), st.data())
-def test_every_way_to_the_end_gives_the_same_document(made, data):
+def test_replays_and_snapshots_give_the_same_document(log_values, data):
     """Records one by one, some twice or late, or a snapshot in between."""
-    whole = fold_all(made)
-    other = Fold(SECRET)
-    cut = data.draw(st.integers(0, len(made)))
-    for offset in range(cut):
-        other.apply(offset, made[offset])
+    expected = apply_all(log_values)
+    replayed = Fold(SECRET)
+    snapshot_at = data.draw(st.integers(0, len(log_values)))
+    for offset in range(snapshot_at):
+        replayed.apply(offset, log_values[offset])
         if data.draw(st.booleans()):
             late = data.draw(st.integers(0, offset))
-            other.apply(late, made[late])
-    fresh = Fold(SECRET)
-    if cut:
-        fresh.load(other.build_snapshot())
-    for offset in range(fresh.next_offset, len(made)):
-        fresh.apply(offset, made[offset])
-    assert dump(fresh) == dump(whole)
-    assert sum(fresh.document.shares.values()) <= 1 + 1e-9
+            replayed.apply(late, log_values[late])
+    restored = Fold(SECRET)
+    if snapshot_at:
+        restored.load(replayed.build_snapshot())
+    for offset in range(restored.next_offset, len(log_values)):
+        restored.apply(offset, log_values[offset])
+    assert dump(restored) == dump(expected)
+    assert sum(restored.document.shares.values()) <= 1 + 1e-9
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -17,16 +17,16 @@
     @initialize()
     def start(self):
         self.records = [Record(), Record()]
-        self.sent = 0
+        self.sent_attempts = 0
         self.in_transit: list[int] = []
         self.running: list[tuple[int, int, bool]] = []
         self.reported: list[tuple[int, int, Verdict]] = []
-        self.runs = 0
+        self.run_count = 0
 
     @rule()
     def send(self):
-        self.sent += 1
-        self.in_transit.append(self.sent)
+        self.sent_attempts += 1
+        self.in_transit.append(self.sent_attempts)
 
     @rule(which=st.integers(0, 50), recorder=st.integers(0, 1), ran=st.booleans())
     def arrive(self, which, recorder, ran):
@@ -35,18 +35,18 @@
         attempt = self.in_transit.pop(which % len(self.in_transit))
         decision = self.records[recorder].begin("north", "op", attempt)
         if decision is Decision.RUN:
-            self.runs += ran
+            self.run_count += ran
             self.running.append((recorder, attempt, ran))
 
-    @rule(which=st.integers(0, 50), lost=st.booleans(), unsure=st.booleans())
-    def finish(self, which, lost, unsure):
+    @rule(which=st.integers(0, 50), lost=st.booleans(), unknown=st.booleans())
+    def finish(self, which, lost, unknown):
         if not self.running:
             return
         recorder, attempt, ran = self.running.pop(which % len(self.running))
         if lost:
             return
         verdict = Verdict.RAN if ran else Verdict.NOT_RUN
-        if unsure:
+        if unknown:
             verdict = Verdict.MAY_HAVE_RUN
         self.records[recorder].finish("north", "op", attempt, verdict)
         self.reported.append((recorder, attempt, verdict))
@@ -63,26 +63,26 @@
 
     @invariant()
     def ran_at_most_once(self):
-        assert self.runs <= 1
+        assert self.run_count <= 1
 
 
 TestOneOperation = OneOperation.TestCase
 TestOneOperation.settings = settings(max_examples=150, stateful_step_count=30)
 
 
-def test_later_attempt_that_nobody_remembers_is_refused():
+def test_later_attempt_at_an_unrecorded_operation_is_refused():
     """A payout's first attempt ran in another zone; its answer was lost."""
     assert Record().begin("north", "payout", 2) is Decision.UNKNOWN
 
 
-def test_attempt_after_one_that_surely_did_not_run_is_let_through():
+def test_attempt_after_one_that_did_not_run_is_allowed():
     record = Record()
     record.begin("north", "payout", 1)
     record.finish("north", "payout", 1, Verdict.NOT_RUN)
     assert record.begin("north", "payout", 2) is Decision.RUN
 
 
-def test_end_of_an_attempt_told_twice_does_not_end_the_next_one():
+def test_duplicate_finish_does_not_finish_the_next_attempt():
     """The news that attempt 1 did not run is delayed and arrives again while 2 runs.
 
     Taken for the end of attempt 2, it would let attempt 3 run beside it.
@@ -108,13 +108,13 @@
     assert record.begin("north", "payout", 2) is Decision.MAY_HAVE_RUN
 
 
-def test_operations_of_two_workspaces_are_two():
+def test_operation_ids_are_scoped_to_the_workspace():
     record = Record()
     assert record.begin("north", "payout", 1) is Decision.RUN
     assert record.begin("south", "payout", 1) is Decision.RUN
 
 
-def test_memory_is_bounded_by_time():
+def test_operations_are_evicted_after_the_retention_time():
     now = 0.0
     record = Record(lambda: now, retention_seconds=10.0)
     record.begin("north", "one", 1)
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -9,7 +9,7 @@
 from primroseglade.supervisor import Supervisor
 
 
-async def test_child_that_swallows_a_cancellation_is_ended_all_the_same():
+async def test_child_that_swallows_a_cancellation_is_still_ended():
     """A node is stopped just when one of its tasks gets what it waited for.
 
     The cancellation is lost in that moment, the task goes on, and a stop that waits
@@ -35,7 +35,7 @@
     assert tree.children == []
 
 
-async def test_failed_child_is_started_again(monkeypatch):
+async def test_failed_child_is_restarted(monkeypatch):
     monkeypatch.setattr(supervisor, "FIRST_DELAY_SECONDS", 0.001)
     done = asyncio.Event()
     runs = []
@@ -54,7 +54,7 @@
     assert [entry["event"] for entry in journal.recent] == [110, 110]
 
 
-async def test_child_that_always_fails_brings_the_process_down(monkeypatch):
+async def test_child_that_always_fails_makes_wait_failed_raise(monkeypatch):
     monkeypatch.setattr(supervisor, "LONGEST_DELAY_SECONDS", 0.001)
 
     async def work() -> None:
