--- a/tests/test_boundary.py
+++ b/tests/test_boundary.py
@@ -1,11 +1,11 @@
-"""The platform's names stay in the adapter."""
+"""Names of the platform's protocol occur only in the platform adapter."""
 
 import pathlib
 
 import pytest
 
 ROOT = pathlib.Path(__file__).parent.parent / "primroseglade"
-# The stand-ins play the platform's part and speak its protocol.
+# The stand-ins emulate the platform and use the names of its protocol.
 ALLOWED = (ROOT / "platform", ROOT / "stand_ins")
 NAMES = (
     "x-primroseglade-",
@@ -27,6 +27,6 @@
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
 def test_platform_names_occur_only_in_the_adapter(path: pathlib.Path):
-    """What the platform calls things is decoded once."""
+    """The platform's protocol is decoded in one place only."""
     text = path.read_text().lower()
     assert not [name for name in NAMES if name in text]
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: from the log, from peers, through outages and cuts."""
+"""Distribution of the configuration, from the log and from peers, under faults."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 
 
 async def test_withdrawn_key_is_refused_everywhere_also_on_open_connections():
-    """A tablet is lost; its key is withdrawn while the thief's connection is open."""
+    """A key is withdrawn while connections that used it are still open."""
     async with run_fleet("aabb") as fleet:
         clients = [Client([place.callers], KEY) for place in fleet.places]
         for client in clients:
@@ -53,7 +53,7 @@
 
 
 async def test_withdrawal_refuses_calls_that_are_queued():
-    """All slots are taken; calls of the withdrawn key wait for theirs."""
+    """All slots are in use, and calls with the withdrawn key are queued."""
     async with run_fleet("a", slots=1, work=1.5, spread=0) as fleet:
         place = fleet.places[0]
         queue = place.node.backend.queue
@@ -65,7 +65,7 @@
             await fleet.wait(lambda: queue.size == 3)
             await fleet.publish(recalls=RECALL)
             await fleet.wait(lambda: queue.size == 0)
-            # At once, and not when their turn came: the first is still at work.
+            # Refused at once, not on reaching a slot: the first call is still running.
             assert place.backend.at_work == 1
             results = await asyncio.gather(*calls, return_exceptions=True)
         refused = [r for r in results if isinstance(r, Refusal)]
@@ -75,7 +75,7 @@
 
 
 async def test_withdrawal_stops_nested_calls_of_calls_in_flight():
-    """A call is at work for a withdrawn key, and is about to call the next service."""
+    """The key of a running call is withdrawn before it calls the next service."""
     async with EmbeddedFleet(FAST) as fleet:
         services = ("archive", "dispatch")
         await fleet.publish(**build_document(("a",), services=services))
@@ -108,7 +108,7 @@
 
 
 async def test_zone_without_the_platform_is_updated_by_other_zones():
-    """A link to the platform fails for one zone; a key is withdrawn meanwhile."""
+    """One zone loses its link to the platform, and a key is withdrawn meanwhile."""
     async with run_fleet("aabb") as fleet:
         fleet.cut_zone("b", from_platform=True, from_zones=False)
         offset = await fleet.publish(recalls=RECALL)
@@ -118,7 +118,7 @@
 
 
 async def test_isolated_zone_keeps_serving_and_catches_up():
-    """Split's island zone loses all links; sweepers there go on; then it heals."""
+    """One zone loses all links, keeps serving calls, and is then reconnected."""
     async with run_fleet("aabb") as fleet:
         fleet.cut_zone("b", from_platform=True, from_zones=True)
         offset = await fleet.publish(recalls=RECALL)
@@ -168,7 +168,7 @@
 
 
 async def test_snapshots_preserve_the_state_after_its_records_expire():
-    """The platform keeps records for a limited time; an instance starts after that."""
+    """An instance starts after the platform has expired the first records."""
     fast_snapshots = FAST | {"fleet": FAST["fleet"] | {"snapshot": 1.0}}
     async with EmbeddedFleet(fast_snapshots, retention=4) as fleet:
         await fleet.publish(**build_document(("a",)))
@@ -186,7 +186,7 @@
 
 
 async def test_forged_snapshot_is_rejected():
-    """Someone with write access to the log, but not the fleet's secret, plants one."""
+    """Someone who can write to the log, but lacks the fleet secret, appends one."""
     async with EmbeddedFleet(FAST, retention=1) as fleet:
         await fleet.publish(**build_document(("a",)))
         body = {"id": "x", "next_offset": 1, "part": 0, "parts": 1, "sections": {}}
@@ -199,7 +199,7 @@
 
 
 async def test_publisher_learns_the_outcome_after_a_lost_response():
-    """The append took effect, its answer was lost, and the tool sends it again."""
+    """An append takes effect, but its response is lost."""
     async with run_fleet("a") as fleet:
         fleet.log.faults.lose_answers = 1
         log = LogClient(fleet.log.address)
@@ -239,9 +239,9 @@
 
 
 async def test_outage_of_the_log_does_not_make_the_whole_fleet_poll_it():
-    """The log goes down, and every node's configuration grows old.
+    """The log fails, and the configuration of every node becomes stale.
 
-    Were all of them to ask it every second or two, it could not come back.
+    If all nodes polled the log every second or two, it could not recover.
     """
     settings = FAST | {"fleet": FAST["fleet"] | {"readers": 1}}
     async with EmbeddedFleet(settings) as fleet:
@@ -258,7 +258,7 @@
 
 
 async def test_truncated_log_does_not_revert_the_state():
-    """The platform restores an old copy of the log: it ends before the state."""
+    """The platform restores an old copy of the log that lacks the last records."""
     async with run_fleet("a") as fleet:
         offset = await fleet.publish(recalls=RECALL)
         await fleet.wait_offset(offset + 1)
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold: the same document on every node, whatever the log holds."""
+"""Applying log records: every node builds the same document from the same log."""
 
 import json
 
@@ -32,10 +32,10 @@
 
 
 def test_concurrent_edits_have_one_winner_and_the_loser_learns_by_whom():
-    """Two operators read the same section, edit it and publish at the same moment.
+    """Two operators read the same section and publish edits of it at the same time.
 
-    Both appends stand in the log. The first is in force everywhere; the second has
-    to learn that it lost, to whom, and must not undo the first.
+    Both records are in the log. The first is applied on every node. The second must
+    not undo it, and its outcome must name the author of the first.
     """
     fold = Fold(SECRET)
     fold.apply(0, make_edit("services/archive", None, SERVICE))
@@ -64,10 +64,10 @@
 
 
 def test_edit_appended_again_after_a_lost_response_changes_nothing():
-    """An append takes effect, its answer is lost, the operator's tool sends it again.
+    """An append takes effect, its response is lost, and the tool appends it again.
 
-    Meanwhile a colleague took the section out. The repeated record must not bring
-    back what was taken out.
+    In between, another operator removed the section. The second copy of the record must
+    not restore it.
     """
     record = make_edit("recalls/tablet", None, {"keys": ["k1"]})
     fold = apply_all([record, make_edit("recalls/tablet", 0, None), record])
@@ -106,7 +106,7 @@
 
 
 def test_key_cannot_be_in_two_workspaces():
-    """A tenant publishes another's digest as its own key, and would act for both."""
+    """A workspace publishes the digest of another workspace's key as its own."""
     fold = apply_all([make_edit("workspaces/one", None, build_workspace("one", "k"))])
     stolen = {"keys": [{"id": "mine", "digest": digest_key("k")}]}
     assert not fold.apply(1, make_edit("workspaces/two", None, stolen)).accepted
@@ -160,7 +160,7 @@
 
 
 def test_late_record_does_not_revert_the_document():
-    """A peer answers a question for records after the log has given newer ones."""
+    """A peer sends records after newer ones were read from the log."""
     log_values = [make_edit("zones/a", None, {"share": 0.2}), "garbage"]
     fold = apply_all(log_values)
     fold.apply(0, log_values[0])
@@ -178,7 +178,7 @@
 
 @st.composite
 def records(draw):
-    """Edits with right, stale and absurd bases, some appended twice, and garbage."""
+    """Edits with current, stale or invalid versions, repeated ones, invalid records."""
     log_values: list = []
     for _ in range(draw(st.integers(1, 25))):
         kind = draw(st.integers(0, 9))
@@ -197,7 +197,7 @@
 
 @given(records(), st.data())
 def test_replays_and_snapshots_give_the_same_document(log_values, data):
-    """Records one by one, some twice or late, or a snapshot in between."""
+    """Records are applied in order, some repeated, or a snapshot replaces the first."""
     expected = apply_all(log_values)
     replayed = Fold(SECRET)
     snapshot_at = data.draw(st.integers(0, len(log_values)))
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""At most once: every interleaving of attempts, recorders and losses."""
+"""At-most-once execution under reordered and lost messages and lost records."""
 
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import initialize, invariant, rule, RuleBasedStateMachine
@@ -8,10 +8,10 @@
 
 
 class OneOperation(RuleBasedStateMachine):
-    """A caller sends attempts 1, 2, 3 ... once each, through any of two recorders.
+    """A caller sends attempts 1, 2, 3 ... once each, through either of two recorders.
 
-    Attempts arrive in any order, the end of one may be told late or never, and a
-    recorder may be replaced by one that knows nothing.
+    Attempts arrive in any order, the end of one may be reported late, twice or never,
+    and a recorder may be replaced by an empty one.
     """
 
     @initialize()
@@ -71,7 +71,7 @@
 
 
 def test_later_attempt_at_an_unrecorded_operation_is_refused():
-    """A payout's first attempt ran in another zone; its answer was lost."""
+    """The first attempt ran in another zone and its response was lost."""
     assert Record().begin("north", "payout", 2) is Decision.UNKNOWN
 
 
@@ -83,9 +83,9 @@
 
 
 def test_duplicate_finish_does_not_finish_the_next_attempt():
-    """The news that attempt 1 did not run is delayed and arrives again while 2 runs.
+    """The report that attempt 1 did not run arrives again while attempt 2 runs.
 
-    Taken for the end of attempt 2, it would let attempt 3 run beside it.
+    If it were taken for the end of attempt 2, attempt 3 could run at the same time.
     """
     record = Record()
     record.begin("north", "payout", 1)
@@ -96,10 +96,10 @@
 
 
 def test_attempt_overtaken_by_a_later_one_does_not_run():
-    """Attempt 2 is held up on the way; attempt 3 is refused as not run.
+    """Attempt 2 is delayed, and attempt 3 is refused as not run.
 
-    The caller reports that nothing was paid. Were attempt 2 let through when it
-    arrives at last, that report would have been wrong.
+    The caller then reports that the operation did not run. That would become wrong if
+    attempt 2 were allowed to run when it arrives.
     """
     record = Record()
     for attempt in (1, 3):
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -1,4 +1,4 @@
-"""The supervisor: failed children start again, and all end when told to."""
+"""The supervisor: failed children are restarted, and all can be ended."""
 
 import asyncio
 
@@ -10,10 +10,10 @@
 
 
 async def test_child_that_swallows_a_cancellation_is_still_ended():
-    """A node is stopped just when one of its tasks gets what it waited for.
+    """A child is cancelled in the moment in which it gets what it waited for.
 
-    The cancellation is lost in that moment, the task goes on, and a stop that waits
-    for it would hang until the process is killed.
+    The cancellation is lost and the child goes on. A stop that waits for it would hang
+    until the process is killed.
     """
     swallowed = []
 
