--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -11,7 +11,7 @@
 
 
 class Recorder:
-    """Decides whether attempts at at-most-once operations may run.
+    """Grants or refuses attempts at operations that must run at most once.
 
     Rendezvous hashing of the operation id selects the recording node among the
     reachable nodes of this node's zone. A retry that arrives in another zone reaches a
