--- a/primroseglade/announcing.py
+++ b/primroseglade/announcing.py
@@ -1,4 +1,4 @@
-"""How the backend server beside a node announces itself, over loopback HTTP."""
+"""HTTP API by which a backend server announces itself to its local node."""
 
 import json
 from typing import Any
@@ -12,9 +12,9 @@
 from .settings.reader import build_validator, check
 
 PREFIX = b"/-/"
-PATH = "/-/backend-server"
+ANNOUNCEMENT_PATH = "/-/backend-server"
 
-_validator = build_validator(
+_announcement_validator = build_validator(
     {
         "type": "object",
         "additionalProperties": False,
@@ -31,12 +31,12 @@
 
 
 def build_announcing_application(backend: BackendServer) -> Application:
-    """Return the application that takes a backend server's announcements."""
+    """Build the application that receives a backend server's announcements."""
 
     async def announce(request: Request) -> Response:
         try:
             fields = json.loads(await request.read() or b"null")
-            check(fields, _validator, "announcement")
+            check(fields, _announcement_validator, "announcement")
         except InputError as error:
             return answer_json(400, {"error": str(error)})
         except ValueError:
@@ -46,17 +46,17 @@
             return answer_json(403, {"error": problem})
         return answer_json(200, {"serving": backend.serving})
 
-    async def leave(_: Request) -> Response:
+    async def remove_announcement(_: Request) -> Response:
         backend.withdraw()
         return answer_json(200, {"serving": False})
 
     app = build_application()
-    app.router.add_put(PATH, as_handler(announce))
-    app.router.add_delete(PATH, as_handler(leave))
+    app.router.add_put(ANNOUNCEMENT_PATH, as_handler(announce))
+    app.router.add_delete(ANNOUNCEMENT_PATH, as_handler(remove_announcement))
     return app
 
 
 def answer_json(status: int, value: Any) -> Response:
-    """Return a response that holds JSON."""
+    """Return a response with a JSON body."""
     body = json.dumps(value, indent=2).encode() + b"\n"
     return Response(status, content=Content(b"application/json", body))
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -1,4 +1,4 @@
-"""The document in force, indexed for the questions that a call asks."""
+"""The configuration document, indexed for the lookups that each call makes."""
 
 import hashlib
 import ipaddress
@@ -10,14 +10,14 @@
 
 
 class Section:
-    """A section as it stands, with the record that put it there.
+    """The current value of a section and the record that set it.
 
     Args:
-        value: Its value; None marks a section that was taken out, whose version
-            still guards against an old edit that is appended again.
-        version: Offset of that record.
-        author: Who wrote it.
-        record: The record's id.
+        value: The value, or None if the section was removed. A removed section keeps
+            its version, so that an old edit that is appended again is rejected.
+        version: Offset of the record that set the value.
+        author: Author of that record.
+        record: Id of that record.
     """
 
     __slots__ = ("author", "record", "value", "version")
@@ -31,12 +31,12 @@
         self.record = record
 
     def to_stored(self) -> list[Any]:
-        """Return the form that snapshots hold."""
+        """Return the representation used in snapshots."""
         return [self.value, self.version, self.author, self.record]
 
 
 class Key:
-    """A key that acts for a workspace; the key itself is known by digest only."""
+    """An API key of a workspace; only the digest of the key itself is stored."""
 
     __slots__ = ("batch", "id", "workspace")
 
@@ -47,7 +47,7 @@
 
 
 class Rate:
-    """Root calls a second, and calls beyond that in any window."""
+    """Token bucket parameters: root calls per second, and burst in calls."""
 
     __slots__ = ("burst", "per_second")
 
@@ -57,7 +57,7 @@
 
 
 class TrustedNetwork:
-    """Backend servers of one network and batch."""
+    """An IP network whose backend servers are trusted, and their build batch."""
 
     __slots__ = ("batch", "network")
 
@@ -67,7 +67,7 @@
 
 
 class Route:
-    """A method and path prefix of some importance."""
+    """The importance of calls with a method and path prefix; no method means any."""
 
     __slots__ = ("importance", "method", "path")
 
@@ -76,13 +76,13 @@
         self.method = method
         self.importance = importance
 
-    def fits(self, method: str, path: str) -> bool:
-        """Whether a call is on this route."""
+    def matches(self, method: str, path: str) -> bool:
+        """Whether a call belongs to this route."""
         return path.startswith(self.path) and self.method in ("", method)
 
 
 class Service:
-    """A service: trusted backend servers, timeout (s) and idempotent paths."""
+    """A service: trusted networks, default timeout (s), idempotent path prefixes."""
 
     __slots__ = ("idempotent", "name", "timeout", "trusted")
 
@@ -96,8 +96,8 @@
         ]
 
 
-class RoutesOfService:
-    """The importance of a service's routes."""
+class ServiceRoutes:
+    """The importance of a service's routes, and of calls that match none of them."""
 
     __slots__ = ("default", "routes")
 
@@ -114,7 +114,7 @@
 
 
 class Recall:
-    """Everything that one recall withdraws."""
+    """The keys, workspaces and backend servers that one recall withdraws."""
 
     __slots__ = (
         "backend_server_batches",
@@ -130,7 +130,7 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the form in which the document holds a key.
+    """Return the digest by which the document identifies a key.
 
     >>> digest_key("x")[:14]
     'sha256:2d71164'
@@ -139,14 +139,14 @@
 
 
 class Document:
-    """Sections and what follows from them."""
+    """Stores sections and the lookup indexes derived from them."""
 
     def __init__(self) -> None:
         self._sections: dict[str, Section] = {}
         self._keys: dict[str, Key] = {}
         self._keys_by_id: dict[str, Key] = {}
         self._services: dict[str, Service] = {}
-        self._routes: dict[str, RoutesOfService] = {}
+        self._routes: dict[str, ServiceRoutes] = {}
         self._rates: dict[str, Rate] = {}
         self._shares: dict[str, float] = {}
         self._recalls: dict[str, Recall] = {}
@@ -154,7 +154,7 @@
 
     @property
     def sections(self) -> dict[str, Section]:
-        """Every section that stands or has stood, by name."""
+        """All sections by name, including removed ones."""
         return self._sections
 
     @property
@@ -173,14 +173,14 @@
         return self._services
 
     def put(self, name: str, section: Section) -> None:
-        """Put a checked section and bring the indexes up to date."""
+        """Store a section, which the caller has checked, and update the indexes."""
         kind, _, own_name = name.partition("/")
         previous = self._sections.get(name)
         self._sections[name] = section
         _indexers[kind](self, own_name, previous and previous.value, section.value)
 
-    def find_key_id(self, key: str) -> Key | None:
-        """Return the key with this id."""
+    def find_key_by_id(self, key: str) -> Key | None:
+        """Return the key with this id, withdrawn or not."""
         return self._keys_by_id.get(key)
 
     def find_key(self, digest: str) -> Key | None:
@@ -197,10 +197,10 @@
         )
 
     def holds_key(self, workspace: str, key: str) -> bool:
-        """Whether the key still stands and no recall names it.
+        """Whether the workspace has the key and no recall withdraws it.
 
-        Asked for calls that are already in flight, queued or relayed, which carry
-        the key's id and no longer its digest.
+        Used for calls that are already in flight, queued or relayed: they carry the
+        id of the key but no longer the key itself.
         """
         found = self._keys_by_id.get(key)
         if found is None or found.workspace != workspace:
@@ -208,21 +208,25 @@
         return not self.is_withdrawn(workspace, key, found.batch)
 
     def get_importance(self, service: str, method: str, path: str) -> Importance:
-        """Return the importance of a call; ``path`` is within the service."""
+        """Return the importance of a call; ``path`` is relative to the service."""
         routes = self._routes.get(service)
         if routes is None:
             return Importance.NORMAL
         for route in routes.routes:
-            if route.fits(method, path):
+            if route.matches(method, path):
                 return route.importance
         return routes.default
 
     def get_stale_after(self, workspace: str) -> float | None:
-        """Return the age (s) of configuration at which the workspace is refused."""
+        """Return the maximum configuration age (s) of a workspace; None is no limit."""
         return self._stale_after.get(workspace)
 
     def trusts(self, service: str, address: str) -> bool:
-        """Whether a backend server at ``IP:PORT`` may serve the service."""
+        """Whether a backend server at ``IP:PORT`` may serve the service.
+
+        A recall of batches withdraws the server only if it names the batch of every
+        network that contains the server.
+        """
         known = self._services.get(service)
         if known is None:
             return False
@@ -236,8 +240,8 @@
             for recall in self._recalls.values()
         )
 
-    def iterate_standing(self) -> Iterator[tuple[str, Section]]:
-        """Yield the sections that were not taken out."""
+    def iterate_present(self) -> Iterator[tuple[str, Section]]:
+        """Yield name and section of all sections that were not removed."""
         for name, section in self._sections.items():
             if section.value is not None:
                 yield name, section
@@ -248,8 +252,8 @@
 _indexers: dict[str, Indexer] = {}
 
 
-def indexes(kind: str) -> Callable[[Indexer], Indexer]:
-    """Register what keeps a kind's indexes: called with name, old and new value."""
+def indexer_for(kind: str) -> Callable[[Indexer], Indexer]:
+    """Register the function that updates the indexes when a section changes."""
 
     def register(indexer: Indexer) -> Indexer:
         _indexers[kind] = indexer
@@ -258,50 +262,50 @@
     return register
 
 
-@indexes("workspaces")
+@indexer_for("workspaces")
 def _index_workspace(document: Document, name: str, old: Value, new: Value) -> None:
     for item in (old or {}).get("keys", ()):
-        # A key that the same edit moved may stand under its new workspace already.
-        for index, mark in (
+        # If the same edit moved the key, the index may already hold its new workspace.
+        for index, index_key in (
             (document._keys, item["digest"]),
             (document._keys_by_id, item["id"]),
         ):
-            if mark in index and index[mark].workspace == name:
-                del index[mark]
+            if index_key in index and index[index_key].workspace == name:
+                del index[index_key]
     for item in (new or {}).get("keys", ()):
         key = Key(item["id"], name, item.get("batch", ""))
         document._keys[item["digest"]] = key
         document._keys_by_id[key.id] = key
-    _replace(document._stale_after, name, (new or {}).get("stale_after"))
+    _set_or_remove(document._stale_after, name, (new or {}).get("stale_after"))
 
 
-@indexes("rates")
+@indexer_for("rates")
 def _index_rate(document: Document, name: str, old: Value, new: Value) -> None:
     rate = new and Rate(new["per_second"], new["burst"])
-    _replace(document._rates, name, rate)
+    _set_or_remove(document._rates, name, rate)
 
 
-@indexes("zones")
+@indexer_for("zones")
 def _index_zone(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._shares, name, new and new["share"])
+    _set_or_remove(document._shares, name, new and new["share"])
 
 
-@indexes("services")
+@indexer_for("services")
 def _index_service(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._services, name, new and Service(name, new))
+    _set_or_remove(document._services, name, new and Service(name, new))
 
 
-@indexes("importance")
+@indexer_for("importance")
 def _index_importance(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._routes, name, new and RoutesOfService(new))
+    _set_or_remove(document._routes, name, new and ServiceRoutes(new))
 
 
-@indexes("recalls")
+@indexer_for("recalls")
 def _index_recall(document: Document, name: str, old: Value, new: Value) -> None:
-    _replace(document._recalls, name, new and Recall(new))
+    _set_or_remove(document._recalls, name, new and Recall(new))
 
 
-def _replace(index: dict[str, Any], name: str, value: Any) -> None:
+def _set_or_remove(index: dict[str, Any], name: str, value: Any) -> None:
     if value is None:
         index.pop(name, None)
     else:
--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -1,4 +1,4 @@
-"""Refuses requests whose framing could be read in two ways, before they are served."""
+"""HTTP/1.1 protocol that refuses requests with oversized heads or ambiguous framing."""
 
 import asyncio
 import functools
@@ -9,53 +9,74 @@
 from .answers import render_refusal
 from .verdicts import not_run, Reason, Refusal
 
-# Longest time for a request's head to arrive.
+# Time limit for receiving a request's head.
 HEAD_SECONDS = 10.0
-SINGLE_HEADERS = frozenset(
+SINGLETON_HEADERS = frozenset(
     {b"authorization", b"content-length", b"host", b"transfer-encoding"}
 )
 
 
 class GuardedProtocol(HttpToolsProtocol):
-    """HTTP/1.1 with a bounded head, one framing and typed refusals.
+    """HTTP/1.1 server protocol that limits request heads and prevents smuggling.
 
-    Request smuggling rests on two parties that read a request's length from
-    different headers. Each request that carries both framings, or one of them twice,
-    is refused and its connection closed, so that no later byte is read as a request.
+    Request smuggling relies on two servers that take a request's length from different
+    headers. A request with both Content-Length and Transfer-Encoding, or with one of
+    them twice, is refused and its connection closed, so that none of the bytes that
+    follow are parsed as another request.
     """
 
     header_bytes = 32768
     _head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Start the time limit for the first request's head."""
         super().connection_made(transport)
-        # uvicorn closes idle connections only after a first answer; one on which
-        # nothing is ever sent would stay, and thousands of them use up the sockets.
+        # uvicorn closes idle connections only after the first response. Connections on
+        # which nothing is ever sent would stay open and exhaust the sockets.
         self._start_head_timer()
 
     def on_message_begin(self) -> None:
+        """Reset the limits for the next request's head."""
         super().on_message_begin()
         self._start_head_timer()
-        self._head_size = 0
-        self._seen: set[bytes] = set()
+        self._head_bytes = 0
+        self._seen_headers: set[bytes] = set()
 
     def on_url(self, url: bytes) -> None:
+        """Count the request target toward the size of the head.
+
+        Raises:
+            Refusal: The head is too large.
+        """
         super().on_url(url)
-        self._count(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Count a header toward the size of the head and check for duplicates.
+
+        Raises:
+            Refusal: The head is too large, or a singleton header is given twice.
+        """
         super().on_header(name, value)
-        self._count(len(name) + len(value))
+        self._count_head_bytes(len(name) + len(value))
         name = self.headers[-1][0]
-        if name in SINGLE_HEADERS:
-            if name in self._seen:
+        if name in SINGLETON_HEADERS:
+            if name in self._seen_headers:
                 raise not_run(
-                    Reason.MALFORMED_REQUEST, f"header {name.decode()} stands twice"
+                    Reason.MALFORMED_REQUEST, f"header {name.decode()} is given twice"
                 )
-            self._seen.add(name)
+            self._seen_headers.add(name)
 
     def on_headers_complete(self) -> None:
-        if b"transfer-encoding" in self._seen and b"content-length" in self._seen:
+        """Check the framing and start serving the request.
+
+        Raises:
+            Refusal: Both Transfer-Encoding and Content-Length are given.
+        """
+        if (
+            b"transfer-encoding" in self._seen_headers
+            and b"content-length" in self._seen_headers
+        ):
             raise not_run(
                 Reason.MALFORMED_REQUEST,
                 "both Transfer-Encoding and Content-Length are given",
@@ -65,28 +86,32 @@
         super().on_headers_complete()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel the call in flight."""
         self._stop_head_timer()
-        busy = self.cycle is not None and not self.cycle.response_complete
-        on_disconnect = self.cycle.scope.get("on_disconnect") if busy else None
+        response_pending = self.cycle is not None and not self.cycle.response_complete
+        on_disconnect = (
+            self.cycle.scope.get("on_disconnect") if response_pending else None
+        )
         super().connection_lost(exc)
         if on_disconnect is not None:
-            # Nobody waits for the answer any more: what the call holds is given
-            # back now, not when a backend server is done with it.
+            # Nobody waits for the response any more: release the call's resources now
+            # instead of when the backend server has finished.
             on_disconnect()
 
     def data_received(self, data: bytes) -> None:
+        """Parse received bytes; refuse the request if they are not valid HTTP/1.1."""
         if self.transport.is_closing():
             return
         self._unset_keepalive_if_required()
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            # The request is served as if it had not asked to upgrade.
+            # Upgrades are not supported; the request is served without one.
             return
         except httptools.HttpParserCallbackError as error:
-            self._refuse(error.__context__)
+            self._send_refusal(error.__context__)
         except httptools.HttpParserError as error:
-            self._refuse(error)
+            self._send_refusal(error)
 
     def _start_head_timer(self) -> None:
         self._stop_head_timer()
@@ -97,18 +122,18 @@
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _count(self, size: int) -> None:
-        self._head_size += size
-        if self._head_size > self.header_bytes:
+    def _count_head_bytes(self, size: int) -> None:
+        self._head_bytes += size
+        if self._head_bytes > self.header_bytes:
             raise not_run(
                 Reason.HEADERS_TOO_LARGE,
-                f"the request head is over {self.header_bytes} bytes",
+                f"the request head is larger than {self.header_bytes} bytes",
             )
 
-    def _refuse(self, error: BaseException | None) -> None:
-        busy = self.cycle is not None and not self.cycle.response_complete
-        if busy:
-            # An answer now would be taken for the one of the call in flight.
+    def _send_refusal(self, error: BaseException | None) -> None:
+        response_pending = self.cycle is not None and not self.cycle.response_complete
+        if response_pending:
+            # The client would take the refusal for the response to the call in flight.
             self.transport.close()
             return
         if not isinstance(error, Refusal):
@@ -123,5 +148,5 @@
 
 @functools.cache
 def build_protocol(header_bytes: int) -> type[GuardedProtocol]:
-    """Return the protocol class with this bound on a request's head (bytes)."""
+    """Return a protocol class that limits request heads to this size in bytes."""
     return type("GuardedProtocol", (GuardedProtocol,), {"header_bytes": header_bytes})
--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -1,4 +1,4 @@
-"""What a recording node remembers of operations."""
+"""The state that a recording node keeps of operations."""
 
 import collections
 import enum
@@ -7,12 +7,16 @@
 
 from ..verdicts import Verdict
 
-KEPT_SECONDS = 900.0
-MOST_KEPT = 200_000
+RETENTION_SECONDS = 900.0
+MAX_OPERATIONS = 200_000
 
 
 class Decision(enum.IntEnum):
-    """Whether an attempt may run, or what became of the operation."""
+    """Whether an attempt may run, and if not, the known state of the operation.
+
+    As an answer, ``UNKNOWN`` refuses a later attempt at an operation that is not
+    recorded. In a recorded operation it means that no attempt has run so far.
+    """
 
     UNKNOWN = 0
     RUN = 1
@@ -21,35 +25,37 @@
     MAY_HAVE_RUN = 4
 
 
-class Entry:
-    """An operation: its last attempt, and what is known of all of them."""
+class OperationState:
+    """The last attempt of an operation, and the decision on further attempts."""
 
-    __slots__ = ("attempt", "begun_at", "fate")
+    __slots__ = ("attempt", "decision", "started_at")
 
-    def __init__(self, attempt: int, begun_at: float):
+    def __init__(self, attempt: int, started_at: float):
         self.attempt = attempt
-        self.begun_at = begun_at
-        self.fate: Decision = Decision.RUNNING
+        self.started_at = started_at
+        self.decision: Decision = Decision.RUNNING
 
 
 class Record:
-    """Operations by workspace and id.
+    """Stores the state of operations by workspace and operation id.
 
-    The rule that makes forgetting safe: a first attempt may run when nobody knows the
-    operation, a later one only when its operation is remembered here as not run.
-    Whoever forgets, or is asked in another's place, refuses the later attempt.
+    Losing entries is safe: a first attempt may run if the operation is not recorded,
+    but a later attempt only if the operation is recorded as not run. A node that has
+    evicted the entry, or that never had it, therefore refuses later attempts.
 
     Args:
-        clock: Seconds.
-        kept: Seconds for which an operation is remembered.
+        clock: Returns monotonic time in seconds.
+        retention_seconds: How long an operation is kept after its last start.
     """
 
     def __init__(
-        self, clock: Callable[[], float] = time.monotonic, kept: float = KEPT_SECONDS
+        self,
+        clock: Callable[[], float] = time.monotonic,
+        retention_seconds: float = RETENTION_SECONDS,
     ):
         self._clock = clock
-        self._kept = kept
-        self._entries: collections.OrderedDict[tuple[str, str], Entry] = (
+        self._retention_seconds = retention_seconds
+        self._entries: collections.OrderedDict[tuple[str, str], OperationState] = (
             collections.OrderedDict()
         )
 
@@ -57,45 +63,48 @@
         return len(self._entries)
 
     def begin(self, workspace: str, operation: str, attempt: int) -> Decision:
-        """Decide on an attempt; ``RUN`` is said once an attempt at the most."""
-        self._forget_old()
+        """Decide whether an attempt may run; ``RUN`` is returned once per attempt."""
+        self._evict_old()
         key = (workspace, operation)
         entry = self._entries.get(key)
         if entry is None:
             if attempt > 1:
                 return Decision.UNKNOWN
-            self._entries[key] = Entry(attempt, self._clock())
+            self._entries[key] = OperationState(attempt, self._clock())
             return Decision.RUN
-        if entry.fate is not Decision.UNKNOWN:
-            return entry.fate
-        # Remembered as not run. An attempt that was overtaken by a later one, late
-        # or sent twice, is not let through: the later one has its permission.
+        if entry.decision is not Decision.UNKNOWN:
+            return entry.decision
+        # Recorded as not run. A delayed or duplicated attempt must not run after a
+        # later one was allowed: the caller may already know that nothing ran.
         if attempt <= entry.attempt:
             return Decision.MAY_HAVE_RUN
         entry.attempt = attempt
-        entry.fate = Decision.RUNNING
-        entry.begun_at = self._clock()
+        entry.decision = Decision.RUNNING
+        entry.started_at = self._clock()
         return Decision.RUN
 
     def finish(
         self, workspace: str, operation: str, attempt: int, verdict: Verdict
     ) -> None:
-        """Note what became of the attempt that was let through."""
+        """Record the verdict on the attempt that was allowed to run."""
         entry = self._entries.get((workspace, operation))
         if entry is None or entry.attempt != attempt:
             return
-        if entry.fate is not Decision.RUNNING:
+        if entry.decision is not Decision.RUNNING:
             return
-        entry.fate = {
+        entry.decision = {
             Verdict.NOT_RUN: Decision.UNKNOWN,
             Verdict.RAN: Decision.RAN,
             Verdict.MAY_HAVE_RUN: Decision.MAY_HAVE_RUN,
         }[verdict]
 
-    def _forget_old(self) -> None:
-        oldest = self._clock() - self._kept
+    def _evict_old(self) -> None:
+        expired_before = self._clock() - self._retention_seconds
         while self._entries:
             key, entry = next(iter(self._entries.items()))
-            if entry.begun_at > oldest and len(self._entries) < MOST_KEPT:
+            if (
+                entry.started_at > expired_before
+                and len(self._entries) < MAX_OPERATIONS
+            ):
                 return
             del self._entries[key]
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -1,4 +1,4 @@
-"""Finds the node that records an operation, and asks it."""
+"""Selects the node that records an operation and asks it for decisions."""
 
 from ..fleet.control import ControlClient, ControlServer, PeerError
 from ..fleet.hashing import rank
@@ -7,20 +7,21 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
 from .record import Decision, Record
 
-TIMEOUT_SECONDS = 0.5
+REQUEST_TIMEOUT_SECONDS = 0.5
 
 
 class Recorder:
-    """Decides on attempts at operations that must not run twice.
+    """Grants or refuses attempts at operations that must run at most once.
 
-    The recording node of an operation is one of this node's zone, by its id. An
-    attempt in another zone asks another node, which knows nothing of the first, and
-    is refused unless it is itself the first: no two zones have to talk.
+    Rendezvous hashing of the operation id selects the recording node among the
+    reachable nodes of this node's zone. A retry that arrives in another zone reaches a
+    recording node that does not know the operation, which refuses every attempt but
+    the first. Zones therefore do not have to communicate.
 
     Args:
-        members: The zone's nodes.
-        client: Asks them.
-        record: What this instance records itself.
+        members: Members of the fleet, with their zones and addresses.
+        client: Calls the other nodes.
+        record: Operations that this instance records.
     """
 
     def __init__(self, members: Members, client: ControlClient, record: Record):
@@ -29,36 +30,44 @@
         self._record = record
 
     def register(self, server: ControlServer) -> None:
-        """Answer nodes whose operations are recorded here."""
-        server.register("Begin", self._answer_begin)
-        server.register("Finish", self._answer_finish)
+        """Register the handlers for operations that are recorded on this node."""
+        server.register("Begin", self._handle_begin)
+        server.register("Finish", self._handle_finish)
 
     async def begin(self, workspace: str, operation: str, attempt: int) -> str:
-        """Ask whether an attempt may run.
+        """Request permission to run an attempt.
 
         Returns:
-            The recording instance, which is to be told of the end.
+            The recording instance, to be passed to ``finish`` when the attempt ends.
 
         Raises:
-            Refusal: It may not; the verdict says what is known of the operation.
+            Refusal: The attempt may not run; the verdict says whether an earlier
+                attempt ran or may have run.
         """
-        name = self._find(workspace, operation)
-        if name == self._members.own.instance:
+        instance = self._find_recording_instance(workspace, operation)
+        if instance == self._members.own.instance:
             decision = self._record.begin(workspace, operation, attempt)
         else:
-            decision = await self._ask(name, workspace, operation, attempt)
+            decision = await self._request_decision(
+                instance, workspace, operation, attempt
+            )
         if decision is not Decision.RUN:
-            raise _refuse(decision)
-        return name
+            raise _build_refusal(decision)
+        return instance
 
     async def finish(
-        self, name: str, workspace: str, operation: str, attempt: int, verdict: Verdict
+        self,
+        instance: str,
+        workspace: str,
+        operation: str,
+        attempt: int,
+        verdict: Verdict,
     ) -> None:
-        """Tell the recording instance what became of an attempt."""
-        if name == self._members.own.instance:
+        """Report the verdict on an attempt to the recording instance."""
+        if instance == self._members.own.instance:
             self._record.finish(workspace, operation, attempt, verdict)
             return
-        member = self._members.get(name)
+        member = self._members.get(instance)
         if member is None:
             return
         request = pb.FinishRequest(
@@ -69,46 +78,46 @@
         )
         try:
             await self._client.call(
-                member.control, "Finish", request, TIMEOUT_SECONDS, name
+                member.control, "Finish", request, REQUEST_TIMEOUT_SECONDS, instance
             )
         except PeerError:
-            # It goes on remembering the attempt as running, and refuses later ones.
+            # The recording node keeps the attempt as running and refuses later ones.
             return
 
-    async def _ask(
-        self, name: str, workspace: str, operation: str, attempt: int
+    async def _request_decision(
+        self, instance: str, workspace: str, operation: str, attempt: int
     ) -> Decision:
-        member = self._members.get(name)
+        member = self._members.get(instance)
         request = pb.BeginRequest(
             workspace=workspace, operation=operation, attempt=attempt
         )
         try:
             if member is None:
-                raise PeerError("the recording node is gone")
+                raise PeerError("the recording node is no longer a member")
             reply = await self._client.call(
-                member.control, "Begin", request, TIMEOUT_SECONDS, name
+                member.control, "Begin", request, REQUEST_TIMEOUT_SECONDS, instance
             )
         except PeerError as error:
-            # This attempt does not run. Were the answer lost, the recorder takes it
-            # for running and refuses all later ones, which is safe.
+            # This attempt does not run. If only the response was lost, the recording
+            # node believes that it is running and refuses later attempts: still safe.
             if attempt > 1:
-                raise _refuse(Decision.UNKNOWN) from error
-            detail = "the node that records the operation does not answer"
+                raise _build_refusal(Decision.UNKNOWN) from error
+            detail = "the node that records the operation did not respond"
             raise not_run(Reason.RECORDER_UNREACHABLE, detail, 1.0) from error
         return Decision(reply.decision)
 
-    def _find(self, workspace: str, operation: str) -> str:
+    def _find_recording_instance(self, workspace: str, operation: str) -> str:
         own = self._members.own
         names = [member.instance for member in self._members.get_reachable(own.zone)]
         return rank(f"operations/{workspace}/{operation}", names, 1)[0]
 
-    async def _answer_begin(self, request: pb.BeginRequest, _: str) -> pb.BeginReply:
+    async def _handle_begin(self, request: pb.BeginRequest, _: str) -> pb.BeginReply:
         decision = self._record.begin(
             request.workspace, request.operation, request.attempt
         )
         return pb.BeginReply(decision=int(decision))
 
-    async def _answer_finish(self, request: pb.FinishRequest, _: str) -> pb.FinishReply:
+    async def _handle_finish(self, request: pb.FinishRequest, _: str) -> pb.FinishReply:
         verdict = Verdict(request.verdict)
         self._record.finish(
             request.workspace, request.operation, request.attempt, verdict
@@ -116,12 +125,12 @@
         return pb.FinishReply()
 
 
-def _refuse(decision: Decision) -> Refusal:
+def _build_refusal(decision: Decision) -> Refusal:
     if decision is Decision.RAN:
         detail = "an earlier attempt at the operation ran"
         return Refusal(Reason.OPERATION_REPEATED, Verdict.RAN, detail)
     detail = {
         Decision.RUNNING: "an earlier attempt at the operation is running",
         Decision.MAY_HAVE_RUN: "an earlier attempt at the operation may have run",
-    }.get(decision, "nobody here remembers the earlier attempts at the operation")
+    }.get(decision, "earlier attempts at the operation are not recorded in this zone")
     return may_have_run(Reason.OPERATION_REPEATED, detail)
--- a/primroseglade/reference.py
+++ b/primroseglade/reference.py
@@ -1,5 +1,8 @@
-"""Writes the reference pages of ``docs/`` from the code: ``python -m
-primroseglade.reference docs``; a test checks that they are current."""
+"""Generates the reference pages in ``docs/`` from the code.
+
+Run ``python -m primroseglade.reference docs`` to update them; a test checks that they
+are current.
+"""
 
 import pathlib
 import sys
@@ -11,12 +14,12 @@
 from .settings.node import SCHEMA
 from .verdicts import Reason
 
-MADE = "This page is written by `python -m primroseglade.reference docs`.\n"
+GENERATED_NOTE = "This page is written by `python -m primroseglade.reference docs`.\n"
 
 
 def render_events() -> str:
-    """Return the catalogue of events."""
-    lines = ["# Events", "", MADE]
+    """Return the page that lists all events."""
+    lines = ["# Events", "", GENERATED_NOTE]
     lines.append(
         "A node logs numbered events with fields, as text or as JSON lines (setting "
         "`log/format`). Numbers are stable.\n"
@@ -30,8 +33,8 @@
 
 
 def render_metrics() -> str:
-    """Return the list of metrics."""
-    lines = ["# Metrics", "", MADE]
+    """Return the page that lists all metrics."""
+    lines = ["# Metrics", "", GENERATED_NOTE]
     lines.append("Served at `/metrics` of a node's operator address.\n")
     lines += ["| name | type | meaning |", "| --- | --- | --- |"]
     for name, kind, text in sorted(Metrics().describe()):
@@ -40,8 +43,14 @@
 
 
 def render_settings() -> str:
-    """Return the settings of a node and the fields of the document."""
-    lines = ["# Settings and the document", "", MADE, "## Settings of a node", ""]
+    """Return the page of node settings and of the fields of the document."""
+    lines = [
+        "# Settings and the document",
+        "",
+        GENERATED_NOTE,
+        "## Settings of a node",
+        "",
+    ]
     lines += ["| path | default | unit | meaning |", "| --- | --- | --- | --- |"]
     required = set(SCHEMA["required"])
     lines += _render_fields("", SCHEMA["properties"], required)
@@ -55,8 +64,8 @@
 
 
 def render_refusals() -> str:
-    """Return the reasons with which calls are refused."""
-    lines = ["# Refusals", "", MADE]
+    """Return the page that lists the reasons of refusals."""
+    lines = ["# Refusals", "", GENERATED_NOTE]
     lines += ["| reason | status | title |", "| --- | --- | --- |"]
     for reason in Reason:
         lines.append(f"| `{reason.code}` | {reason.status} | {reason.title} |")
@@ -66,17 +75,17 @@
 def _render_fields(path: str, fields: dict[str, Any], required: set[str]) -> list[str]:
     lines = []
     for name, field in fields.items():
-        place = f"{path}/{name}"
+        field_path = f"{path}/{name}"
         items = field.get("items", {})
         nested = field.get("properties") or items.get("properties")
         default = "required" if name in required else field.get("default", "")
-        shown = "" if nested and default in ({}, []) else default
+        default_text = "" if nested and default in ({}, []) else default
         unit = field.get("unit", "")
         text = field.get("description", "")
-        lines.append(f"| `{place}` | {shown} | {unit} | {text} |")
+        lines.append(f"| `{field_path}` | {default_text} | {unit} | {text} |")
         if nested:
-            inner = set(field.get("required") or items.get("required") or ())
-            lines += _render_fields(place, nested, inner)
+            nested_required = set(field.get("required") or items.get("required") or ())
+            lines += _render_fields(field_path, nested, nested_required)
     return lines
 
 
@@ -89,7 +98,7 @@
 
 
 def write_pages(folder: str) -> None:
-    """Write every page into a folder."""
+    """Write all pages to a folder."""
     for name, render in PAGES.items():
         pathlib.Path(folder, name).write_text(render(), encoding="utf-8")
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: from the log, from peers, through outages and cuts."""
+"""Distribution of the configuration, from the log and from peers, under faults."""
 
 import asyncio
 import contextlib
@@ -29,15 +29,15 @@
         yield fleet
 
 
-async def call_refused(address: str, **options) -> Refusal:
+async def expect_refusal(address: str, **options) -> Refusal:
     async with Client([address], KEY, timeout=3.0, attempts=1) as client:
         with pytest.raises(Refusal) as caught:
             await client.call("archive", "/x", **options)
     return caught.value
 
 
-async def test_withdrawn_key_stops_everywhere_also_on_open_connections():
-    """A tablet is lost; its key is withdrawn while the thief's connection is open."""
+async def test_withdrawn_key_is_refused_everywhere_also_on_open_connections():
+    """A key is withdrawn while connections that used it are still open."""
     async with run_fleet("aabb") as fleet:
         clients = [Client([place.callers], KEY) for place in fleet.places]
         for client in clients:
@@ -52,8 +52,8 @@
             await client.close()
 
 
-async def test_withdrawal_reaches_calls_that_wait_in_the_queue():
-    """All slots are taken; calls of the withdrawn key wait for theirs."""
+async def test_withdrawal_refuses_calls_that_are_queued():
+    """All slots are in use, and calls with the withdrawn key are queued."""
     async with run_fleet("a", slots=1, work=1.5, spread=0) as fleet:
         place = fleet.places[0]
         queue = place.node.backend.queue
@@ -65,7 +65,7 @@
             await fleet.wait(lambda: queue.size == 3)
             await fleet.publish(recalls=RECALL)
             await fleet.wait(lambda: queue.size == 0)
-            # At once, and not when their turn came: the first is still at work.
+            # Refused at once, not on reaching a slot: the first call is still running.
             assert place.backend.at_work == 1
             results = await asyncio.gather(*calls, return_exceptions=True)
         refused = [r for r in results if isinstance(r, Refusal)]
@@ -75,7 +75,7 @@
 
 
 async def test_withdrawal_stops_nested_calls_of_calls_in_flight():
-    """A call is at work for a withdrawn key, and is about to call the next service."""
+    """The key of a running call is withdrawn before it calls the next service."""
     async with EmbeddedFleet(FAST) as fleet:
         services = ("archive", "dispatch")
         await fleet.publish(**build_document(("a",), services=services))
@@ -107,18 +107,18 @@
         assert len(fleet.places[0].backend.seen) == before
 
 
-async def test_zone_cut_off_from_the_platform_learns_from_other_zones():
-    """A link to the platform fails for one zone; a key is withdrawn meanwhile."""
+async def test_zone_without_the_platform_is_updated_by_other_zones():
+    """One zone loses its link to the platform, and a key is withdrawn meanwhile."""
     async with run_fleet("aabb") as fleet:
         fleet.cut_zone("b", from_platform=True, from_zones=False)
         offset = await fleet.publish(recalls=RECALL)
         await fleet.wait_offset(offset + 1)
-        refusal = await call_refused(fleet.places[3].callers)
+        refusal = await expect_refusal(fleet.places[3].callers)
     assert refusal.reason is Reason.KEY_WITHDRAWN
 
 
-async def test_zone_cut_off_from_everything_goes_on_and_catches_up():
-    """Split's island zone loses all links; sweepers there go on; then it heals."""
+async def test_isolated_zone_keeps_serving_and_catches_up():
+    """One zone loses all links, keeps serving calls, and is then reconnected."""
     async with run_fleet("aabb") as fleet:
         fleet.cut_zone("b", from_platform=True, from_zones=True)
         offset = await fleet.publish(recalls=RECALL)
@@ -130,11 +130,11 @@
         assert not status.is_everywhere(offset + 1)
         fleet.heal()
         await fleet.wait_offset(offset + 1)
-        refusal = await call_refused(fleet.places[2].callers)
+        refusal = await expect_refusal(fleet.places[2].callers)
     assert refusal.reason is Reason.KEY_WITHDRAWN
 
 
-async def test_workspace_may_choose_to_stop_when_the_configuration_is_old():
+async def test_workspace_with_stale_after_is_refused_on_old_configuration():
     async with run_fleet("aabb") as fleet:
         node = fleet.nodes[0]
         known = node.configuration.document.sections["workspaces/north"].value
@@ -142,7 +142,7 @@
         await fleet.wait_offset(2)
         fleet.cut_zone("b", from_platform=True, from_zones=True)
         await fleet.wait(lambda: fleet.places[2].node.configuration.age > 1.1)
-        refusal = await call_refused(fleet.places[2].callers)
+        refusal = await expect_refusal(fleet.places[2].callers)
     assert refusal.reason is Reason.CONFIGURATION_STALE
     assert refusal.verdict is Verdict.NOT_RUN
 
@@ -162,13 +162,13 @@
     async with EmbeddedFleet(FAST) as fleet:
         fleet.log.faults.outage = True
         place = await fleet.add("a")
-        refusal = await call_refused(place.callers)
+        refusal = await expect_refusal(place.callers)
     assert refusal.reason is Reason.CONFIGURATION_MISSING
     assert refusal.verdict is Verdict.NOT_RUN
 
 
-async def test_state_outlives_the_records_that_made_it():
-    """The platform keeps records for a limited time; an instance starts after that."""
+async def test_snapshots_preserve_the_state_after_its_records_expire():
+    """An instance starts after the platform has expired the first records."""
     fast_snapshots = FAST | {"fleet": FAST["fleet"] | {"snapshot": 1.0}}
     async with EmbeddedFleet(fast_snapshots, retention=4) as fleet:
         await fleet.publish(**build_document(("a",)))
@@ -181,12 +181,12 @@
         place = await fleet.add("a", "archive")
         await fleet.wait(lambda: place.node.configuration.ready)
         document = place.node.configuration.document
-        assert document.find_key_id("north-key") is not None
+        assert document.find_key_by_id("north-key") is not None
         assert {"recalls/r0", "recalls/r1", "recalls/r2"} <= set(document.sections)
 
 
-async def test_forged_snapshot_is_not_taken():
-    """Someone with write access to the log, but not the fleet's secret, plants one."""
+async def test_forged_snapshot_is_rejected():
+    """Someone who can write to the log, but lacks the fleet secret, appends one."""
     async with EmbeddedFleet(FAST, retention=1) as fleet:
         await fleet.publish(**build_document(("a",)))
         body = {"id": "x", "next_offset": 1, "part": 0, "parts": 1, "sections": {}}
@@ -198,8 +198,8 @@
         assert 222 in numbers
 
 
-async def test_publisher_learns_the_verdict_although_the_answer_was_lost():
-    """The append took effect, its answer was lost, and the tool sends it again."""
+async def test_publisher_learns_the_outcome_after_a_lost_response():
+    """An append takes effect, but its response is lost."""
     async with run_fleet("a") as fleet:
         fleet.log.faults.lose_answers = 1
         log = LogClient(fleet.log.address)
@@ -214,7 +214,7 @@
         assert [r.get("id") for r in records].count(edit.id) == 1
 
 
-async def test_publish_goes_through_an_outage_of_ten_appends():
+async def test_publish_succeeds_after_an_outage_of_the_log():
     async with run_fleet("a") as fleet:
         fleet.log.faults.outage = True
         log = LogClient(fleet.log.address)
@@ -230,7 +230,7 @@
     assert published.accepted
 
 
-async def test_calls_go_on_while_the_platform_is_down():
+async def test_calls_are_served_while_the_platform_is_down():
     async with run_fleet("ab") as fleet:
         fleet.log.faults.outage = True
         async with Client([place.callers for place in fleet.places], KEY) as client:
@@ -238,10 +238,10 @@
                 assert (await client.call("archive", "/x")).status == 200
 
 
-async def test_outage_of_the_platform_does_not_set_the_whole_fleet_on_it():
-    """The log goes down, and every node's configuration grows old.
+async def test_outage_of_the_log_does_not_make_the_whole_fleet_poll_it():
+    """The log fails, and the configuration of every node becomes stale.
 
-    Were all of them to ask it every second or two, it could not come back.
+    If all nodes polled the log every second or two, it could not recover.
     """
     settings = FAST | {"fleet": FAST["fleet"] | {"readers": 1}}
     async with EmbeddedFleet(settings) as fleet:
@@ -257,14 +257,14 @@
     assert pauses[False] >= 15.0
 
 
-async def test_log_that_lost_its_end_does_not_turn_the_state_back():
-    """The platform restores an old copy of the log: it ends before the state."""
+async def test_truncated_log_does_not_revert_the_state():
+    """The platform restores an old copy of the log that lacks the last records."""
     async with run_fleet("a") as fleet:
         offset = await fleet.publish(recalls=RECALL)
         await fleet.wait_offset(offset + 1)
         del fleet.log.get_topic(CONFIGURATION).records[1:]
         stale = Edit([SectionEdit("recalls/lost-tablet", None, None)], "old")
         await fleet.log.append(CONFIGURATION, stale.to_value())
-        refusal = await call_refused(fleet.places[0].callers)
+        refusal = await expect_refusal(fleet.places[0].callers)
         assert refusal.reason is Reason.KEY_WITHDRAWN
         assert fleet.nodes[0].configuration.next_offset == offset + 1
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -1,4 +1,4 @@
-"""At most once: every interleaving of attempts, recorders and losses."""
+"""At-most-once execution under reordered and lost messages and lost records."""
 
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import initialize, invariant, rule, RuleBasedStateMachine
@@ -8,53 +8,53 @@
 
 
 class OneOperation(RuleBasedStateMachine):
-    """A caller sends attempts 1, 2, 3 ... once each, through any of two recorders.
+    """A caller sends attempts 1, 2, 3 ... once each, through either of two recorders.
 
-    Attempts arrive in any order, the end of one may be told late or never, and a
-    recorder may be replaced by one that knows nothing.
+    Attempts arrive in any order, the end of one may be reported late, twice or never,
+    and a recorder may be replaced by an empty one.
     """
 
     @initialize()
     def start(self):
         self.records = [Record(), Record()]
-        self.sent = 0
-        self.under_way: list[int] = []
+        self.sent_attempts = 0
+        self.in_transit: list[int] = []
         self.running: list[tuple[int, int, bool]] = []
-        self.told: list[tuple[int, int, Verdict]] = []
-        self.runs = 0
+        self.reported: list[tuple[int, int, Verdict]] = []
+        self.run_count = 0
 
     @rule()
     def send(self):
-        self.sent += 1
-        self.under_way.append(self.sent)
+        self.sent_attempts += 1
+        self.in_transit.append(self.sent_attempts)
 
     @rule(which=st.integers(0, 50), recorder=st.integers(0, 1), ran=st.booleans())
     def arrive(self, which, recorder, ran):
-        if not self.under_way:
+        if not self.in_transit:
             return
-        attempt = self.under_way.pop(which % len(self.under_way))
+        attempt = self.in_transit.pop(which % len(self.in_transit))
         decision = self.records[recorder].begin("north", "op", attempt)
         if decision is Decision.RUN:
-            self.runs += ran
+            self.run_count += ran
             self.running.append((recorder, attempt, ran))
 
-    @rule(which=st.integers(0, 50), lost=st.booleans(), unsure=st.booleans())
-    def finish(self, which, lost, unsure):
+    @rule(which=st.integers(0, 50), lost=st.booleans(), unknown=st.booleans())
+    def finish(self, which, lost, unknown):
         if not self.running:
             return
         recorder, attempt, ran = self.running.pop(which % len(self.running))
         if lost:
             return
         verdict = Verdict.RAN if ran else Verdict.NOT_RUN
-        if unsure:
+        if unknown:
             verdict = Verdict.MAY_HAVE_RUN
         self.records[recorder].finish("north", "op", attempt, verdict)
-        self.told.append((recorder, attempt, verdict))
+        self.reported.append((recorder, attempt, verdict))
 
     @rule(which=st.integers(0, 50))
-    def tell_again(self, which):
-        if self.told:
-            recorder, attempt, verdict = self.told[which % len(self.told)]
+    def finish_again(self, which):
+        if self.reported:
+            recorder, attempt, verdict = self.reported[which % len(self.reported)]
             self.records[recorder].finish("north", "op", attempt, verdict)
 
     @rule(recorder=st.integers(0, 1))
@@ -63,29 +63,29 @@
 
     @invariant()
     def ran_at_most_once(self):
-        assert self.runs <= 1
+        assert self.run_count <= 1
 
 
 TestOneOperation = OneOperation.TestCase
 TestOneOperation.settings = settings(max_examples=150, stateful_step_count=30)
 
 
-def test_later_attempt_that_nobody_remembers_is_refused():
-    """A payout's first attempt ran in another zone; its answer was lost."""
+def test_later_attempt_at_an_unrecorded_operation_is_refused():
+    """The first attempt ran in another zone and its response was lost."""
     assert Record().begin("north", "payout", 2) is Decision.UNKNOWN
 
 
-def test_attempt_after_one_that_surely_did_not_run_is_let_through():
+def test_attempt_after_one_that_did_not_run_is_allowed():
     record = Record()
     record.begin("north", "payout", 1)
     record.finish("north", "payout", 1, Verdict.NOT_RUN)
     assert record.begin("north", "payout", 2) is Decision.RUN
 
 
-def test_end_of_an_attempt_told_twice_does_not_end_the_next_one():
-    """The news that attempt 1 did not run is delayed and arrives again while 2 runs.
+def test_duplicate_finish_does_not_finish_the_next_attempt():
+    """The report that attempt 1 did not run arrives again while attempt 2 runs.
 
-    Taken for the end of attempt 2, it would let attempt 3 run beside it.
+    If it were taken for the end of attempt 2, attempt 3 could run at the same time.
     """
     record = Record()
     record.begin("north", "payout", 1)
@@ -96,10 +96,10 @@
 
 
 def test_attempt_overtaken_by_a_later_one_does_not_run():
-    """Attempt 2 is held up on the way; attempt 3 is refused as not run.
+    """Attempt 2 is delayed, and attempt 3 is refused as not run.
 
-    The caller reports that nothing was paid. Were attempt 2 let through when it
-    arrives at last, that report would have been wrong.
+    The caller then reports that the operation did not run. That would become wrong if
+    attempt 2 were allowed to run when it arrives.
     """
     record = Record()
     for attempt in (1, 3):
@@ -108,15 +108,15 @@
     assert record.begin("north", "payout", 2) is Decision.MAY_HAVE_RUN
 
 
-def test_operations_of_two_workspaces_are_two():
+def test_operation_ids_are_scoped_to_the_workspace():
     record = Record()
     assert record.begin("north", "payout", 1) is Decision.RUN
     assert record.begin("south", "payout", 1) is Decision.RUN
 
 
-def test_memory_is_bounded_by_time():
+def test_operations_are_evicted_after_the_retention_time():
     now = 0.0
-    record = Record(lambda: now, kept=10.0)
+    record = Record(lambda: now, retention_seconds=10.0)
     record.begin("north", "one", 1)
     now = 11.0
     record.begin("north", "two", 1)
