--- a/primroseglade/announcing.py
+++ b/primroseglade/announcing.py
@@ -11,7 +11,7 @@
 from .settings.node import ADDRESS, NAME
 from .settings.reader import build_validator, check
 
-PREFIX = b"/-/"
+ANNOUNCEMENT_PATH_PREFIX = b"/-/"
 ANNOUNCEMENT_PATH = "/-/backend-server"
 
 _announcement_validator = build_validator(
@@ -30,7 +30,7 @@
 )
 
 
-def build_announcing_application(backend: BackendServer) -> Application:
+def build_announcement_application(backend: BackendServer) -> Application:
     """Build the application that receives a backend server's announcements."""
 
     async def announce(request: Request) -> Response:
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -9,7 +9,14 @@
 from ..limits.throttle import Throttle
 from ..observe.events import Journal, PEER_EJECTED
 from ..observe.metrics import Metrics
-from ..verdicts import not_run, Reason, Refusal, RETRIED_ELSEWHERE, SHEDDING, Verdict
+from ..verdicts import (
+    LOAD_SHEDDING_REASONS,
+    not_run,
+    Reason,
+    Refusal,
+    RETRYABLE_REASONS,
+    Verdict,
+)
 from .backend import BackendServer
 from .call import Answer, Call
 from .relay import Relay
@@ -110,7 +117,7 @@
         try:
             answer = await self._try_until_answered(call, still_allowed)
         except Refusal as refusal:
-            self._note_end(call, refusal.reason in SHEDDING)
+            self._note_end(call, refusal.reason in LOAD_SHEDDING_REASONS)
             raise
         self._note_end(call, answer.shed)
         return answer
@@ -179,7 +186,7 @@
 
     def _may_retry(self, call: Call, refusal: Refusal, refused: set[str]) -> bool:
         lost = refusal.reason in UNREACHED and call.context.idempotent
-        if not lost and refusal.reason not in RETRIED_ELSEWHERE:
+        if not lost and refusal.reason not in RETRYABLE_REASONS:
             return False
         if refusal.verdict is not Verdict.NOT_RUN and not call.context.idempotent:
             return False
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -12,7 +12,7 @@
     parse_traceparent,
     TraceParent,
 )
-from ..verdicts import not_run, Reason, Refusal, SHEDDING, Verdict
+from ..verdicts import LOAD_SHEDDING_REASONS, not_run, Reason, Refusal, Verdict
 from .backend import BackendServer
 from .call import Answer, Body, Call, Context
 from .context import ContextSeal
@@ -174,7 +174,9 @@
         authorization = exchange.get_header(AUTHORIZATION)
         if not authorization.lower().startswith(BEARER):
             raise not_run(Reason.KEY_MISSING, "Authorization: Bearer KEY is missing")
-        key = document.find_key(digest_key(authorization[len(BEARER) :].strip()))
+        key = document.find_key_by_digest(
+            digest_key(authorization[len(BEARER) :].strip())
+        )
         if key is None:
             raise not_run(Reason.KEY_UNKNOWN, "no workspace has this key")
         progress.workspace = key.workspace
@@ -315,7 +317,7 @@
                 parent.shed = parent.shed or answer.shed
                 await self._send_answer(exchange, answer, progress)
         except Refusal as refusal:
-            parent.shed = parent.shed or refusal.reason in SHEDDING
+            parent.shed = parent.shed or refusal.reason in LOAD_SHEDDING_REASONS
             raise
         finally:
             give_back(parent, context)
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -149,7 +149,7 @@
 
     def _check_key(self, context: Context) -> None:
         document = self._tools.configuration.document
-        refusal = refuse_withdrawn(document.holds_key, context)
+        refusal = refuse_withdrawn(document.is_key_valid, context)
         if refusal is not None:
             raise refusal
 
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -127,7 +127,7 @@
     async def _dial(self) -> Connection:
         loop = asyncio.get_running_loop()
         try:
-            await self._network.pass_through(self._address, self._connect_timeout)
+            await self._network.wait_if_cut(self._address, self._connect_timeout)
             async with asyncio.timeout(self._connect_timeout):
                 _, connection = await loop.create_connection(
                     lambda: Connection(self._hold_bytes), self._host, self._port
--- a/primroseglade/cli/config.py
+++ b/primroseglade/cli/config.py
@@ -12,7 +12,7 @@
 from ..exits import ExitStatus
 from ..operator_client import OperatorClient
 from ..platform.log import LogClient
-from ..publishing import build_edit, publish, Published, wait_everywhere
+from ..publishing import build_edit, publish, Published, wait_for_confirmations
 from ..settings.reader import read_file
 from .registry import command
 
@@ -100,7 +100,7 @@
                 return _print_unchanged(options, environment)
             published = await publish(log, client, edit, options.wait)
             if published.accepted and options.everywhere:
-                await wait_everywhere(client, published, options.wait)
+                await wait_for_confirmations(client, published, options.wait)
     finally:
         await log.close()
     return _print_published(published, options, environment)
--- a/primroseglade/client.py
+++ b/primroseglade/client.py
@@ -9,7 +9,7 @@
 
 from .answers import parse_refusal
 from .calls.call import IDEMPOTENT_METHODS
-from .verdicts import may_have_run, not_run, Reason, Refusal, RETRIED_ELSEWHERE, Verdict
+from .verdicts import may_have_run, not_run, Reason, Refusal, RETRYABLE_REASONS, Verdict
 
 MAX_ATTEMPTS = 3
 MAX_NODES_PER_SERVICE = 8
@@ -202,7 +202,7 @@
     ) -> bool:
         if attempt >= self._attempts or time.monotonic() >= deadline:
             return False
-        if refusal.reason not in RETRIED_ELSEWHERE:
+        if refusal.reason not in RETRYABLE_REASONS:
             return False
         if refusal.verdict is Verdict.NOT_RUN:
             return True
--- a/primroseglade/document/checks.py
+++ b/primroseglade/document/checks.py
@@ -90,7 +90,10 @@
     document: Document, changes: Changes, item: dict[str, Any]
 ) -> str | None:
     """Return a workspace that has the key and is not part of the changes."""
-    for key in (document.find_key_by_id(item["id"]), document.find_key(item["digest"])):
+    for key in (
+        document.find_key_by_id(item["id"]),
+        document.find_key_by_digest(item["digest"]),
+    ):
         if key and f"workspaces/{key.workspace}" not in changes:
             return key.workspace
     return None
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -183,7 +183,7 @@
         """Return the key with this id, withdrawn or not."""
         return self._keys_by_id.get(key)
 
-    def find_key(self, digest: str) -> Key | None:
+    def find_key_by_digest(self, digest: str) -> Key | None:
         """Return the key with this digest, withdrawn or not."""
         return self._keys.get(digest)
 
@@ -196,7 +196,7 @@
             for recall in self._recalls.values()
         )
 
-    def holds_key(self, workspace: str, key: str) -> bool:
+    def is_key_valid(self, workspace: str, key: str) -> bool:
         """Whether the workspace has the key and no recall withdraws it.
 
         Used for calls that are already in flight, queued or relayed: they carry the
--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -114,7 +114,7 @@
         return self._next_offset
 
     @property
-    def latest_snapshot(self) -> int:
+    def latest_snapshot_offset(self) -> int:
         """``next_offset`` of the newest complete snapshot in the log; -1 if none."""
         return self._latest_snapshot_offset
 
--- a/primroseglade/exits.py
+++ b/primroseglade/exits.py
@@ -7,7 +7,7 @@
     """Exit status of the process."""
 
     SUCCESS = 0
-    BROKEN_PROMISE = 1
+    CHECK_FAILED = 1
     USAGE = 2
     BAD_INPUT = 3
     REFUSED = 4
--- a/primroseglade/fleet/control.py
+++ b/primroseglade/fleet/control.py
@@ -182,9 +182,9 @@
         self._metrics.bytes.labels("out").inc(len(raw))
         send = self._get_channel(address).unary_unary(f"/{SERVICE}/{method}")
         try:
-            await self._network.pass_through(address, timeout)
+            await self._network.wait_if_cut(address, timeout)
             answer = await send(raw, timeout=timeout)
-            await self._network.pass_through(address, timeout)
+            await self._network.wait_if_cut(address, timeout)
             sealed = self._sealer.open(answer, method, nonce)
             self._metrics.bytes.labels("in").inc(len(answer))
             return reply_type.FromString(sealed.body)
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -50,7 +50,7 @@
                 await self._write()
 
     def _is_due(self) -> bool:
-        latest = self._configuration.fold.latest_snapshot
+        latest = self._configuration.fold.latest_snapshot_offset
         if latest != self._seen:
             self._seen = latest
             self._seen_at = time.monotonic()
--- a/primroseglade/network.py
+++ b/primroseglade/network.py
@@ -10,7 +10,7 @@
         """Whether the link to an address is cut."""
         return False
 
-    async def pass_through(self, address: str, timeout: float) -> None:
+    async def wait_if_cut(self, address: str, timeout: float) -> None:
         """Return at once, or time out if the link to an address is cut.
 
         Args:
@@ -22,7 +22,7 @@
         """
 
 
-class CutNetwork(Network):
+class PartitionableNetwork(Network):
     """A network in which links can be cut; messages over a cut link are lost."""
 
     def __init__(self) -> None:
@@ -40,7 +40,7 @@
         """Whether the link to an address is cut."""
         return address in self._cut
 
-    async def pass_through(self, address: str, timeout: float) -> None:
+    async def wait_if_cut(self, address: str, timeout: float) -> None:
         """Return at once, or raise after ``timeout`` seconds if the link is cut.
 
         Raises:
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any
 
-from .announcing import build_announcing_application, PREFIX
+from .announcing import ANNOUNCEMENT_PATH_PREFIX, build_announcement_application
 from .calls.backend import BackendServer
 from .calls.context import ContextSeal
 from .calls.dispatch import Dispatcher, RetryShare
@@ -31,7 +31,7 @@
 from .observe.events import Journal, NODE_STARTED, NODE_STOPPED, NODE_STOPPING
 from .observe.metrics import Metrics
 from .observe.traces import Tracer
-from .operations.record import Record
+from .operations.record import OperationTable
 from .operations.recorder import Recorder
 from .operator_pages import build_operator_application
 from .platform.log import LogClient, LogUnavailableError
@@ -296,7 +296,7 @@
             self._log, settings.fleet.renewal, settings.fleet.discovery
         )
         self._confirmer = Confirmer(self._configuration, self._members, self._client)
-        self._recorder = Recorder(self._members, self._client, Record())
+        self._recorder = Recorder(self._members, self._client, OperationTable())
         for part in (self._puller, self._gossip, self._confirmer, self._recorder):
             part.register(self._server)
         self._configuration.watch(self._apply_outcome)
@@ -331,7 +331,7 @@
             lambda service, address: self._configuration.document.trusts(
                 service, address
             ),
-            lambda workspace, key: self._configuration.document.holds_key(
+            lambda workspace, key: self._configuration.document.is_key_valid(
                 workspace, key
             ),
             self._tell_of_backend,
@@ -362,11 +362,11 @@
     def _build_listeners(self) -> None:
         listen = self._settings.listen
         header = self._settings.limits.header
-        announcing = build_announcing_application(self._backend)
+        announcing = build_announcement_application(self._backend)
         nested = self._nested_entry
 
         async def serve_backend(scope: Any, receive: Any, send: Any) -> None:
-            own = scope["raw_path"].startswith(PREFIX)
+            own = scope["raw_path"].startswith(ANNOUNCEMENT_PATH_PREFIX)
             await (announcing if own else nested)(scope, receive, send)
 
         operator = build_operator_application(self)
--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -36,7 +36,7 @@
         self.decision: Decision = Decision.RUNNING
 
 
-class Record:
+class OperationTable:
     """Stores the state of operations by workspace and operation id.
 
     Losing entries is safe: a first attempt may run if the operation is not recorded,
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -5,7 +5,7 @@
 from ..fleet.members import Members
 from ..proto import control_pb2 as pb
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
-from .record import Decision, Record
+from .record import Decision, OperationTable
 
 REQUEST_TIMEOUT_SECONDS = 0.5
 
@@ -24,7 +24,7 @@
         record: Operations that this instance records.
     """
 
-    def __init__(self, members: Members, client: ControlClient, record: Record):
+    def __init__(self, members: Members, client: ControlClient, record: OperationTable):
         self._members = members
         self._client = client
         self._record = record
--- a/primroseglade/platform/log.py
+++ b/primroseglade/platform/log.py
@@ -114,13 +114,13 @@
         headers = {"Accept": CONTENT_TYPE, "Content-Type": CONTENT_TYPE}
         bound = aiohttp.ClientTimeout(total=timeout)
         try:
-            await self._network.pass_through(self._address, timeout)
+            await self._network.wait_if_cut(self._address, timeout)
             async with self._session.request(
                 method, self._url + path, data=body, headers=headers, timeout=bound
             ) as response:
                 answer = await response.json(content_type=None)
                 status = response.status
-            await self._network.pass_through(self._address, timeout)
+            await self._network.wait_if_cut(self._address, timeout)
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
             reason = str(error) or type(error).__name__
             raise LogUnavailableError(f"the log does not answer: {reason}") from error
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -120,7 +120,7 @@
     )
 
 
-async def wait_everywhere(
+async def wait_for_confirmations(
     client: OperatorClient, published: Published, wait: float
 ) -> None:
     """Wait until all instances have confirmed an edit, and record which have not.
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ..document.records import Edit, SectionEdit
-from ..network import CutNetwork
+from ..network import PartitionableNetwork
 from ..node import Node
 from ..platform.log import CONFIGURATION
 from ..settings.node import build_node_settings
@@ -19,7 +19,9 @@
 class Place:
     """A node, the backend server beside it, and the links that the node sees."""
 
-    def __init__(self, node: Node, network: CutNetwork, backend: BackendStandIn | None):
+    def __init__(
+        self, node: Node, network: PartitionableNetwork, backend: BackendStandIn | None
+    ):
         self.node = node
         self.network = network
         self.backend = backend
@@ -113,7 +115,7 @@
             "platform": self.log.address,
             "fleet_secret": SECRET,
         }
-        network = CutNetwork()
+        network = PartitionableNetwork()
         fields |= self._settings | settings
         node = Node(build_node_settings(fields), network)
         await node.start()
--- a/primroseglade/verdicts.py
+++ b/primroseglade/verdicts.py
@@ -67,7 +67,7 @@
 
 # Reasons that are due to the instance and not to the call: with the verdict "not run",
 # the call may be retried on another instance.
-RETRIED_ELSEWHERE = frozenset(
+RETRYABLE_REASONS = frozenset(
     {
         Reason.CONNECTION_LOST,
         Reason.DRAINING,
@@ -78,7 +78,7 @@
 
 
 # Reasons that indicate that an instance had more calls than it could serve.
-SHEDDING = frozenset({Reason.DEADLINE_EXCEEDED, Reason.OVERLOADED})
+LOAD_SHEDDING_REASONS = frozenset({Reason.DEADLINE_EXCEEDED, Reason.OVERLOADED})
 
 
 class Refusal(Exception):  # noqa: N818 - a response to the caller, not a fault
--- a/tests/test_fold.py
+++ b/tests/test_fold.py
@@ -110,7 +110,7 @@
     fold = apply_all([make_edit("workspaces/one", None, build_workspace("one", "k"))])
     stolen = {"keys": [{"id": "mine", "digest": digest_key("k")}]}
     assert not fold.apply(1, make_edit("workspaces/two", None, stolen)).accepted
-    assert fold.document.find_key(digest_key("k")).workspace == "one"
+    assert fold.document.find_key_by_digest(digest_key("k")).workspace == "one"
 
 
 def test_key_moved_by_one_edit_acts_for_its_new_workspace():
@@ -123,7 +123,7 @@
         "ops",
     )
     assert fold.apply(1, edit.to_value()).accepted
-    assert fold.document.find_key(digest_key("k")).workspace == "two"
+    assert fold.document.find_key_by_digest(digest_key("k")).workspace == "two"
 
 
 def test_one_recall_withdraws_a_batch_of_keys_workspaces_and_backend_servers():
@@ -135,15 +135,15 @@
         ]
     )
     document = fold.document
-    assert document.holds_key("one", "one-key")
+    assert document.is_key_valid("one", "one-key")
     assert document.trusts("archive", "10.1.1.1:80")
     recall = {"key_batches": ["bad"], "backend_server_batches": ["b1"]}
     fold.apply(3, make_edit("recalls/r", None, recall))
-    assert not document.holds_key("one", "one-key")
-    assert document.holds_key("two", "two-key")
+    assert not document.is_key_valid("one", "one-key")
+    assert document.is_key_valid("two", "two-key")
     assert not document.trusts("archive", "10.1.1.1:80")
     fold.apply(4, make_edit("recalls/r2", None, {"workspaces": ["two"]}))
-    assert not document.holds_key("two", "two-key")
+    assert not document.is_key_valid("two", "two-key")
 
 
 def test_late_snapshot_never_reverts():
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -3,7 +3,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import initialize, invariant, rule, RuleBasedStateMachine
 
-from primroseglade.operations.record import Decision, Record
+from primroseglade.operations.record import Decision, OperationTable
 from primroseglade.verdicts import Verdict
 
 
@@ -16,7 +16,7 @@
 
     @initialize()
     def start(self):
-        self.records = [Record(), Record()]
+        self.records = [OperationTable(), OperationTable()]
         self.sent_attempts = 0
         self.in_transit: list[int] = []
         self.running: list[tuple[int, int, bool]] = []
@@ -59,7 +59,7 @@
 
     @rule(recorder=st.integers(0, 1))
     def replace(self, recorder):
-        self.records[recorder] = Record()
+        self.records[recorder] = OperationTable()
 
     @invariant()
     def ran_at_most_once(self):
@@ -72,11 +72,11 @@
 
 def test_later_attempt_at_an_unrecorded_operation_is_refused():
     """The first attempt ran in another zone and its response was lost."""
-    assert Record().begin("north", "payout", 2) is Decision.UNKNOWN
+    assert OperationTable().begin("north", "payout", 2) is Decision.UNKNOWN
 
 
 def test_attempt_after_one_that_did_not_run_is_allowed():
-    record = Record()
+    record = OperationTable()
     record.begin("north", "payout", 1)
     record.finish("north", "payout", 1, Verdict.NOT_RUN)
     assert record.begin("north", "payout", 2) is Decision.RUN
@@ -87,7 +87,7 @@
 
     If it were taken for the end of attempt 2, attempt 3 could run at the same time.
     """
-    record = Record()
+    record = OperationTable()
     record.begin("north", "payout", 1)
     record.finish("north", "payout", 1, Verdict.NOT_RUN)
     record.begin("north", "payout", 2)
@@ -101,7 +101,7 @@
     The caller then reports that the operation did not run. That would become wrong if
     attempt 2 were allowed to run when it arrives.
     """
-    record = Record()
+    record = OperationTable()
     for attempt in (1, 3):
         record.begin("north", "payout", attempt)
         record.finish("north", "payout", attempt, Verdict.NOT_RUN)
@@ -109,14 +109,14 @@
 
 
 def test_operation_ids_are_scoped_to_the_workspace():
-    record = Record()
+    record = OperationTable()
     assert record.begin("north", "payout", 1) is Decision.RUN
     assert record.begin("south", "payout", 1) is Decision.RUN
 
 
 def test_operations_are_evicted_after_the_retention_time():
     now = 0.0
-    record = Record(lambda: now, retention_seconds=10.0)
+    record = OperationTable(lambda: now, retention_seconds=10.0)
     record.begin("north", "one", 1)
     now = 11.0
     record.begin("north", "two", 1)
