--- a/primroseglade/platform/__main__.py
+++ b/primroseglade/platform/__main__.py
@@ -19,7 +19,7 @@
 SETTINGS_VARIABLE = "PRIMROSEGLADE_SETTINGS"
 # Objects made between two collections of the youngest: a request makes some hundred
 # and leaves no cycles, so that rarer collections cost nothing and pause less.
-COLLECT_AFTER = 50_000
+GC_THRESHOLD = 50_000
 
 
 async def run(settings: PlatformSettings, path: str) -> None:
@@ -42,7 +42,7 @@
     )
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 50)
+    gc.set_threshold(GC_THRESHOLD, 20, 50)
     await node.run(stopping)
 
 
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -16,20 +16,20 @@
     HOP_BY_HOP,
     HOST,
     KEY_SCHEME,
+    NODE_SET_HEADERS,
     NOT_EXECUTED,
     REMAINING_MS,
     REQUEST_ID,
-    SET_BY_NODES,
     SIGNATURE,
     TENANT,
 )
 
 # These statuses promise that a request has not run. Nothing else may use them, and
 # what may have run is told with others.
-PROMISING = frozenset({408, 421, 429, 503})
+NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MAY_HAVE_RUN_STATUS = 502
 # Callers measure what is left from when they sent; this much was used on the way.
-LEAST_MS = 1
+MIN_REMAINING_MS = 1
 
 
 class PlatformDialect:
@@ -53,7 +53,7 @@
 
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
         """Return the head to hand on, but for what the last node sets."""
-        dropped = SET_BY_NODES
+        dropped = NODE_SET_HEADERS
         for name, value in request.headers:
             if name.lower() == CONNECTION:
                 dropped = dropped | _split_tokens(value)
@@ -72,7 +72,7 @@
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
         """Return the answer that tells a refusal."""
         status = refusal.reason.status
-        if refusal.verdict is not Verdict.NOT_RUN and status in PROMISING:
+        if refusal.verdict is not Verdict.NOT_RUN and status in NOT_EXECUTED_STATUSES:
             status = MAY_HAVE_RUN_STATUS
         if refusal.verdict is Verdict.NOT_RUN and status in (502, 504):
             # It has not run, and the caller may know.
@@ -80,7 +80,7 @@
         lines = [render_status_line(status)]
         if request_id:
             lines.append(b"%b: %b\r\n" % (REQUEST_ID, request_id))
-        if refusal.retry_after is not None and status in PROMISING:
+        if refusal.retry_after is not None and status in NOT_EXECUTED_STATUSES:
             lines.append(b"Retry-After: %.3f\r\n" % max(0.0, refusal.retry_after))
         lines.append(b"Content-Type: text/plain; charset=utf-8\r\n")
         body = f"{refusal.reason.code}: {refusal.detail}\n".encode()
@@ -88,7 +88,7 @@
 
     def finish_request(self, call: Call, remaining: float) -> bytes:
         """Return a request's bytes for the backend server."""
-        milliseconds = max(LEAST_MS, math.floor(remaining * 1000))
+        milliseconds = max(MIN_REMAINING_MS, math.floor(remaining * 1000))
         length = b""
         if call.body or not call.head.startswith((b"GET ", b"HEAD ", b"DELETE ")):
             length = b"Content-Length: %d\r\n" % len(call.body)
--- a/primroseglade/platform/log.py
+++ b/primroseglade/platform/log.py
@@ -15,7 +15,7 @@
 CONTENT_TYPE = "application/vnd.kafka.json.v2+json"
 OFFSET_OUT_OF_RANGE = 1
 PARTITION = 0
-READ_BYTES = 1 << 20
+MAX_READ_BYTES = 1 << 20
 
 CONFIGURATION = "primroseglade.configuration"
 MEMBERSHIP = "primroseglade.membership"
@@ -70,9 +70,9 @@
             LogUnavailableError: No answer; the record may stand all the same.
         """
         body = json.dumps({"records": [{"value": value, "partition": PARTITION}]})
-        answer = await self._ask("POST", f"/{topic}", self._timeout, body)
+        payload = await self._request("POST", f"/{topic}", self._timeout, body)
         try:
-            return int(answer["offsets"][0]["offset"])
+            return int(payload["offsets"][0]["offset"])
         except (KeyError, IndexError, TypeError, ValueError) as error:
             raise LogUnavailableError("the log answered without an offset") from error
 
@@ -84,19 +84,21 @@
             OffsetGoneError: The offset is out of the range that the log keeps.
         """
         path = f"/{topic}/partitions/{PARTITION}/records"
-        query = f"?offset={offset}&timeout={int(wait * 1000)}&max_bytes={READ_BYTES}"
-        answer = await self._ask("GET", path + query, wait + self._timeout)
+        query = (
+            f"?offset={offset}&timeout={int(wait * 1000)}&max_bytes={MAX_READ_BYTES}"
+        )
+        payload = await self._request("GET", path + query, wait + self._timeout)
         try:
-            return [LogRecord(int(item["offset"]), item["value"]) for item in answer]
+            return [LogRecord(int(item["offset"]), item["value"]) for item in payload]
         except (KeyError, TypeError, ValueError) as error:
             raise LogUnavailableError("the log answered in another form") from error
 
     async def get_range(self, topic: str) -> tuple[int, int]:
         """Return the offset of the first kept record and that of the next append."""
         path = f"/{topic}/partitions/{PARTITION}/offsets"
-        answer = await self._ask("GET", path, self._timeout)
+        payload = await self._request("GET", path, self._timeout)
         try:
-            return int(answer["beginning_offset"]), int(answer["end_offset"])
+            return int(payload["beginning_offset"]), int(payload["end_offset"])
         except (KeyError, TypeError, ValueError) as error:
             raise LogUnavailableError("the log answered in another form") from error
 
@@ -106,27 +108,31 @@
             await self._session.close()
             self._session = None
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, timeout: float, body: str | None = None
     ) -> Any:
         if self._session is None:
             self._session = aiohttp.ClientSession()
         headers = {"Accept": CONTENT_TYPE, "Content-Type": CONTENT_TYPE}
-        bound = aiohttp.ClientTimeout(total=timeout)
+        client_timeout = aiohttp.ClientTimeout(total=timeout)
         try:
             await self._network.pass_through(self._address, timeout)
             async with self._session.request(
-                method, self._url + path, data=body, headers=headers, timeout=bound
+                method,
+                self._url + path,
+                data=body,
+                headers=headers,
+                timeout=client_timeout,
             ) as response:
-                answer = await response.json(content_type=None)
+                payload = await response.json(content_type=None)
                 status = response.status
             await self._network.pass_through(self._address, timeout)
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
             reason = str(error) or type(error).__name__
             raise LogUnavailableError(f"the log does not answer: {reason}") from error
         if status == 200:
-            return answer
-        if isinstance(answer, dict):
-            if answer.get("error_code") == OFFSET_OUT_OF_RANGE:
+            return payload
+        if isinstance(payload, dict):
+            if payload.get("error_code") == OFFSET_OUT_OF_RANGE:
                 raise OffsetGoneError("the offset is out of the log's range")
         raise LogUnavailableError(f"the log answered with status {status}")
--- a/primroseglade/platform/names.py
+++ b/primroseglade/platform/names.py
@@ -19,7 +19,7 @@
 # The length is set anew for each connection, since whole bodies are held.
 HOP_BY_HOP = CONNECTION_HEADERS | {b"content-length"}
 # Set by nodes, whatever the sender says; and a 100-continue is answered here.
-SET_BY_NODES = HOP_BY_HOP | {
+NODE_SET_HEADERS = HOP_BY_HOP | {
     REMAINING_MS,
     EXPECTED_INSTANCE,
     CALLER_SERVICE,
--- a/primroseglade/platform/operator_config.py
+++ b/primroseglade/platform/operator_config.py
@@ -15,7 +15,7 @@
 )
 from .values import Fields
 
-SOURCE = "configuration"
+ERROR_SOURCE = "configuration"
 DEFAULT_TIMEOUT_SECONDS = 10.0
 
 
@@ -28,10 +28,10 @@
     try:
         value = json.loads(record)
     except ValueError as error:
-        raise InputError(SOURCE, "", f"is not JSON: {error}") from error
-    fields = Fields(value, SOURCE)
+        raise InputError(ERROR_SOURCE, "", f"is not JSON: {error}") from error
+    fields = Fields(value, ERROR_SOURCE)
     return Policy(
-        fields.get_whole("version"),
+        fields.get_integer("version"),
         _decode_routes(fields),
         _decode_tenants(fields) if fields.has("tenants") else None,
         _decode_limits(fields),
@@ -42,29 +42,33 @@
     limits = CallerLimits()
     if not fields.has("limits"):
         return limits
-    told = fields.get_object("limits")
+    limit_fields = fields.get_object("limits")
     return CallerLimits(
-        told.get_whole("max_header_bytes", limits.header_bytes),
-        told.get_whole("max_body_bytes", limits.body_bytes),
-        told.get_seconds("header_timeout", limits.head_timeout),
-        told.get_seconds("idle_timeout", limits.idle_timeout),
+        limit_fields.get_integer("max_header_bytes", limits.header_bytes),
+        limit_fields.get_integer("max_body_bytes", limits.body_bytes),
+        limit_fields.get_seconds("header_timeout", limits.head_timeout),
+        limit_fields.get_seconds("idle_timeout", limits.idle_timeout),
     )
 
 
 def _decode_tenants(fields: Fields) -> dict[bytes, Tenant]:
     tenants: dict[bytes, Tenant] = {}
     for item in fields.get_list("tenants"):
-        told = Fields(item, f"{SOURCE}/tenants")
-        priority = told.get_whole("priority") if told.has("priority") else None
+        tenant_fields = Fields(item, f"{ERROR_SOURCE}/tenants")
+        priority = (
+            tenant_fields.get_integer("priority")
+            if tenant_fields.has("priority")
+            else None
+        )
         tenant = Tenant(
-            told.get_text("name"),
+            tenant_fields.get_string("name"),
             priority,
-            told.get_number("rate_per_s", 0),
-            told.get_number("burst", 0),
+            tenant_fields.get_number("rate_per_s", 0),
+            tenant_fields.get_number("burst", 0),
         )
-        for key in told.get_list("api_keys"):
+        for key in tenant_fields.get_list("api_keys"):
             if not isinstance(key, str):
-                raise InputError(SOURCE, "tenants/api_keys", "a key is no text")
+                raise InputError(ERROR_SOURCE, "tenants/api_keys", "a key is no text")
             tenants[key.encode()] = tenant
     return tenants
 
@@ -72,41 +76,41 @@
 def _decode_routes(fields: Fields) -> list[Route]:
     routes = []
     for item in fields.get_list("virtual_hosts"):
-        host = Fields(item, f"{SOURCE}/virtual_hosts")
-        name = host.get_text("host")
-        routes += [_decode_route(name, path) for path in host.get_list("paths")]
+        host_fields = Fields(item, f"{ERROR_SOURCE}/virtual_hosts")
+        host = host_fields.get_string("host")
+        routes += [_decode_route(host, path) for path in host_fields.get_list("paths")]
     return routes
 
 
 def _decode_route(host: str, value: Any) -> Route:
-    fields = Fields(value, f"{SOURCE}/paths")
+    fields = Fields(value, f"{ERROR_SOURCE}/paths")
     # Uploads are large and run once; a kind that is not known here is taken to be
     # one that must not run twice.
-    safe = fields.get_text("kind", "unsafe") == RouteKind.SAFE.value
+    safe = fields.get_string("kind", "unsafe") == RouteKind.SAFE.value
     timeout = fields.get_seconds("timeout", DEFAULT_TIMEOUT_SECONDS)
     return Route(
-        fields.get_text("name", ""),
+        fields.get_string("name", ""),
         host,
-        fields.get_text("path_prefix"),
+        fields.get_string("path_prefix"),
         RouteKind.SAFE if safe else RouteKind.UNSAFE,
         _decode_split(fields),
         timeout,
         fields.get_seconds("target_latency", timeout),
-        fields.get_whole("priority", LOWEST_PRIORITY),
-        fields.get_whole("max_attempts", 1),
-        fields.get_flag("public"),
+        fields.get_integer("priority", LOWEST_PRIORITY),
+        fields.get_integer("max_attempts", 1),
+        fields.get_boolean("public"),
     )
 
 
 def _decode_split(fields: Fields) -> list[WeightedService]:
     if not fields.has("traffic_split"):
-        return [WeightedService(fields.get_text("service"), 1.0)]
+        return [WeightedService(fields.get_string("service"), 1.0)]
     split = []
     for item in fields.get_list("traffic_split"):
-        part = Fields(item, f"{SOURCE}/traffic_split")
-        weight = part.get_number("weight")
+        part_fields = Fields(item, f"{ERROR_SOURCE}/traffic_split")
+        weight = part_fields.get_number("weight")
         if weight > 0:
-            split.append(WeightedService(part.get_text("service"), weight))
+            split.append(WeightedService(part_fields.get_string("service"), weight))
     if not split:
-        raise InputError(SOURCE, "traffic_split", "has no part with a weight")
+        raise InputError(ERROR_SOURCE, "traffic_split", "has no part with a weight")
     return split
--- a/primroseglade/platform/reports.py
+++ b/primroseglade/platform/reports.py
@@ -11,7 +11,7 @@
 from ..sidecar.node import SidecarNode
 from .values import Fields
 
-PREFIX = b"/instances/"
+INSTANCES_PATH = b"/instances/"
 OK = render_status_line(200) + b"Content-Type: application/json\r\n"
 UNAVAILABLE = render_status_line(503)
 
@@ -29,30 +29,30 @@
         raise InputError(source, "", f"is not JSON: {error}") from error
     fields = Fields(value, source)
     try:
-        state = BackendState(fields.get_text("state"))
+        state = BackendState(fields.get_string("state"))
     except ValueError as error:
         raise InputError(source, "state", str(error)) from error
-    slots = fields.get_whole("capacity_slots")
+    slots = fields.get_integer("capacity_slots")
     if slots < 1:
         raise InputError(source, "capacity_slots", "is not above 0")
     return StatusReport(
         instance,
-        fields.get_text("service"),
-        fields.get_text("address"),
+        fields.get_string("service"),
+        fields.get_string("address"),
         slots,
         state,
         fields.get_seconds("cold_remaining", 0.0),
-        fields.get_whole("sequence"),
-        fields.get_whole("born", 0),
+        fields.get_integer("sequence"),
+        fields.get_integer("born", 0),
     )
 
 
-def decode_leave(body: bytes) -> int:
+def decode_deregistration(body: bytes) -> int:
     """Return the start of the lifetime that a leave call names, 0 if it names none."""
     if not body:
         return 0
     try:
-        return Fields(json.loads(body), "leave").get_whole("born", 0)
+        return Fields(json.loads(body), "leave").get_integer("born", 0)
     except (ValueError, InputError):
         return 0
 
@@ -71,14 +71,14 @@
 
     async def handle(request: Request) -> Reply:
         path = request.target.partition(b"?")[0]
-        if not path.startswith(PREFIX):
+        if not path.startswith(INSTANCES_PATH):
             return Reply(render_status_line(404), b"")
-        instance = unquote(path[len(PREFIX) :].decode("latin-1"))
+        instance = unquote(path[len(INSTANCES_PATH) :].decode("latin-1"))
         if request.method == b"DELETE":
-            kept = await node.registration.handle_deregistration(
-                instance, decode_leave(request.body)
+            stored = await node.registration.handle_deregistration(
+                instance, decode_deregistration(request.body)
             )
-            return Reply(OK, b"{}") if kept else Reply(UNAVAILABLE, b"")
+            return Reply(OK, b"{}") if stored else Reply(UNAVAILABLE, b"")
         if request.method != b"PUT":
             return Reply(render_status_line(405), b"")
         try:
@@ -86,7 +86,7 @@
         except InputError as error:
             journal.emit(BACKEND_REPORT_REFUSED, backend=instance, reason=str(error))
             return Reply(render_status_line(400), b"")
-        kept = await node.registration.handle_report(report)
-        return Reply(OK, b"{}") if kept else Reply(UNAVAILABLE, b"")
+        stored = await node.registration.handle_report(report)
+        return Reply(OK, b"{}") if stored else Reply(UNAVAILABLE, b"")
 
     return handle
--- a/primroseglade/platform/settings.py
+++ b/primroseglade/platform/settings.py
@@ -47,19 +47,19 @@
     ports = fields.get_list("internal_ports")
     if not ports or not all(isinstance(port, int) for port in ports):
         raise InputError("settings", "internal_ports", "names no ports")
-    host = fields.get_text("ip")
+    host = fields.get_string("ip")
     node = NodeSettings(
-        name=fields.get_text("node_name"),
-        zone=fields.get_text("zone"),
-        service=fields.get_text("service"),
-        backend=fields.get_text("app_addr"),
+        name=fields.get_string("node_name"),
+        zone=fields.get_string("zone"),
+        service=fields.get_string("service"),
+        backend=fields.get_string("app_addr"),
         host=host,
-        outbound=listen.get_text("outbound"),
-        ready=listen.get_text("ready"),
-        control=listen.get_text("control"),
+        outbound=listen.get_string("outbound"),
+        ready=listen.get_string("ready"),
+        control=listen.get_string("control"),
         peers=f"{host}:{ports[0]}",
         metrics=f"{host}:{ports[0] + 1}",
-        first_start=fields.get_flag("first_start"),
+        first_start=fields.get_boolean("first_start"),
         grace=bounds.get_seconds("grace", 6.0),
         revoke=bounds.get_seconds("revoke", 5.0),
         config_apply=bounds.get_seconds("config_apply", 2.0),
@@ -70,4 +70,4 @@
         quota_slack=bounds.get_number("quota_slack", 0.0),
         quota_window=bounds.get_seconds("quota_window", 5.0),
     )
-    return PlatformSettings(node, fields.get_object("platform").get_text("address"))
+    return PlatformSettings(node, fields.get_object("platform").get_string("address"))
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -17,7 +17,7 @@
 
 CONNECT_SECONDS = 1.0
 # The records that a read asks for have been deleted.
-GONE = 410
+GONE_STATUS = 410
 # Written by operators; nodes may only read it.
 OPERATOR_TOPIC = "keyed.op"
 CONFIG_KEY = "config"
@@ -25,11 +25,11 @@
 NODES_TOPIC = "keyed.primroseglade-nodes"
 DRAINS_TOPIC = "keyed.primroseglade-drains"
 
-POSITIONS = struct.Struct(">QQ")
-LENGTH = struct.Struct(">I")
+OFFSETS = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
 
 
-class NewestItem:
+class KeyedRecord:
     """The newest record of a key."""
 
     __slots__ = ("key", "value")
@@ -39,12 +39,12 @@
         self.value = value
 
 
-class Newest:
+class NewestRecords:
     """The newest records of a topic, and the position after them."""
 
     __slots__ = ("items", "next_offset")
 
-    def __init__(self, items: list[NewestItem], next_offset: int):
+    def __init__(self, items: list[KeyedRecord], next_offset: int):
         self.items = items
         self.next_offset = next_offset
 
@@ -99,13 +99,13 @@
         }
         answer = await self._call("GET", "/log-read", query, b"", timeout)
         data = answer.body
-        if len(data) < POSITIONS.size:
+        if len(data) < OFFSETS.size:
             raise StoreError("a read of less than its positions")
-        end, first = POSITIONS.unpack_from(data)
-        if end < offset or first > offset:
-            detail = f"position {offset} is not between {first} and {end}"
+        end_offset, first_offset = OFFSETS.unpack_from(data)
+        if end_offset < offset or first_offset > offset:
+            detail = f"position {offset} is not between {first_offset} and {end_offset}"
             raise OffsetExpiredError(detail)
-        records = split_records(data[POSITIONS.size :])
+        records = split_records(data[OFFSETS.size :])
         if not records:
             return None
         newest: bytes | None = None
@@ -167,12 +167,12 @@
     async def _write(self, topic: str, key: str, value: bytes, timeout: float) -> None:
         name = key.encode()
         record = bytes([len(name)]) + name + value
-        body = LENGTH.pack(len(record)) + record
+        body = RECORD_LENGTH.pack(len(record)) + record
         query = {"topic": topic, "part": 0}
         await self._call("POST", "/log-append", query, body, timeout)
 
-    async def _read_newest_items(self, topic: str, timeout: float) -> Newest:
-        items: list[NewestItem] = []
+    async def _read_newest_items(self, topic: str, timeout: float) -> NewestRecords:
+        items: list[KeyedRecord] = []
         query: dict[str, Any] = {"topic": topic, "part": 0}
         while True:
             answer = await self._call("GET", "/log-newest", query, b"", timeout)
@@ -180,13 +180,13 @@
                 page = json.loads(answer.body)
                 for item in page["items"]:
                     value = base64.b64decode(item["value"])
-                    items.append(NewestItem(item["key"], value))
-                more = page.get("truncated") and items
-                end = int(page["end"])
+                    items.append(KeyedRecord(item["key"], value))
+                has_more = page.get("truncated") and items
+                end_offset = int(page["end"])
             except (ValueError, KeyError, TypeError) as error:
                 raise StoreError(f"an answer that cannot be read: {error}") from error
-            if not more:
-                return Newest(items, end)
+            if not has_more:
+                return NewestRecords(items, end_offset)
             query["after"] = items[-1].key
 
     async def _call(
@@ -208,7 +208,7 @@
             raise StoreError(f"{path}: no answer within {timeout:.1f} s") from error
         except ExchangeError as error:
             raise StoreError(f"{path}: {error.detail}") from error
-        if answer.status == GONE:
+        if answer.status == GONE_STATUS:
             raise OffsetExpiredError(f"{path}: status {answer.status}")
         if answer.status != 200:
             raise StoreError(f"{path}: status {answer.status}")
@@ -223,9 +223,9 @@
     """
     records = []
     start = 0
-    while start + LENGTH.size <= len(data):
-        (length,) = LENGTH.unpack_from(data, start)
-        start += LENGTH.size
+    while start + RECORD_LENGTH.size <= len(data):
+        (length,) = RECORD_LENGTH.unpack_from(data, start)
+        start += RECORD_LENGTH.size
         if start + length > len(data):
             break
         records.append(data[start : start + length])
--- a/primroseglade/platform/values.py
+++ b/primroseglade/platform/values.py
@@ -5,7 +5,7 @@
 
 from ..errors import InputError
 
-DURATION = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
+DURATION_PATTERN = re.compile(r"(\d+(?:\.\d+)?)(ms|s)")
 
 
 class Fields:
@@ -24,14 +24,14 @@
         self._value = value
         self._source = source
 
-    def get_text(self, name: str, default: str | None = None) -> str:
+    def get_string(self, name: str, default: str | None = None) -> str:
         """Return a string that is not empty."""
         value = self._value.get(name, default)
         if not isinstance(value, str) or (not value and value != default):
             raise InputError(self._source, name, "is no text")
         return value
 
-    def get_whole(self, name: str, default: int | None = None) -> int:
+    def get_integer(self, name: str, default: int | None = None) -> int:
         """Return a whole number."""
         value = self._value.get(name, default)
         if not isinstance(value, int) or isinstance(value, bool):
@@ -45,7 +45,7 @@
             raise InputError(self._source, name, "is no number")
         return float(value)
 
-    def get_flag(self, name: str, default: bool = False) -> bool:
+    def get_boolean(self, name: str, default: bool = False) -> bool:
         """Return true or false."""
         value = self._value.get(name, default)
         if not isinstance(value, bool):
@@ -58,7 +58,7 @@
         if value is None and default is not None:
             return default
         if isinstance(value, str):
-            match = DURATION.fullmatch(value)
+            match = DURATION_PATTERN.fullmatch(value)
             if match:
                 number = float(match.group(1))
                 return number / 1000 if match.group(2) == "ms" else number
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -21,13 +21,13 @@
 KEEP_ALIVE_IDLE_SECONDS = 1
 # Idle seconds after which a connection is not used again where its server did not
 # say how long it keeps one; usual servers close after 5 s or more.
-IDLE_SECONDS = 4.0
+DEFAULT_IDLE_TIMEOUT_SECONDS = 4.0
 # A server closes at the second that it told: one second for what is on the way.
-IDLE_MARGIN_SECONDS = 1.0
+IDLE_TIMEOUT_MARGIN_SECONDS = 1.0
 # What may run only once is not sent on a connection that was idle for longer: the
 # server may be closing it, and the loss would be known neither way.
-FRESH_SECONDS = 2.0
-ANSWER_BYTES = 64 * 1024 * 1024
+NON_IDEMPOTENT_MAX_IDLE_SECONDS = 2.0
+MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 
 class ExchangeError(Exception):
@@ -57,7 +57,7 @@
         self.body = b""
 
 
-Accept = Callable[[Answer], bool]
+ResponseFilter = Callable[[Answer], bool]
 
 
 class ClientConnection(asyncio.Protocol):
@@ -65,34 +65,34 @@
 
     __slots__ = (
         "_accept",
-        "_answer",
+        "_body_bytes",
         "_chunks",
-        "_ends_with_connection",
+        "_delimited_by_close",
         "_head_only",
         "_loop",
         "_parser",
-        "_ready",
+        "_pending",
+        "_response",
         "_reusable",
-        "_size",
         "_transport",
         "idle_since",
-        "kept_for",
+        "idle_timeout",
     )
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._answer: Answer | None = None
+        self._response: Answer | None = None
         self._chunks: list[bytes] = []
-        self._size = 0
-        self._ready: asyncio.Future[Answer] | None = None
-        self._accept: Accept | None = None
+        self._body_bytes = 0
+        self._pending: asyncio.Future[Answer] | None = None
+        self._accept: ResponseFilter | None = None
         self._reusable = True
         self._head_only = False
-        self._ends_with_connection = False
+        self._delimited_by_close = False
         self.idle_since = 0.0
-        self.kept_for = IDLE_SECONDS
+        self.idle_timeout = DEFAULT_IDLE_TIMEOUT_SECONDS
 
     @property
     def reusable(self) -> bool:
@@ -112,7 +112,7 @@
 
     def eof_received(self) -> bool:
         """End an answer that has no length, and close."""
-        if self._ends_with_connection and self._answer is not None:
+        if self._delimited_by_close and self._response is not None:
             self._reusable = False
             if self._transport is not None and was_reset(self._transport):
                 # Not whole: only the end of the connection tells its length, and the
@@ -131,7 +131,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what came."""
-        if self._ready is None:
+        if self._pending is None:
             # Bytes that no request asked for: whatever they are, the next answer on
             # this connection could not be told from them.
             self.close()
@@ -144,34 +144,34 @@
 
     def on_message_begin(self) -> None:
         """Parser callback."""
-        if self._ready is None:
+        if self._pending is None:
             # A second answer to one request.
             self._reusable = False
-        self._answer = Answer(0, [])
+        self._response = Answer(0, [])
         self._chunks = []
-        self._size = 0
-        self._ends_with_connection = False
+        self._body_bytes = 0
+        self._delimited_by_close = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Parser callback."""
-        assert self._answer is not None
-        self._answer.headers.append((name, value))
+        assert self._response is not None
+        self._response.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
         """Parser callback."""
-        assert self._answer is not None
-        self._answer.status = self._parser.get_status_code()
-        framed = self._answer.status in (204, 304) or self._answer.status < 200
-        for name, value in self._answer.headers:
+        assert self._response is not None
+        self._response.status = self._parser.get_status_code()
+        framed = self._response.status in (204, 304) or self._response.status < 200
+        for name, value in self._response.headers:
             lower = name.lower()
             if lower in (b"content-length", b"transfer-encoding"):
                 framed = True
             elif lower == b"keep-alive":
-                self._note_keep_alive(value)
-        self._ends_with_connection = not framed
+                self._apply_keep_alive(value)
+        self._delimited_by_close = not framed
         if not framed or not self._parser.should_keep_alive():
             self._reusable = False
-        if self._head_only and self._answer.status >= 200:
+        if self._head_only and self._response.status >= 200:
             # The parser waits for a body that a HEAD's answer does not have.
             self._reusable = False
             self._complete()
@@ -179,18 +179,21 @@
     def on_body(self, body: bytes) -> None:
         """Parser callback."""
         self._chunks.append(body)
-        self._size += len(body)
-        if self._size > ANSWER_BYTES:
+        self._body_bytes += len(body)
+        if self._body_bytes > MAX_RESPONSE_BYTES:
             self._fail(ExchangeError("an answer larger than is held", sent=True))
             self.close()
 
     def on_message_complete(self) -> None:
         """Parser callback."""
-        if self._answer is not None and self._answer.status >= 200:
+        if self._response is not None and self._response.status >= 200:
             self._complete()
 
     async def exchange(
-        self, request: bytes, accept: Accept | None = None, head_only: bool = False
+        self,
+        request: bytes,
+        accept: ResponseFilter | None = None,
+        head_only: bool = False,
     ) -> Answer:
         """Send a whole request and wait for its whole answer.
 
@@ -205,19 +208,19 @@
         """
         if self._transport is None or self._transport.is_closing():
             raise ExchangeError("the connection was closed before", sent=False)
-        ready = self._ready = self._loop.create_future()
+        pending = self._pending = self._loop.create_future()
         self._accept = accept
         self._head_only = head_only
         self._transport.write(request)
         try:
-            return await ready
+            return await pending
         except asyncio.CancelledError:
             # What the other end still reads or sends would mix with the next call;
             # it takes the closed connection as a cancellation.
             self.close()
             raise
         finally:
-            self._ready = None
+            self._pending = None
 
     def close(self) -> None:
         """Close it at once."""
@@ -225,34 +228,34 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _note_keep_alive(self, value: bytes) -> None:
+    def _apply_keep_alive(self, value: bytes) -> None:
         for part in value.split(b","):
             name, _, seconds = part.strip().partition(b"=")
             if name.lower() == b"timeout" and seconds.isdigit():
-                self.kept_for = max(0.0, int(seconds) - IDLE_MARGIN_SECONDS)
+                self.idle_timeout = max(0.0, int(seconds) - IDLE_TIMEOUT_MARGIN_SECONDS)
 
     def _complete(self) -> None:
-        answer = self._answer
-        assert answer is not None
-        self._answer = None
-        ready = self._ready
-        if ready is None or ready.done():
+        response = self._response
+        assert response is not None
+        self._response = None
+        pending = self._pending
+        if pending is None or pending.done():
             self._reusable = False
             return
         chunks = self._chunks
-        answer.body = chunks[0] if len(chunks) == 1 else b"".join(chunks)
+        response.body = chunks[0] if len(chunks) == 1 else b"".join(chunks)
         self._chunks = []
-        if self._accept is not None and not self._accept(answer):
+        if self._accept is not None and not self._accept(response):
             # A late second answer to an earlier request. The one to this request
             # follows it, and is waited for.
             self._reusable = False
             return
-        ready.set_result(answer)
+        pending.set_result(response)
 
     def _fail(self, error: ExchangeError) -> None:
         self._reusable = False
-        if self._ready is not None and not self._ready.done():
-            self._ready.set_exception(error)
+        if self._pending is not None and not self._pending.done():
+            self._pending.set_exception(error)
 
 
 class ConnectionPool:
@@ -282,10 +285,10 @@
         while self._idle:
             connection = self._idle.pop()
             idle = now - connection.idle_since
-            if not connection.reusable or idle > connection.kept_for:
+            if not connection.reusable or idle > connection.idle_timeout:
                 connection.close()
                 continue
-            if once and idle > FRESH_SECONDS:
+            if once and idle > NON_IDEMPOTENT_MAX_IDLE_SECONDS:
                 self._idle.append(connection)
                 break
             return connection
--- a/primroseglade/sidecar/http_messages.py
+++ b/primroseglade/sidecar/http_messages.py
@@ -7,7 +7,7 @@
 
 RawHeaders = list[tuple[bytes, bytes]]
 
-PHRASES = {
+STATUS_LINES = {
     status.value: b"HTTP/1.1 %d %b\r\n" % (status.value, status.phrase.encode())
     for status in HTTPStatus
 }
@@ -19,11 +19,11 @@
     >>> render_status_line(503)
     b'HTTP/1.1 503 Service Unavailable\\r\\n'
     """
-    return PHRASES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status
+    return STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status
 
 
 # RFC 9110, section 8.6: these answers have no body and tell no length.
-WITHOUT_BODY = (PHRASES[204], PHRASES[304])
+BODILESS_STATUS_LINES = (STATUS_LINES[204], STATUS_LINES[304])
 
 
 class Request:
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -10,9 +10,9 @@
 
 # How often idle and unfinished connections are looked for, in seconds; limits on
 # callers are whole seconds.
-SWEEP_SECONDS = 0.5
+TIMEOUT_CHECK_SECONDS = 0.5
 # The same at addresses that only the own machine uses.
-LOCAL_SWEEP_SECONDS = 3.0
+LOCAL_TIMEOUT_CHECK_SECONDS = 3.0
 # New connections that the kernel holds until they are accepted. A full queue drops
 # opening packets, which callers send again only after seconds.
 BACKLOG = 1024
@@ -37,12 +37,12 @@
         address: str,
         handler: Handler,
         get_limits: Callable[[], CallerLimits] = CallerLimits,
-        sweep_seconds: float = SWEEP_SECONDS,
+        timeout_check_seconds: float = TIMEOUT_CHECK_SECONDS,
     ):
         self._address = address
         self._handler = handler
         self._get_limits = get_limits
-        self._sweep_seconds = sweep_seconds
+        self._timeout_check_seconds = timeout_check_seconds
         self.stalled = False
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
@@ -81,10 +81,10 @@
         )
         try:
             while True:
-                await asyncio.sleep(self._sweep_seconds)
+                await asyncio.sleep(self._timeout_check_seconds)
                 now = time.monotonic()
                 for connection in list(self._connections):
-                    connection.sweep(now)
+                    connection.check_timeouts(now)
         finally:
             self._server.close()
 
@@ -114,4 +114,6 @@
 
 def build_local_server(address: str, handler: Handler) -> HttpServer:
     """Return a server for what only the own machine and its operators ask."""
-    return HttpServer(address, handler, sweep_seconds=LOCAL_SWEEP_SECONDS)
+    return HttpServer(
+        address, handler, timeout_check_seconds=LOCAL_TIMEOUT_CHECK_SECONDS
+    )
--- a/primroseglade/sidecar/pipeline.py
+++ b/primroseglade/sidecar/pipeline.py
@@ -54,7 +54,7 @@
         self._exchanges.append(Exchange(request))
         self.size += 1
 
-    def start_next(self, alone: bool = False) -> Exchange | None:
+    def start_next(self, closing: bool = False) -> Exchange | None:
         """Return a request to work on now, None if none may be started.
 
         Args:
@@ -64,7 +64,7 @@
         """
         if self.started == self.size:
             return None
-        if self.started and (alone or not self._may_join()):
+        if self.started and (closing or not self._may_run_concurrently()):
             return None
         exchange = self._exchanges[self.started]
         self.started += 1
@@ -87,10 +87,12 @@
         self.size = 0
         self.started = 0
 
-    def _may_join(self) -> bool:
+    def _may_run_concurrently(self) -> bool:
         """Whether the next request may be worked on beside those under way."""
         if self.started >= MAX_CONCURRENT_REQUESTS:
             return False
-        last = self._exchanges[self.started - 1].request
-        following = self._exchanges[self.started].request
-        return last.method in SAFE_METHODS and following.method in SAFE_METHODS
+        last_started = self._exchanges[self.started - 1].request
+        next_request = self._exchanges[self.started].request
+        return (
+            last_started.method in SAFE_METHODS and next_request.method in SAFE_METHODS
+        )
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -8,24 +8,30 @@
 
 import httptools
 
-from .http_messages import RawHeaders, render_status_line, Reply, Request, WITHOUT_BODY
+from .http_messages import (
+    BODILESS_STATUS_LINES,
+    RawHeaders,
+    render_status_line,
+    Reply,
+    Request,
+)
 from .model import CallerLimits
 from .pipeline import Exchange, Pipeline
 
 # Requests read ahead on one connection before reading pauses.
-READ_AHEAD = 8
+MAX_PIPELINED_REQUESTS = 8
 # Bytes that may wait unsent for a slow caller before its connection is not read.
-WRITE_HIGH_WATER = 256 * 1024
+WRITE_HIGH_WATER_BYTES = 256 * 1024
 # How long a body may take beyond what the operator allows for the head, in seconds.
-BODY_SECONDS = 30.0
+BODY_TIMEOUT_SECONDS = 30.0
 # How long what a caller still sends is read after the last answer, in seconds: several
 # round trips between zones.
-LINGER_SECONDS = 1.0
+LINGER_TIMEOUT_SECONDS = 1.0
 
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
-class Listener(Protocol):
+class ConnectionOwner(Protocol):
     """What a connection needs of the server that accepted it.
 
     Attributes:
@@ -58,10 +64,10 @@
 
     __slots__ = (
         "_body",
-        "_chunk",
-        "_current",
-        "_fresh",
+        "_chunk_bytes",
+        "_error_status",
         "_headers",
+        "_is_new",
         "_lingering",
         "_loop",
         "_method",
@@ -69,41 +75,43 @@
         "_paused",
         "_peer",
         "_pipeline",
+        "_reading_request",
+        "_received_bytes",
         "_server",
-        "_since",
-        "_size",
         "_target",
-        "_too_large",
+        "_timer_start",
         "_transport",
     )
 
-    def __init__(self, server: Listener):
+    def __init__(self, server: ConnectionOwner):
         self._server = server
         self._loop = asyncio.get_running_loop()
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
         self._pipeline = Pipeline()
-        self._current = False
+        self._reading_request = False
         self._lingering = False
         self._paused = False
-        self._fresh = True
-        self._since = time.monotonic()
+        self._is_new = True
+        self._timer_start = time.monotonic()
         self._peer = ""
-        self._too_large = 0
-        self._chunk = 0
-        self._reset()
+        self._error_status = 0
+        self._chunk_bytes = 0
+        self._reset_request()
 
     @property
     def busy(self) -> bool:
         """Whether a request is being read or answered."""
-        return not self._lingering and (self._current or self._pipeline.size > 0)
+        return not self._lingering and (
+            self._reading_request or self._pipeline.size > 0
+        )
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Set the connection's options."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        transport.set_write_buffer_limits(high=WRITE_HIGH_WATER)
+        transport.set_write_buffer_limits(high=WRITE_HIGH_WATER_BYTES)
         peer = transport.get_extra_info("peername")
         self._peer = peer[0] if peer else ""
         self._server.add(self)
@@ -121,27 +129,27 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what came."""
-        if self._too_large or self._lingering:
+        if self._error_status or self._lingering:
             return
-        if not self._current and not self._pipeline.size:
-            self._since = time.monotonic()
-        self._chunk = len(data)
+        if not self._reading_request and not self._pipeline.size:
+            self._timer_start = time.monotonic()
+        self._chunk_bytes = len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._refuse_malformed(400)
+            self._reject(400)
         except httptools.HttpParserError:
-            self._refuse_malformed(self._too_large or 400)
+            self._reject(self._error_status or 400)
             return
-        if self._current and not self._method:
-            self._size += len(data)
-            if self._size > self._server.limits.header_bytes:
-                self._refuse_malformed(431)
+        if self._reading_request and not self._method:
+            self._received_bytes += len(data)
+            if self._received_bytes > self._server.limits.header_bytes:
+                self._reject(431)
 
     def on_message_begin(self) -> None:
         """Parser callback."""
-        self._current = True
-        self._reset()
+        self._reading_request = True
+        self._reset_request()
 
     def on_url(self, url: bytes) -> None:
         """Parser callback."""
@@ -153,10 +161,10 @@
 
     def on_headers_complete(self) -> None:
         """Parser callback."""
-        if self._size + self._chunk > self._server.limits.header_bytes:
+        if self._received_bytes + self._chunk_bytes > self._server.limits.header_bytes:
             # Only then are the headers worth adding up: a body may be in the chunk.
             self._check_head_size()
-        self._size = 0
+        self._received_bytes = 0
         self._method = self._parser.get_method()
         for name, value in self._headers:
             if len(name) == 6 and name.lower() == b"expect":
@@ -166,9 +174,9 @@
     def on_body(self, body: bytes) -> None:
         """Parser callback."""
         self._body.append(body)
-        self._size += len(body)
-        if self._size > self._server.limits.body_bytes:
-            self._too_large = 413
+        self._received_bytes += len(body)
+        if self._received_bytes > self._server.limits.body_bytes:
+            self._error_status = 413
             # Raised through the parser, which stops at it.
             raise ValueError("larger than callers may send")
 
@@ -184,33 +192,35 @@
             self._peer,
             time.monotonic(),
         )
-        self._current = False
+        self._reading_request = False
         self._body = []
         pipeline = self._pipeline
         if pipeline.size and pipeline.closes_connection:
             # The caller itself said that nothing follows.
             return
         pipeline.add(request)
-        if pipeline.size >= READ_AHEAD and self._transport is not None:
+        if pipeline.size >= MAX_PIPELINED_REQUESTS and self._transport is not None:
             self._paused = True
             self._transport.pause_reading()
-        self._start()
+        self._start_requests()
 
-    def sweep(self, now: float) -> None:
+    def check_timeouts(self, now: float) -> None:
         """Close the connection if its caller took too long."""
         limits = self._server.limits
         if self._lingering:
-            if now - self._since > LINGER_SECONDS:
+            if now - self._timer_start > LINGER_TIMEOUT_SECONDS:
                 self.close()
             return
         if self._pipeline.size:
             return
-        if self._current:
+        if self._reading_request:
             # A body may take longer than a head, but not without end.
-            longest = limits.head_timeout + (BODY_SECONDS if self._method else 0.0)
-            if now - self._since > longest:
-                self._refuse_malformed(408)
-        elif now - self._since > limits.idle_timeout:
+            timeout = limits.head_timeout + (
+                BODY_TIMEOUT_SECONDS if self._method else 0.0
+            )
+            if now - self._timer_start > timeout:
+                self._reject(408)
+        elif now - self._timer_start > limits.idle_timeout:
             self.close()
 
     def close(self) -> None:
@@ -223,45 +233,45 @@
         if self._transport is not None:
             self._transport.abort()
 
-    def _reset(self) -> None:
+    def _reset_request(self) -> None:
         self._target = b""
         self._headers: RawHeaders = []
         self._body: list[bytes] = []
-        self._size = 0
+        self._received_bytes = 0
         self._method = b""
 
     def _check_head_size(self) -> None:
         size = len(self._target)
         size += sum(len(name) + len(value) + 4 for name, value in self._headers)
         if size > self._server.limits.header_bytes:
-            self._too_large = 431
+            self._error_status = 431
             raise ValueError("larger than callers may send")
 
-    def _refuse_malformed(self, status: int) -> None:
+    def _reject(self, status: int) -> None:
         """Answer bytes that are no acceptable request, and end the connection."""
-        self._too_large = status
+        self._error_status = status
         if self._pipeline.size:
             # What was asked before is answered first; no further request is read.
             return
         head = render_status_line(status)
         self._write(head + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
-        self._finish()
+        self._close_after_reply()
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None:
             self._transport.write(data)
 
-    def _start(self) -> None:
+    def _start_requests(self) -> None:
         """Start the work on what may be worked on now."""
         pipeline = self._pipeline
         while pipeline.started < pipeline.size:
-            exchange = pipeline.start_next(alone=self._server.stopping)
+            exchange = pipeline.start_next(closing=self._server.stopping)
             if exchange is None:
                 return
-            exchange.task = self._loop.create_task(self._work(exchange))
+            exchange.task = self._loop.create_task(self._handle_request(exchange))
 
-    async def _work(self, exchange: Exchange) -> None:
-        if self._fresh or self._server.stalled:
+    async def _handle_request(self, exchange: Exchange) -> None:
+        if self._is_new or self._server.stalled:
             # Lets the loop read on first. Where a connection was accepted late, or
             # this process stood still, the caller's leaving may be the next thing to
             # be read, and its request must not be passed on.
@@ -272,48 +282,52 @@
             # The loop reports it; the caller must not wait for an answer.
             self.abort()
             raise
-        self._send_answered()
+        self._send_ready_replies()
 
-    def _send_answered(self) -> None:
+    def _send_ready_replies(self) -> None:
         """Send the answers whose turn it is."""
         pipeline = self._pipeline
         while pipeline.size:
             exchange = pipeline.pop_answered()
             if exchange is None:
                 break
-            self._fresh = False
-            self._since = time.monotonic()
+            self._is_new = False
+            self._timer_start = time.monotonic()
             assert exchange.reply is not None
-            if not self._send(exchange.request, exchange.reply):
-                self._finish()
+            if not self._send_reply(exchange.request, exchange.reply):
+                self._close_after_reply()
                 return
-        if not pipeline.size and self._too_large:
-            self._finish()
+        if not pipeline.size and self._error_status:
+            self._close_after_reply()
             return
         if pipeline.started < pipeline.size:
-            self._start()
-        if self._paused and pipeline.size < READ_AHEAD and self._transport is not None:
+            self._start_requests()
+        if (
+            self._paused
+            and pipeline.size < MAX_PIPELINED_REQUESTS
+            and self._transport is not None
+        ):
             self._paused = False
             self._transport.resume_reading()
 
-    def _send(self, request: Request, reply: Reply) -> bool:
+    def _send_reply(self, request: Request, reply: Reply) -> bool:
         """Write an answer and return whether the connection goes on."""
         if not reply.framed:
             self._write(reply.head + reply.body)
             return not reply.close
-        stays = request.keep_alive and not reply.close
+        persistent = request.keep_alive and not reply.close
         if self._server.stopping and not self._pipeline.started:
             # What is at work behind this answer is answered before the end.
-            stays = False
-        connection = b"" if stays else b"Connection: close\r\n"
+            persistent = False
+        connection = b"" if persistent else b"Connection: close\r\n"
         length = b""
-        if not reply.head.startswith(WITHOUT_BODY):
+        if not reply.head.startswith(BODILESS_STATUS_LINES):
             length = b"Content-Length: %d\r\n" % len(reply.body)
         body = b"" if request.method == b"HEAD" else reply.body
         self._write(b"".join((reply.head, length, connection, b"\r\n", body)))
-        return stays
+        return persistent
 
-    def _finish(self) -> None:
+    def _close_after_reply(self) -> None:
         """End the connection so that the caller can read the last answer.
 
         Closed with bytes unread, a connection is reset, and the caller may lose the
@@ -322,7 +336,7 @@
         """
         self._pipeline.cancel()
         self._lingering = True
-        self._since = time.monotonic()
+        self._timer_start = time.monotonic()
         if self._transport is not None and not self._transport.is_closing():
             self._transport.resume_reading()
             self._transport.write_eof()
