--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -33,7 +33,7 @@
         status = 503 if b"refused" in request.target else 200
         return Reply(render_status_line(status), request.target)
 
-    def open(self, *targets: bytes) -> None:
+    def release(self, *targets: bytes) -> None:
         """Let requests be answered."""
         for target in targets:
             self.gates.setdefault(target, asyncio.Event()).set()
@@ -60,7 +60,7 @@
         return int(head.split()[1]), body, b"Connection: close" in head
 
 
-class Bench:
+class Harness:
     """A server and what calls it."""
 
     def __init__(self, server: HttpServer, handler: Handler, address: str):
@@ -74,7 +74,7 @@
 
 
 @contextlib.asynccontextmanager
-async def run_server(stalled: bool = False) -> AsyncIterator[Bench]:
+async def run_server(stalled: bool = False) -> AsyncIterator[Harness]:
     """Run a server whose answers a test lets go."""
     handler = Handler()
     address = find_address()
@@ -83,7 +83,7 @@
     task = asyncio.create_task(server.run())
     await asyncio.sleep(0.05)
     try:
-        yield Bench(server, handler, address)
+        yield Harness(server, handler, address)
     finally:
         task.cancel()
         server.abort()
@@ -97,122 +97,122 @@
             await asyncio.sleep(0.01)
 
 
-async def test_answers_go_back_in_the_order_of_the_requests():
+async def test_responses_are_sent_in_request_order():
     """A caller read the second page in place of the first: both were worked on at
     once, and the second was ready earlier.
     """
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         caller.send(b"/a", b"/b-refused", b"/c")
-        await wait_until(lambda: len(bench.handler.started) == 3)
-        bench.handler.open(b"/c", b"/b-refused")
+        await wait_until(lambda: len(harness.handler.started) == 3)
+        harness.handler.release(b"/c", b"/b-refused")
         await asyncio.sleep(0.05)
-        bench.handler.open(b"/a")
+        harness.handler.release(b"/a")
         assert await caller.read() == (200, b"/a", False)
         assert await caller.read() == (503, b"/b-refused", False)
         assert await caller.read() == (200, b"/c", False)
 
 
-async def test_what_changes_something_waits_for_what_was_sent_before():
+async def test_unsafe_request_waits_for_earlier_requests():
     """A booking that was sent behind a look-up ran first, and changed what that saw."""
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         caller.send(b"/look")
         caller.send(b"/book", method=b"POST")
         caller.send(b"/after")
         await asyncio.sleep(0.05)
-        assert bench.handler.started == [b"/look"]
-        bench.handler.open(b"/look")
+        assert harness.handler.started == [b"/look"]
+        harness.handler.release(b"/look")
         assert (await caller.read())[1] == b"/look"
-        await wait_until(lambda: bench.handler.started == [b"/look", b"/book"])
-        bench.handler.open(b"/book", b"/after")
+        await wait_until(lambda: harness.handler.started == [b"/look", b"/book"])
+        harness.handler.release(b"/book", b"/after")
         assert (await caller.read())[1] == b"/book"
         assert (await caller.read())[1] == b"/after"
 
 
-async def test_a_stop_answers_what_is_at_work_and_starts_nothing_behind_it():
+async def test_shutdown_answers_started_requests_and_starts_no_others():
     """A node was stopped while a caller had three requests on one connection. Two were
     at work: the first answer ended the connection, and the caller saw the second one
     cut off. The third may not be started, as the caller sends it again elsewhere.
     """
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         caller.send(b"/a", b"/b")
-        await wait_until(lambda: len(bench.handler.started) == 2)
-        bench.server.request_connection_close()
+        await wait_until(lambda: len(harness.handler.started) == 2)
+        harness.server.request_connection_close()
         caller.send(b"/late")
         await asyncio.sleep(0.05)
-        bench.handler.open(b"/a", b"/b", b"/late")
+        harness.handler.release(b"/a", b"/b", b"/late")
         assert await caller.read() == (200, b"/a", False)
         assert await caller.read() == (200, b"/b", True)
         assert await caller.reader.read() == b""
-        assert bench.handler.started == [b"/a", b"/b"]
+        assert harness.handler.started == [b"/a", b"/b"]
 
 
-async def test_the_last_answer_is_not_lost_with_what_was_sent_behind_it():
+async def test_unread_pipelined_requests_do_not_reset_the_last_response():
     """A node that stopped closed connections with requests unread on them. Their
     callers saw a reset and not the answer that had been written just before.
     """
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         caller.send(b"/a")
-        await wait_until(lambda: bench.handler.started)
-        bench.server.request_connection_close()
-        bench.handler.open(b"/a")
+        await wait_until(lambda: harness.handler.started)
+        harness.server.request_connection_close()
+        harness.handler.release(b"/a")
         for number in range(200):
             caller.send(b"/behind-%d" % number)
         await asyncio.sleep(0.2)
         assert await caller.read() == (200, b"/a", True)
-        assert bench.handler.started == [b"/a"]
-        assert not bench.server.busy
+        assert harness.handler.started == [b"/a"]
+        assert not harness.server.busy
 
 
-async def test_all_work_ends_when_the_caller_leaves_midway():
+async def test_disconnect_cancels_all_requests_of_the_connection():
     """Backend servers went on working for a caller that had left: only the first of
     its requests was cancelled.
     """
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         caller.send(b"/a", b"/b")
-        await wait_until(lambda: len(bench.handler.started) == 2)
+        await wait_until(lambda: len(harness.handler.started) == 2)
         caller.writer.transport.abort()
-        await wait_until(lambda: sorted(bench.handler.cancelled) == [b"/a", b"/b"])
+        await wait_until(lambda: sorted(harness.handler.cancelled) == [b"/a", b"/b"])
 
 
-async def test_no_connection_takes_the_place_of_many():
+async def test_concurrent_requests_of_a_connection_are_limited():
     """One caller that sent a hundred requests ahead had them all worked on at once."""
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         targets = [b"/%d" % number for number in range(3 * MAX_CONCURRENT_REQUESTS)]
         caller.send(*targets)
         await asyncio.sleep(0.05)
-        assert bench.handler.started == targets[:MAX_CONCURRENT_REQUESTS]
-        bench.handler.open(*targets)
+        assert harness.handler.started == targets[:MAX_CONCURRENT_REQUESTS]
+        harness.handler.release(*targets)
         assert [(await caller.read())[1] for _ in targets] == targets
 
 
-async def test_bytes_that_are_no_request_end_the_connection_after_the_answers():
+async def test_malformed_bytes_close_the_connection_after_pending_responses():
     """What was asked before is answered; nothing is read behind broken bytes."""
-    async with run_server() as bench:
-        caller = await bench.call()
+    async with run_server() as harness:
+        caller = await harness.call()
         caller.send(b"/a")
-        await wait_until(lambda: bench.handler.started)
+        await wait_until(lambda: harness.handler.started)
         caller.writer.write(b"\x00\x01 nonsense\r\n\r\n")
         caller.send(b"/b")
         await asyncio.sleep(0.05)
-        bench.handler.open(b"/a")
+        harness.handler.release(b"/a")
         assert (await caller.read())[:2] == (200, b"/a")
         assert await caller.reader.read() == b""
-        assert bench.handler.started == [b"/a"]
+        assert harness.handler.started == [b"/a"]
 
 
-async def test_a_node_that_stops_answers_pipelined_calls(mesh: Mesh):
+async def test_stopping_node_answers_pipelined_requests(mesh: Mesh):
     """The same through a whole node: what it passed on is answered across its stop."""
     for place in mesh.places[1:]:
         place.backend.work = 0.3
-    front = mesh.places[0]
+    node = mesh.places[0]
     reader, writer = await asyncio.open_connection(
-        *parse_address(front.settings.outbound)
+        *parse_address(node.settings.outbound)
     )
     caller = Caller(reader, writer)
     for number in range(2):
@@ -222,13 +222,13 @@
             b"Authorization: Token key-1\r\n\r\n" % (number, number)
         )
     await asyncio.sleep(0.15)
-    front.stopping.set()
+    node.stopping.set()
     first, second = await caller.read(), await caller.read()
     assert (first[0], first[2]) == (200, False)
     assert (second[0], second[2]) == (200, True)
 
 
-async def test_a_request_after_another_on_one_connection_is_still_served(mesh: Mesh):
+async def test_sequential_requests_are_served_on_one_connection(mesh: Mesh):
     """One after the other, as most callers do."""
     for number in range(3):
         answer = await ask(mesh.places[0], "/deep/a", f"one-{number}")
@@ -241,7 +241,7 @@
 
 
 @pytest.mark.parametrize("alone", [True, False])
-def test_nothing_joins_where_the_connection_is_to_end(alone: bool):
+def test_no_concurrent_start_on_a_closing_connection(alone: bool):
     """Of two look-ups the second is started beside the first, unless it would be
     thrown away with the connection.
     """
@@ -253,28 +253,28 @@
     assert pipeline.started == (1 if alone else 2)
 
 
-async def test_a_request_whose_caller_has_left_already_is_not_begun():
+async def test_request_of_a_disconnected_caller_is_not_started():
     """A node without processor time accepted connections seconds after they had been
     opened. Their callers had left, but that was to be read only after the requests,
     which were passed on to backend servers meanwhile.
     """
-    async with run_server() as bench:
+    async with run_server() as harness:
         for _ in range(5):
-            with socket.create_connection(parse_address(bench.address)) as caller:
+            with socket.create_connection(parse_address(harness.address)) as caller:
                 caller.sendall(b"GET /left HTTP/1.1\r\nHost: a\r\n\r\n")
         await asyncio.sleep(0.2)
-        assert bench.handler.started == []
+        assert harness.handler.started == []
 
 
-async def test_a_kept_connection_of_a_caller_that_left_is_read_to_its_end():
+async def test_disconnect_on_a_reused_connection_is_seen_after_a_stall():
     """The same on a connection that had served before, at a node that stood still."""
-    async with run_server(stalled=True) as bench:
-        bench.handler.open(b"/before")
-        with socket.create_connection(parse_address(bench.address)) as caller:
+    async with run_server(stalled=True) as harness:
+        harness.handler.release(b"/before")
+        with socket.create_connection(parse_address(harness.address)) as caller:
             caller.setblocking(False)
             loop = asyncio.get_running_loop()
             await loop.sock_sendall(caller, b"GET /before HTTP/1.1\r\nHost: a\r\n\r\n")
             assert await loop.sock_recv(caller, 1000)
             caller.send(b"GET /left HTTP/1.1\r\nHost: a\r\n\r\n")
         await asyncio.sleep(0.2)
-        assert bench.handler.started == [b"/before"]
+        assert harness.handler.started == [b"/before"]
--- a/tests/test_mesh_resets.py
+++ b/tests/test_mesh_resets.py
@@ -11,11 +11,11 @@
 from primroseglade.sidecar.http_client import ConnectionPool, ExchangeError
 
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-PARTIAL = b"HTTP/1.1 200 OK\r\nX-Kind: unframed\r\n\r\nhalf of it"
+UNFRAMED_RESPONSE = b"HTTP/1.1 200 OK\r\nX-Kind: unframed\r\n\r\nhalf of it"
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)
 
 
-class HalfServer:
+class TruncatingServer:
     """Answers one request without a length, and ends the connection."""
 
     def __init__(self, reset: bool):
@@ -35,33 +35,33 @@
     def _serve(self) -> None:
         connection, _ = self._listener.accept()
         connection.recv(1000)
-        connection.sendall(PARTIAL)
+        connection.sendall(UNFRAMED_RESPONSE)
         if self._reset:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
         connection.close()
 
 
 @pytest.mark.parametrize("busy", [0.0, 0.2])
-async def test_a_reset_within_an_answer_without_length_is_no_answer(busy: float):
+async def test_reset_within_an_unframed_response_is_an_error(busy: float):
     """A backend server crashed within an answer that ends with its connection. The
     node was busy in that moment, found data and reset in one turn of its loop, and
     handed half of an answer on as a whole one.
     """
-    server = HalfServer(reset=True)
+    server = TruncatingServer(reset=True)
     connection = await ConnectionPool(server.address, 1.0).acquire()
     asyncio.get_running_loop().call_later(0.0, time.sleep, busy)
-    with pytest.raises(ExchangeError) as caught:
+    with pytest.raises(ExchangeError) as error_info:
         await connection.exchange(REQUEST)
-    assert caught.value.sent
+    assert error_info.value.sent
     server.close()
 
 
 @pytest.mark.parametrize("busy", [0.0, 0.2])
-async def test_an_answer_without_length_ends_with_its_connection(busy: float):
+async def test_unframed_response_ends_with_its_connection(busy: float):
     """An ordinary end makes it whole."""
-    server = HalfServer(reset=False)
+    server = TruncatingServer(reset=False)
     connection = await ConnectionPool(server.address, 1.0).acquire()
     asyncio.get_running_loop().call_later(0.0, time.sleep, busy)
-    answer = await connection.exchange(REQUEST)
-    assert answer.body == b"half of it"
+    response = await connection.exchange(REQUEST)
+    assert response.body == b"half of it"
     server.close()
