--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -1,7 +1,8 @@
-"""HTTP/1.1 towards one address: an exchange that tells what may have happened.
+"""HTTP/1.1 client for one address.
 
-It is the project's own because of what it must tell apart: an answer that is whole
-from one that broke off, and the answer to this request from a late one to another.
+Unlike common client libraries, it distinguishes a complete response from a truncated
+one, the response to this request from a late response to another, and a request that
+was not sent from one that the server may have received.
 """
 
 import asyncio
@@ -15,28 +16,30 @@
 
 RawHeaders = list[tuple[bytes, bytes]]
 
-# A connection whose other end lost track of it takes data without acknowledging.
-# Longer than two retransmissions in one site, shorter than most callers wait.
+# How long sent data may stay unacknowledged before the kernel closes the connection,
+# whose peer may have vanished. Longer than two retransmissions within a site, shorter
+# than most callers' deadlines.
 UNACKNOWLEDGED_MS = 1500
 KEEP_ALIVE_IDLE_SECONDS = 1
-# Idle seconds after which a connection is not used again where its server did not
-# say how long it keeps one; usual servers close after 5 s or more.
+# For servers that send no Keep-Alive header; common servers close idle connections
+# after 5 s or more.
 DEFAULT_IDLE_TIMEOUT_SECONDS = 4.0
-# A server closes at the second that it told: one second for what is on the way.
+# A server closes a connection as soon as its announced timeout expires, so reuse stops
+# one second earlier to allow for a request on its way.
 IDLE_TIMEOUT_MARGIN_SECONDS = 1.0
-# What may run only once is not sent on a connection that was idle for longer: the
-# server may be closing it, and the loss would be known neither way.
+# Non-idempotent requests do not reuse a connection that was idle for longer: the server
+# may be closing it, and it would be unknown whether the request ran.
 NON_IDEMPOTENT_MAX_IDLE_SECONDS = 2.0
 MAX_RESPONSE_BYTES = 64 * 1024 * 1024
 
 
 class ExchangeError(Exception):
-    """No whole answer came.
+    """A request that got no complete response.
 
     Args:
-        detail: What happened.
-        sent: Whether the request may have reached the other end.
-        refused: Whether nobody listens at the address.
+        detail: Description of the failure.
+        sent: Whether the request may have reached the server.
+        refused: Whether the connection was refused: no process listens there.
     """
 
     def __init__(self, detail: str, sent: bool, refused: bool = False):
@@ -47,7 +50,7 @@
 
 
 class Answer:
-    """A whole answer."""
+    """A complete response of a server."""
 
     __slots__ = ("body", "headers", "status")
 
@@ -61,7 +64,12 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection, one request at a time."""
+    """The client side of one connection; carries one request at a time.
+
+    Attributes:
+        idle_since: ``time.monotonic()`` when it was last returned to the pool.
+        idle_timeout: Idle seconds after which it must not be reused.
+    """
 
     __slots__ = (
         "_accept",
@@ -96,7 +104,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether it may carry another request."""
+        """Whether the connection may carry another request."""
         transport = self._transport
         return (
             self._reusable
@@ -106,46 +114,45 @@
         )
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Set the options that find a dead peer."""
+        """Set the socket options that detect a dead peer."""
         self._transport = transport
         set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS)
 
     def eof_received(self) -> bool:
-        """End an answer that has no length, and close."""
+        """Complete or fail a response that is delimited by the connection's end."""
         if self._delimited_by_close and self._response is not None:
             self._reusable = False
             if self._transport is not None and was_reset(self._transport):
-                # Not whole: only the end of the connection tells its length, and the
-                # other end broke off.
-                detail = "the connection was reset within an answer"
+                # Only an orderly close marks the end of such a response.
+                detail = "connection reset before the end of the response"
                 self._fail(ExchangeError(detail, sent=True))
             else:
                 self._complete()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what waits for an answer."""
+        """Fail the request that waits for a response."""
         self._transport = None
-        text = str(exc) if exc else "closed by the other end"
-        self._fail(ExchangeError(f"the connection was lost: {text}", sent=True))
+        text = str(exc) if exc else "closed by the server"
+        self._fail(ExchangeError(f"connection lost: {text}", sent=True))
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         if self._pending is None:
-            # Bytes that no request asked for: whatever they are, the next answer on
-            # this connection could not be told from them.
+            # Bytes without a request: a later response could not be distinguished
+            # from them.
             self.close()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._fail(ExchangeError(f"not an HTTP answer: {error}", sent=True))
+            self._fail(ExchangeError(f"malformed HTTP response: {error}", sent=True))
             self.close()
 
     def on_message_begin(self) -> None:
-        """Parser callback."""
+        """Start a new response (httptools callback)."""
         if self._pending is None:
-            # A second answer to one request.
+            # A second response to one request.
             self._reusable = False
         self._response = Answer(0, [])
         self._chunks = []
@@ -153,12 +160,12 @@
         self._delimited_by_close = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback."""
+        """Add a header (httptools callback)."""
         assert self._response is not None
         self._response.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Parser callback."""
+        """Determine framing and reuse of the connection (httptools callback)."""
         assert self._response is not None
         self._response.status = self._parser.get_status_code()
         framed = self._response.status in (204, 304) or self._response.status < 200
@@ -172,20 +179,24 @@
         if not framed or not self._parser.should_keep_alive():
             self._reusable = False
         if self._head_only and self._response.status >= 200:
-            # The parser waits for a body that a HEAD's answer does not have.
+            # The parser waits for a body, which a response to HEAD does not have.
             self._reusable = False
             self._complete()
 
     def on_body(self, body: bytes) -> None:
-        """Parser callback."""
+        """Buffer a part of the body, up to the limit (httptools callback)."""
         self._chunks.append(body)
         self._body_bytes += len(body)
         if self._body_bytes > MAX_RESPONSE_BYTES:
-            self._fail(ExchangeError("an answer larger than is held", sent=True))
+            self._fail(
+                ExchangeError(
+                    f"response body exceeds {MAX_RESPONSE_BYTES} bytes", sent=True
+                )
+            )
             self.close()
 
     def on_message_complete(self) -> None:
-        """Parser callback."""
+        """Deliver a complete final response (httptools callback)."""
         if self._response is not None and self._response.status >= 200:
             self._complete()
 
@@ -195,19 +206,19 @@
         accept: ResponseFilter | None = None,
         head_only: bool = False,
     ) -> Answer:
-        """Send a whole request and wait for its whole answer.
+        """Send a request and return its complete response.
 
         Args:
             request: Head and body.
-            accept: Tells whether an answer is the one to this request; others are
-                passed over, and the connection is not used again.
-            head_only: Whether the answer has no body, as to HEAD.
+            accept: Returns whether a response belongs to this request. Others are
+                skipped, and the connection is not reused.
+            head_only: Whether the request is a HEAD, whose response has no body.
 
         Raises:
-            ExchangeError: There is no whole answer.
+            ExchangeError: No complete response was received.
         """
         if self._transport is None or self._transport.is_closing():
-            raise ExchangeError("the connection was closed before", sent=False)
+            raise ExchangeError("connection closed before the request", sent=False)
         pending = self._pending = self._loop.create_future()
         self._accept = accept
         self._head_only = head_only
@@ -215,15 +226,15 @@
         try:
             return await pending
         except asyncio.CancelledError:
-            # What the other end still reads or sends would mix with the next call;
-            # it takes the closed connection as a cancellation.
+            # Bytes still in transit would mix with the next request. The server takes
+            # the closed connection as a cancellation.
             self.close()
             raise
         finally:
             self._pending = None
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once, dropping unsent bytes."""
         self._reusable = False
         if self._transport is not None:
             self._transport.abort()
@@ -246,8 +257,7 @@
         response.body = chunks[0] if len(chunks) == 1 else b"".join(chunks)
         self._chunks = []
         if self._accept is not None and not self._accept(response):
-            # A late second answer to an earlier request. The one to this request
-            # follows it, and is waited for.
+            # A late response to an earlier request; keep waiting for the right one.
             self._reusable = False
             return
         pending.set_result(response)
@@ -259,11 +269,11 @@
 
 
 class ConnectionPool:
-    """Kept connections to one address.
+    """Pool of persistent connections to one address.
 
     Args:
         address: ``IP:PORT``.
-        connect_timeout: Seconds to open one.
+        connect_timeout: Seconds to open a connection.
     """
 
     def __init__(self, address: str, connect_timeout: float):
@@ -272,14 +282,15 @@
         self._idle: list[ClientConnection] = []
 
     async def acquire(self, once: bool = False) -> ClientConnection:
-        """Return a connection that carries no request.
+        """Return an idle connection, or open one.
 
         Args:
-            once: Whether the request must not run twice, nor be lost with a
-                connection that is being closed.
+            non_idempotent: Whether the request must not run twice. A connection that
+                the server may be closing is then not reused, as a lost request could
+                not be retried.
 
         Raises:
-            ExchangeError: None could be opened; nothing was sent.
+            ExchangeError: No connection could be opened; nothing was sent.
         """
         now = time.monotonic()
         while self._idle:
@@ -295,7 +306,7 @@
         return await self._dial()
 
     def release(self, connection: ClientConnection) -> None:
-        """Give a connection back; it is kept if it can carry another request."""
+        """Return a connection to the pool, or close it if it cannot be reused."""
         if connection.reusable:
             connection.idle_since = time.monotonic()
             self._idle.append(connection)
@@ -303,7 +314,7 @@
             connection.close()
 
     def close_idle(self) -> None:
-        """Close the connections that carry nothing."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().close()
 
@@ -315,7 +326,7 @@
                     ClientConnection, self._host, self._port
                 )
         except (TimeoutError, OSError) as error:
-            detail = f"no connection: {str(error) or 'timed out'}"
+            detail = f"cannot connect: {str(error) or 'timed out'}"
             refused = isinstance(error, ConnectionRefusedError)
             raise ExchangeError(detail, sent=False, refused=refused) from error
         return connection
--- a/primroseglade/sidecar/http_messages.py
+++ b/primroseglade/sidecar/http_messages.py
@@ -1,8 +1,8 @@
-"""Requests of callers and answers to them, as the HTTP server reads and writes them."""
+"""Requests and responses of the HTTP server."""
 
 from http import HTTPStatus
 
-# Statuses from here on are failures of the backend server, HTTP's server errors.
+# Statuses from here on count as failures of the backend server (HTTP server errors).
 MIN_FAILURE_STATUS = 500
 
 RawHeaders = list[tuple[bytes, bytes]]
@@ -14,20 +14,30 @@
 
 
 def render_status_line(status: int) -> bytes:
-    """Return an answer's first line.
+    r"""Return the status line of a response, with its line end.
 
     >>> render_status_line(503)
-    b'HTTP/1.1 503 Service Unavailable\\r\\n'
+    b'HTTP/1.1 503 Service Unavailable\r\n'
     """
     return STATUS_LINES.get(status) or b"HTTP/1.1 %d Unknown\r\n" % status
 
 
-# RFC 9110, section 8.6: these answers have no body and tell no length.
+# Responses without a body and without Content-Length (RFC 9110, section 8.6).
 BODILESS_STATUS_LINES = (STATUS_LINES[204], STATUS_LINES[304])
 
 
 class Request:
-    """A whole request of a caller."""
+    """A complete request of a caller.
+
+    Args:
+        method: Method name.
+        target: Request target, as sent.
+        headers: Names and values, as sent.
+        body: The complete body.
+        keep_alive: Whether the connection may stay open after the response.
+        peer: IP address of the caller; empty if unknown.
+        arrived_at: ``time.monotonic()`` when the request was complete.
+    """
 
     __slots__ = (
         "arrived_at",
@@ -59,14 +69,15 @@
 
 
 class Reply:
-    """An answer.
+    """A response to a caller.
 
     Args:
-        head: Status line and headers, but for those of this connection.
-        body: The whole body.
-        close: Whether the connection ends with it.
-        framed: Whether its length and the end of the head are to be added; stand-ins
-            of faulty servers write their own.
+        head: Status line and headers, without the headers that the server adds.
+        body: The complete body.
+        close: Whether to close the connection after it.
+        framed: Whether the server adds ``Content-Length``, ``Connection`` and the empty
+            line after the head. False for stand-ins of faulty servers, whose head and
+            body are written as they are.
     """
 
     __slots__ = ("body", "close", "framed", "head")
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -1,4 +1,4 @@
-"""Listens for callers, and closes the connections that stand idle."""
+"""HTTP/1.1 server that closes idle and timed-out connections."""
 
 import asyncio
 import time
@@ -8,28 +8,27 @@
 from .model import CallerLimits
 from .server_connection import Handler, ServerConnection
 
-# How often idle and unfinished connections are looked for, in seconds; limits on
-# callers are whole seconds.
+# Interval of timeout checks; the timeouts themselves are whole seconds.
 TIMEOUT_CHECK_SECONDS = 0.5
-# The same at addresses that only the own machine uses.
+# The same for servers that only processes on this machine call.
 LOCAL_TIMEOUT_CHECK_SECONDS = 3.0
-# New connections that the kernel holds until they are accepted. A full queue drops
-# opening packets, which callers send again only after seconds.
+# Connections that the kernel queues until they are accepted. A full queue drops SYN
+# packets, which callers retransmit only after seconds.
 BACKLOG = 1024
 
 
 class HttpServer:
-    """Listens on one address.
+    """Accepts connections on one address and tracks them.
 
     Args:
         address: ``IP:PORT``.
-        handler: Answers one request; cancelled when the caller leaves.
-        get_limits: Returns the bounds on callers in force.
-        sweep_seconds: How often what stands idle is looked for.
+        handler: Answers one request; cancelled when the caller disconnects.
+        get_limits: Returns the current limits on requests and idle connections.
+        timeout_check_seconds: Interval of timeout checks.
 
     Attributes:
-        stalled: Whether this process stood still a moment ago, so that what it reads is
-            old.
+        stalled: Whether the event loop was blocked a moment ago, so that the input it
+            reads now may be old.
     """
 
     def __init__(
@@ -50,26 +49,26 @@
 
     @property
     def stopping(self) -> bool:
-        """Whether answers ask callers to open no further request here."""
+        """Whether connections are to be closed after the requests in flight."""
         return self._stopping
 
     @property
     def limits(self) -> CallerLimits:
-        """The bounds on callers in force."""
+        """The current limits on requests and idle connections."""
         return self._get_limits()
 
     @property
     def handler(self) -> Handler:
-        """Answers one request."""
+        """The coroutine function that answers one request."""
         return self._handler
 
     @property
     def busy(self) -> int:
-        """Connections on which a request is being read or answered."""
+        """Number of connections on which a request is being read or answered."""
         return sum(connection.busy for connection in self._connections)
 
     async def run(self) -> None:
-        """Listen and close what stands idle, until cancelled."""
+        """Accept connections and check their timeouts, until cancelled."""
         loop = asyncio.get_running_loop()
         host, port = parse_address(self._address)
         self._server = await loop.create_server(
@@ -89,31 +88,31 @@
             self._server.close()
 
     def request_connection_close(self) -> None:
-        """Ask callers with each answer to go elsewhere: the process stops."""
+        """Close connections after the requests in flight, for graceful shutdown."""
         self._stopping = True
 
     def close_idle(self) -> None:
-        """Close the connections that carry no request."""
+        """Close the connections without a request in flight."""
         for connection in list(self._connections):
             if not connection.busy:
                 connection.close()
 
     def abort(self) -> None:
-        """Cut all connections."""
+        """Close all connections at once, dropping unsent bytes."""
         for connection in list(self._connections):
             connection.abort()
 
     def add(self, connection: ServerConnection) -> None:
-        """Note an open connection."""
+        """Register an open connection."""
         self._connections.add(connection)
 
     def discard(self, connection: ServerConnection) -> None:
-        """Forget a closed connection."""
+        """Unregister a closed connection."""
         self._connections.discard(connection)
 
 
 def build_local_server(address: str, handler: Handler) -> HttpServer:
-    """Return a server for what only the own machine and its operators ask."""
+    """Return a server for processes on this machine and its operators."""
     return HttpServer(
         address, handler, timeout_check_seconds=LOCAL_TIMEOUT_CHECK_SECONDS
     )
--- a/primroseglade/sidecar/pipeline.py
+++ b/primroseglade/sidecar/pipeline.py
@@ -1,8 +1,8 @@
-"""The requests of one connection that wait for an answer, in the order they came.
+"""HTTP/1.1 pipelining: the unanswered requests of one connection, in order of arrival.
 
 Callers may send further requests before the first is answered (RFC 9112, section
-9.3.2). Those that change nothing are worked on at the same time; answers go back in the
-order of the requests. It needs no network.
+9.3.2). Requests with safe methods are handled concurrently; responses are sent in the
+order of the requests. This module does no I/O.
 """
 
 import asyncio
@@ -10,15 +10,14 @@
 
 from .http_messages import Reply, Request
 
-# Methods that change nothing, so that several requests may be worked on at once.
+# Methods without side effects: consecutive requests with them may run concurrently.
 SAFE_METHODS = frozenset({b"GET", b"HEAD", b"OPTIONS", b"TRACE"})
-# Requests of one connection worked on at once. More would let a caller with one
-# connection take the place of many.
+# Per connection, so that a caller with one connection cannot use the capacity of many.
 MAX_CONCURRENT_REQUESTS = 4
 
 
 class Exchange:
-    """A request, and its answer once there is one."""
+    """A request, and its response once it is ready."""
 
     __slots__ = ("reply", "request", "task")
 
@@ -29,12 +28,12 @@
 
 
 class Pipeline:
-    """What is to be started, what is under way, and what may be sent.
+    """The queue of unanswered requests of one connection.
 
     Attributes:
-        size: Requests that are not answered yet.
-        started: Those of them that are worked on, or whose answer waits for an
-            earlier one.
+        size: Number of requests whose response has not been taken for sending.
+        started: How many of them have been started. Their handlers are running, or
+            their responses wait for the response to an earlier request.
     """
 
     __slots__ = ("_exchanges", "size", "started")
@@ -46,21 +45,21 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the last request asked for the connection to end after it."""
+        """Whether the last request asked to close the connection after it."""
         return bool(self._exchanges) and not self._exchanges[-1].request.keep_alive
 
     def add(self, request: Request) -> None:
-        """Take in a request."""
+        """Append a request that has been read."""
         self._exchanges.append(Exchange(request))
         self.size += 1
 
     def start_next(self, closing: bool = False) -> Exchange | None:
-        """Return a request to work on now, None if none may be started.
+        """Mark the next request as started and return it, None if none may start.
 
         Args:
-            alone: Whether none may be started behind another: the connection is to
-                end with the next answer, and callers take what was sent behind that
-                answer as not read.
+            closing: Whether the connection is to be closed. Then no request starts
+                while another is in flight: the connection closes after the responses
+                to started requests, and callers treat later requests as not read.
         """
         if self.started == self.size:
             return None
@@ -71,7 +70,7 @@
         return exchange
 
     def pop_answered(self) -> Exchange | None:
-        """Return the first request if it has its answer, and forget it."""
+        """Remove and return the first request if its response is ready, else None."""
         if not self._exchanges or self._exchanges[0].reply is None:
             return None
         self.size -= 1
@@ -79,7 +78,7 @@
         return self._exchanges.popleft()
 
     def cancel(self) -> None:
-        """End the work on all requests, and forget them."""
+        """Cancel the handlers of all requests and remove the requests."""
         for exchange in self._exchanges:
             if exchange.task is not None:
                 exchange.task.cancel()
@@ -88,7 +87,7 @@
         self.started = 0
 
     def _may_run_concurrently(self) -> bool:
-        """Whether the next request may be worked on beside those under way."""
+        """Whether the next request may run beside those already started."""
         if self.started >= MAX_CONCURRENT_REQUESTS:
             return False
         last_started = self._exchanges[self.started - 1].request
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on one connection of a caller: requests are read, answered, and timed."""
+"""The server side of one HTTP/1.1 connection: parsing, pipelining and timeouts."""
 
 import asyncio
 import socket
@@ -18,49 +18,54 @@
 from .model import CallerLimits
 from .pipeline import Exchange, Pipeline
 
-# Requests read ahead on one connection before reading pauses.
+# Unanswered requests on one connection at which reading pauses.
 MAX_PIPELINED_REQUESTS = 8
-# Bytes that may wait unsent for a slow caller before its connection is not read.
+# Write buffer limit of a connection, for callers that read slowly.
 WRITE_HIGH_WATER_BYTES = 256 * 1024
-# How long a body may take beyond what the operator allows for the head, in seconds.
+# Time to receive a body, on top of the operator's limit for the head.
 BODY_TIMEOUT_SECONDS = 30.0
-# How long what a caller still sends is read after the last answer, in seconds: several
-# round trips between zones.
+# How long input is read and dropped after the last response: several round trips
+# between zones.
 LINGER_TIMEOUT_SECONDS = 1.0
 
 Handler = Callable[[Request], Awaitable[Reply]]
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the server that accepted it.
+    """The part of the server that its connections use.
 
     Attributes:
-        stalled: Whether this process stood still, so that what it reads is old.
+        stalled: Whether the event loop was blocked a moment ago, so that the input it
+            reads now may be old.
     """
 
     stalled: bool
 
     @property
     def stopping(self) -> bool:
-        """Whether connections end with their next answer."""
+        """Whether connections are to be closed after the requests in flight."""
 
     @property
     def limits(self) -> CallerLimits:
-        """The bounds on callers in force."""
+        """The current limits on requests and idle connections."""
 
     @property
     def handler(self) -> Handler:
-        """Answers one request."""
+        """The coroutine function that answers one request."""
 
     def add(self, connection: "ServerConnection") -> None:
-        """Note an open connection."""
+        """Register an open connection."""
 
     def discard(self, connection: "ServerConnection") -> None:
-        """Forget a closed connection."""
+        """Unregister a closed connection."""
 
 
 class ServerConnection(asyncio.Protocol):
-    """One connection of a caller."""
+    """The server side of one connection.
+
+    Args:
+        server: The server that accepted it.
+    """
 
     __slots__ = (
         "_body",
@@ -107,7 +112,7 @@
         )
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Set the connection's options."""
+        """Set socket options and register with the server."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -117,18 +122,18 @@
         self._server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Give up what the caller no longer waits for."""
+        """Unregister, and cancel the requests that the caller no longer waits for."""
         self._transport = None
         self._server.discard(self)
         self._pipeline.cancel()
 
     def eof_received(self) -> bool:
-        """Treat a caller that stops sending as one that left."""
+        """Treat a half-closed connection as a caller that disconnected."""
         self._pipeline.cancel()
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes, and reject a head over the size limit."""
         if self._error_status or self._lingering:
             return
         if not self._reading_request and not self._pipeline.size:
@@ -147,22 +152,25 @@
                 self._reject(431)
 
     def on_message_begin(self) -> None:
-        """Parser callback."""
+        """Start a new request (httptools callback)."""
         self._reading_request = True
         self._reset_request()
 
     def on_url(self, url: bytes) -> None:
-        """Parser callback."""
+        """Append to the request target (httptools callback)."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback."""
+        """Add a header (httptools callback)."""
         self._headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Parser callback."""
+        """Check the head's size and answer ``Expect: 100-continue``.
+
+        This is an httptools callback.
+        """
         if self._received_bytes + self._chunk_bytes > self._server.limits.header_bytes:
-            # Only then are the headers worth adding up: a body may be in the chunk.
+            # The chunk may also hold body bytes, so the head is measured exactly.
             self._check_head_size()
         self._received_bytes = 0
         self._method = self._parser.get_method()
@@ -172,16 +180,20 @@
                     self._write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Parser callback."""
+        """Buffer a part of the body (httptools callback).
+
+        Raises:
+            ValueError: The body exceeds the size limit.
+        """
         self._body.append(body)
         self._received_bytes += len(body)
         if self._received_bytes > self._server.limits.body_bytes:
             self._error_status = 413
-            # Raised through the parser, which stops at it.
-            raise ValueError("larger than callers may send")
+            # The parser stops and raises HttpParserError in data_received.
+            raise ValueError("request body exceeds the size limit")
 
     def on_message_complete(self) -> None:
-        """Parser callback."""
+        """Queue a complete request, and start it if possible (httptools callback)."""
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
         request = Request(
             self._method,
@@ -196,7 +208,7 @@
         self._body = []
         pipeline = self._pipeline
         if pipeline.size and pipeline.closes_connection:
-            # The caller itself said that nothing follows.
+            # An earlier request said "Connection: close": ignore what follows it.
             return
         pipeline.add(request)
         if pipeline.size >= MAX_PIPELINED_REQUESTS and self._transport is not None:
@@ -205,7 +217,11 @@
         self._start_requests()
 
     def check_timeouts(self, now: float) -> None:
-        """Close the connection if its caller took too long."""
+        """Close the connection if the caller exceeded a timeout.
+
+        Args:
+            now: Current ``time.monotonic()``.
+        """
         limits = self._server.limits
         if self._lingering:
             if now - self._timer_start > LINGER_TIMEOUT_SECONDS:
@@ -214,7 +230,7 @@
         if self._pipeline.size:
             return
         if self._reading_request:
-            # A body may take longer than a head, but not without end.
+            # The head has been read if the method is known.
             timeout = limits.head_timeout + (
                 BODY_TIMEOUT_SECONDS if self._method else 0.0
             )
@@ -224,12 +240,12 @@
             self.close()
 
     def close(self) -> None:
-        """Close when all answers are written."""
+        """Close the connection after buffered responses are written."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Cut it."""
+        """Close the connection at once, dropping unsent bytes."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -245,13 +261,18 @@
         size += sum(len(name) + len(value) + 4 for name, value in self._headers)
         if size > self._server.limits.header_bytes:
             self._error_status = 431
-            raise ValueError("larger than callers may send")
+            raise ValueError("request head exceeds the size limit")
 
     def _reject(self, status: int) -> None:
-        """Answer bytes that are no acceptable request, and end the connection."""
+        """Respond with an error to a request that cannot be read, and close.
+
+        Args:
+            status: HTTP status of the response. With earlier requests unanswered, the
+                connection closes after their responses, without this one.
+        """
         self._error_status = status
         if self._pipeline.size:
-            # What was asked before is answered first; no further request is read.
+            # Earlier requests are answered first; no further request is read.
             return
         head = render_status_line(status)
         self._write(head + b"Content-Length: 0\r\nConnection: close\r\n\r\n")
@@ -262,7 +283,7 @@
             self._transport.write(data)
 
     def _start_requests(self) -> None:
-        """Start the work on what may be worked on now."""
+        """Start handlers for all requests that may run now."""
         pipeline = self._pipeline
         while pipeline.started < pipeline.size:
             exchange = pipeline.start_next(closing=self._server.stopping)
@@ -272,20 +293,20 @@
 
     async def _handle_request(self, exchange: Exchange) -> None:
         if self._is_new or self._server.stalled:
-            # Lets the loop read on first. Where a connection was accepted late, or
-            # this process stood still, the caller's leaving may be the next thing to
-            # be read, and its request must not be passed on.
+            # Let the loop read once more before the request is forwarded. If the
+            # connection was accepted late or the process was stalled, the caller may
+            # have disconnected already, and its request must not run.
             await asyncio.sleep(0)
         try:
             exchange.reply = await self._server.handler(exchange.request)
         except Exception:
-            # The loop reports it; the caller must not wait for an answer.
+            # The loop logs the exception; the caller must not wait for a response.
             self.abort()
             raise
         self._send_ready_replies()
 
     def _send_ready_replies(self) -> None:
-        """Send the answers whose turn it is."""
+        """Send responses in request order, up to the first that is not ready."""
         pipeline = self._pipeline
         while pipeline.size:
             exchange = pipeline.pop_answered()
@@ -311,13 +332,13 @@
             self._transport.resume_reading()
 
     def _send_reply(self, request: Request, reply: Reply) -> bool:
-        """Write an answer and return whether the connection goes on."""
+        """Write a response, and return whether the connection stays open."""
         if not reply.framed:
             self._write(reply.head + reply.body)
             return not reply.close
         persistent = request.keep_alive and not reply.close
         if self._server.stopping and not self._pipeline.started:
-            # What is at work behind this answer is answered before the end.
+            # Close after the response to the last started request.
             persistent = False
         connection = b"" if persistent else b"Connection: close\r\n"
         length = b""
@@ -328,11 +349,11 @@
         return persistent
 
     def _close_after_reply(self) -> None:
-        """End the connection so that the caller can read the last answer.
+        """Shut down sending, so that the caller can still read the last response.
 
-        Closed with bytes unread, a connection is reset, and the caller may lose the
-        answer: some send further requests ahead. So only sending ends here; what
-        still comes is read and dropped until the caller closes, or for a while.
+        The kernel resets a connection that is closed with unread input, and the caller
+        may lose the response; this happens with pipelined requests. Input is therefore
+        read and dropped until the caller closes or ``LINGER_TIMEOUT_SECONDS`` pass.
         """
         self._pipeline.cancel()
         self._lingering = True
