--- a/primroseglade/platform/__init__.py
+++ b/primroseglade/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services, met through their published HTTP interface."""
+"""Adapter to the platform: its HTTP interfaces, settings and store."""
--- a/primroseglade/platform/__main__.py
+++ b/primroseglade/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m primroseglade.platform``: the node as the platform runs it."""
+"""Entry point of the node on the platform: ``python -m primroseglade.platform``."""
 
 import asyncio
 import gc
@@ -17,8 +17,9 @@
 from .store import StoreClient
 
 SETTINGS_VARIABLE = "PRIMROSEGLADE_SETTINGS"
-# Objects made between two collections of the youngest: a request makes some hundred
-# and leaves no cycles, so that rarer collections cost nothing and pause less.
+# Net allocations that trigger a collection of the youngest generation. A request makes
+# some hundred objects and leaves no cycles, so rare collections mean fewer pauses and
+# no more garbage.
 GC_THRESHOLD = 50_000
 
 
@@ -47,7 +48,7 @@
 
 
 def main() -> int:
-    """Run, and return the exit status."""
+    """Run the node and return the exit status."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     handler = LineHandler()
     with handler.applicationbound():
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -1,4 +1,4 @@
-"""What the platform's callers and backend servers put into headers, and back."""
+"""Translation between the platform's HTTP headers and the node's own types."""
 
 import math
 
@@ -24,19 +24,20 @@
     TENANT,
 )
 
-# These statuses promise that a request has not run. Nothing else may use them, and
-# what may have run is told with others.
+# On the platform these statuses guarantee that the request was not executed. A refusal
+# of a request that may have run must use another status.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MAY_HAVE_RUN_STATUS = 502
-# Callers measure what is left from when they sent; this much was used on the way.
+# Smallest remaining time sent to the backend server. Callers count from when they send,
+# so about this much is spent in transit.
 MIN_REMAINING_MS = 1
 
 
 class PlatformDialect:
-    """Reads and renders the platform's headers."""
+    """Reads and renders HTTP messages with the platform's headers."""
 
     def read_request(self, request: Request) -> CallerFields:
-        """Return what a request says."""
+        """Return the fields of a caller's request that the node uses."""
         request_id = host = key = b""
         seconds: float | None = None
         for name, value in request.headers:
@@ -52,7 +53,13 @@
         return CallerFields(request_id, host, key, seconds)
 
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
-        """Return the head to hand on, but for what the last node sets."""
+        """Return the head to forward, to which ``finish_request`` adds headers.
+
+        Args:
+            request: The caller's request.
+            service: Name of the calling service, for the backend server.
+            tenant: Name of the caller's workspace; empty if it has none.
+        """
         dropped = NODE_SET_HEADERS
         for name, value in request.headers:
             if name.lower() == CONNECTION:
@@ -70,12 +77,17 @@
         return b"\r\n".join(lines)
 
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
-        """Return the answer that tells a refusal."""
+        """Return the response for a refusal.
+
+        Args:
+            request_id: Echoed in the response; empty if there is none.
+            refusal: Why the request was refused, and whether it may have run.
+        """
         status = refusal.reason.status
         if refusal.verdict is not Verdict.NOT_RUN and status in NOT_EXECUTED_STATUSES:
             status = MAY_HAVE_RUN_STATUS
         if refusal.verdict is Verdict.NOT_RUN and status in (502, 504):
-            # It has not run, and the caller may know.
+            # 502 and 504 do not say that the request has not run; 503 does.
             status = Reason.OVERLOADED.status
         lines = [render_status_line(status)]
         if request_id:
@@ -87,7 +99,12 @@
         return Reply(b"".join(lines), body)
 
     def finish_request(self, call: Call, remaining: float) -> bytes:
-        """Return a request's bytes for the backend server."""
+        """Return the complete request for the backend server.
+
+        Args:
+            call: The forwarded call, with the head of ``render_request``.
+            remaining: Seconds left until the call's deadline.
+        """
         milliseconds = max(MIN_REMAINING_MS, math.floor(remaining * 1000))
         length = b""
         if call.body or not call.head.startswith((b"GET ", b"HEAD ", b"DELETE ")):
@@ -103,7 +120,7 @@
         )
 
     def read_answer(self, answer: Answer) -> BackendAnswer:
-        """Return what an answer says, and its head to hand on."""
+        """Return the fields of a backend server's response, and the head to forward."""
         request_id = b""
         signed = not_executed = False
         dropped = HOP_BY_HOP
--- a/primroseglade/platform/log.py
+++ b/primroseglade/platform/log.py
@@ -1,7 +1,7 @@
 """Client of the platform's append-only log.
 
-The interface is the JSON form of the Kafka REST proxy: produce to a topic, read a
-partition's records from an offset, and ask for the first and last offsets.
+It uses the JSON interface of the Kafka REST proxy to append to a topic, to read a
+partition's records from an offset, and to get the first and last offsets.
 """
 
 import json
@@ -22,18 +22,18 @@
 
 
 class LogUnavailableError(UnreachableError):
-    """The log gave no answer in time, or an answer that says it cannot serve.
+    """The log did not respond in time, or responded with an error.
 
-    An append that failed so may have taken effect.
+    An append that raises this may have taken effect.
     """
 
 
 class OffsetGoneError(PrimrosegladeError):
-    """The log keeps no record of that offset any more, or not yet."""
+    """The log has no record at this offset: it is deleted, or not yet written."""
 
 
 class LogRecord:
-    """A record and where it stands."""
+    """A record and its offset."""
 
     __slots__ = ("offset", "value")
 
@@ -43,12 +43,12 @@
 
 
 class LogClient:
-    """Appends to and reads from topics, one partition each.
+    """Appends to and reads from topics of one partition each.
 
     Args:
         address: ``IP:PORT`` of the log service.
-        timeout: Seconds to wait for an answer, besides the wait of a long poll.
-        network: What can be reached.
+        timeout: Seconds to wait for a response, on top of a long poll's wait.
+        network: Network to use; tests can cut links in theirs.
     """
 
     def __init__(
@@ -64,24 +64,24 @@
         """Append one record.
 
         Returns:
-            Its offset.
+            The record's offset.
 
         Raises:
-            LogUnavailableError: No answer; the record may stand all the same.
+            LogUnavailableError: The append was not confirmed; it may have succeeded.
         """
         body = json.dumps({"records": [{"value": value, "partition": PARTITION}]})
         payload = await self._request("POST", f"/{topic}", self._timeout, body)
         try:
             return int(payload["offsets"][0]["offset"])
         except (KeyError, IndexError, TypeError, ValueError) as error:
-            raise LogUnavailableError("the log answered without an offset") from error
+            raise LogUnavailableError("log response without an offset") from error
 
     async def read(self, topic: str, offset: int, wait: float) -> list[LogRecord]:
         """Read records from an offset on, waiting up to ``wait`` seconds for one.
 
         Raises:
-            LogUnavailableError: No answer in time.
-            OffsetGoneError: The offset is out of the range that the log keeps.
+            LogUnavailableError: The log gave no valid response in time.
+            OffsetOutOfRangeError: The log has no record at the offset.
         """
         path = f"/{topic}/partitions/{PARTITION}/records"
         query = (
@@ -91,16 +91,20 @@
         try:
             return [LogRecord(int(item["offset"]), item["value"]) for item in payload]
         except (KeyError, TypeError, ValueError) as error:
-            raise LogUnavailableError("the log answered in another form") from error
+            raise LogUnavailableError("malformed log response") from error
 
     async def get_range(self, topic: str) -> tuple[int, int]:
-        """Return the offset of the first kept record and that of the next append."""
+        """Return the offsets of the oldest record and of the next append.
+
+        Raises:
+            LogUnavailableError: The log gave no valid response in time.
+        """
         path = f"/{topic}/partitions/{PARTITION}/offsets"
         payload = await self._request("GET", path, self._timeout)
         try:
             return int(payload["beginning_offset"]), int(payload["end_offset"])
         except (KeyError, TypeError, ValueError) as error:
-            raise LogUnavailableError("the log answered in another form") from error
+            raise LogUnavailableError("malformed log response") from error
 
     async def close(self) -> None:
         """Close the connections."""
@@ -129,10 +133,10 @@
             await self._network.pass_through(self._address, timeout)
         except (TimeoutError, aiohttp.ClientError, ValueError) as error:
             reason = str(error) or type(error).__name__
-            raise LogUnavailableError(f"the log does not answer: {reason}") from error
+            raise LogUnavailableError(f"log request failed: {reason}") from error
         if status == 200:
             return payload
         if isinstance(payload, dict):
             if payload.get("error_code") == OFFSET_OUT_OF_RANGE:
-                raise OffsetGoneError("the offset is out of the log's range")
-        raise LogUnavailableError(f"the log answered with status {status}")
+                raise OffsetGoneError("offset out of the log's range")
+        raise LogUnavailableError(f"log responded with status {status}")
--- a/primroseglade/platform/operator_config.py
+++ b/primroseglade/platform/operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, as the store's newest record of it says."""
+"""Decoding of the operator's configuration, a JSON record in the platform's store."""
 
 import json
 from typing import Any
@@ -20,10 +20,10 @@
 
 
 def decode_policy(record: bytes) -> Policy:
-    """Return a record's meaning.
+    """Decode a configuration record.
 
     Raises:
-        InputError: It is no configuration.
+        InputError: The record is not a valid configuration.
     """
     try:
         value = json.loads(record)
@@ -68,7 +68,9 @@
         )
         for key in tenant_fields.get_list("api_keys"):
             if not isinstance(key, str):
-                raise InputError(ERROR_SOURCE, "tenants/api_keys", "a key is no text")
+                raise InputError(
+                    ERROR_SOURCE, "tenants/api_keys", "must be a list of strings"
+                )
             tenants[key.encode()] = tenant
     return tenants
 
@@ -84,8 +86,8 @@
 
 def _decode_route(host: str, value: Any) -> Route:
     fields = Fields(value, f"{ERROR_SOURCE}/paths")
-    # Uploads are large and run once; a kind that is not known here is taken to be
-    # one that must not run twice.
+    # An unknown kind counts as unsafe, so that its calls run at most once; uploads are
+    # such a kind.
     safe = fields.get_string("kind", "unsafe") == RouteKind.SAFE.value
     timeout = fields.get_seconds("timeout", DEFAULT_TIMEOUT_SECONDS)
     return Route(
@@ -112,5 +114,7 @@
         if weight > 0:
             split.append(WeightedService(part_fields.get_string("service"), weight))
     if not split:
-        raise InputError(ERROR_SOURCE, "traffic_split", "has no part with a weight")
+        raise InputError(
+            ERROR_SOURCE, "traffic_split", "has no service with a weight above 0"
+        )
     return split
--- a/primroseglade/platform/reports.py
+++ b/primroseglade/platform/reports.py
@@ -1,4 +1,4 @@
-"""Status reports of the backend server beside a node, and readiness checks."""
+"""HTTP handlers for the local backend server's status reports and readiness checks."""
 
 import json
 from urllib.parse import unquote
@@ -17,10 +17,14 @@
 
 
 def decode_report(instance: str, body: bytes) -> StatusReport:
-    """Return what a report says.
+    """Decode a status report.
+
+    Args:
+        instance: Id of the backend server, from the request's path.
+        body: JSON body of the request.
 
     Raises:
-        InputError: It comes from another writer, or cannot be read.
+        InputError: The report is malformed.
     """
     source = "status report"
     try:
@@ -34,7 +38,7 @@
         raise InputError(source, "state", str(error)) from error
     slots = fields.get_integer("capacity_slots")
     if slots < 1:
-        raise InputError(source, "capacity_slots", "is not above 0")
+        raise InputError(source, "capacity_slots", "must be above 0")
     return StatusReport(
         instance,
         fields.get_string("service"),
@@ -48,7 +52,7 @@
 
 
 def decode_deregistration(body: bytes) -> int:
-    """Return the start of the lifetime that a leave call names, 0 if it names none."""
+    """Return the start time in a deregistration, in Unix ms; 0 if it has none."""
     if not body:
         return 0
     try:
@@ -58,7 +62,7 @@
 
 
 def build_ready(node: SidecarNode) -> Handler:
-    """Return what answers readiness checks."""
+    """Return the handler of readiness checks."""
 
     async def handle(request: Request) -> Reply:
         return Reply(OK, b"{}") if node.ready else Reply(UNAVAILABLE, b"")
@@ -67,7 +71,7 @@
 
 
 def build_control(node: SidecarNode, journal: Journal) -> Handler:
-    """Return what takes the backend server's reports."""
+    """Return the handler of status reports and deregistrations."""
 
     async def handle(request: Request) -> Reply:
         path = request.target.partition(b"?")[0]
--- a/primroseglade/platform/settings.py
+++ b/primroseglade/platform/settings.py
@@ -9,11 +9,11 @@
 
 
 class PlatformSettings:
-    """What the file says.
+    """The decoded settings file.
 
     Args:
-        node: For the node.
-        store: Address of the platform's store.
+        node: The node's settings.
+        store: Address of the platform's store, ``IP:PORT``.
     """
 
     __slots__ = ("node", "store")
@@ -24,10 +24,10 @@
 
 
 def load_settings(path: str) -> PlatformSettings:
-    """Read the file.
+    """Read and decode the settings file.
 
     Raises:
-        InputError: It cannot be read, or lacks what is needed.
+        InputError: The file cannot be read, or a field is missing or invalid.
     """
     try:
         value = json.loads(pathlib.Path(path).read_text(encoding="utf-8"))
@@ -37,16 +37,16 @@
 
 
 def decode_settings(fields: Fields) -> PlatformSettings:
-    """Return what the decoded file says.
+    """Return the settings from the file's JSON object.
 
     Raises:
-        InputError: A field is missing or wrong.
+        InputError: A field is missing or invalid.
     """
     listen = fields.get_object("listen")
     bounds = fields.get_object("bounds")
     ports = fields.get_list("internal_ports")
     if not ports or not all(isinstance(port, int) for port in ports):
-        raise InputError("settings", "internal_ports", "names no ports")
+        raise InputError("settings", "internal_ports", "must be a list of at least one port")
     host = fields.get_string("ip")
     node = NodeSettings(
         name=fields.get_string("node_name"),
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -1,4 +1,4 @@
-"""The one client of the platform's store: a log with topics, and newest records."""
+"""Client of the platform's store: a log with topics, some of them compacted by key."""
 
 import asyncio
 import base64
@@ -16,21 +16,22 @@
 from .operator_config import decode_policy
 
 CONNECT_SECONDS = 1.0
-# The records that a read asks for have been deleted.
+# Status for a read of records that have been deleted.
 GONE_STATUS = 410
-# Written by operators; nodes may only read it.
+# Written by operators, read-only for nodes.
 OPERATOR_TOPIC = "keyed.op"
 CONFIG_KEY = "config"
-# The nodes' own topics. The newest record of a key is kept for good.
+# Written by nodes. The store never deletes the newest record of a key.
 NODES_TOPIC = "keyed.primroseglade-nodes"
 DRAINS_TOPIC = "keyed.primroseglade-drains"
 
+# Head of a read's response: the offset after the newest record, and of the oldest.
 OFFSETS = struct.Struct(">QQ")
 RECORD_LENGTH = struct.Struct(">I")
 
 
 class KeyedRecord:
-    """The newest record of a key."""
+    """A key and its newest value."""
 
     __slots__ = ("key", "value")
 
@@ -40,7 +41,7 @@
 
 
 class NewestRecords:
-    """The newest records of a topic, and the position after them."""
+    """The newest record of each key of a topic, and the topic's next offset."""
 
     __slots__ = ("items", "next_offset")
 
@@ -50,11 +51,11 @@
 
 
 class StoreClient:
-    """Calls the platform's store.
+    """Reads and writes the topics that nodes use.
 
     Args:
-        address: ``IP:PORT``.
-        journal: Where unreadable entries are told.
+        address: ``IP:PORT`` of the store.
+        journal: Logs entries that cannot be decoded.
     """
 
     def __init__(self, address: str, journal: Journal):
@@ -63,18 +64,21 @@
         self._pool = ConnectionPool(address, CONNECT_SECONDS)
 
     def decode(self, record: bytes) -> Policy:
-        """Return the meaning of a record of the operator's configuration.
+        """Decode a record of the operator's configuration.
 
         Raises:
-            InputError: It has none.
+            InputError: The record is not a valid configuration.
         """
         return decode_policy(record)
 
     async def read_newest(self, timeout: float) -> PolicyRecord:
         """Return the operator's newest configuration.
 
+        Args:
+            timeout: Seconds to wait for a response.
+
         Raises:
-            StoreError: No usable answer.
+            StoreError: The store gave no valid response.
         """
         newest = await self._read_newest_items(OPERATOR_TOPIC, timeout)
         for item in newest.items:
@@ -85,11 +89,16 @@
     async def read_since(
         self, offset: int, wait: float, timeout: float
     ) -> PolicyRecord | None:
-        """Return what the operator published since a position, None if nothing.
+        """Return the newest configuration published since an offset, None if none was.
+
+        Args:
+            offset: Offset of the first record to read.
+            wait: Seconds that the store may wait for a record.
+            timeout: Seconds to wait for the store's response.
 
         Raises:
-            PositionGoneError: What came since is not there any more.
-            StoreError: No usable answer.
+            OffsetExpiredError: The store has deleted records since the offset.
+            StoreError: The store gave no valid response.
         """
         query = {
             "topic": OPERATOR_TOPIC,
@@ -100,10 +109,12 @@
         answer = await self._call("GET", "/log-read", query, b"", timeout)
         data = answer.body
         if len(data) < OFFSETS.size:
-            raise StoreError("a read of less than its positions")
+            raise StoreError(
+                f"log read of {len(data)} bytes, less than its {OFFSETS.size}-byte head"
+            )
         end_offset, first_offset = OFFSETS.unpack_from(data)
         if end_offset < offset or first_offset > offset:
-            detail = f"position {offset} is not between {first_offset} and {end_offset}"
+            detail = f"offset {offset} is not between {first_offset} and {end_offset}"
             raise OffsetExpiredError(detail)
         records = split_records(data[OFFSETS.size :])
         if not records:
@@ -116,10 +127,10 @@
         return PolicyRecord(newest, offset + len(records))
 
     async def list_nodes(self, timeout: float) -> list[NodeEntry]:
-        """Return the nodes that made themselves known.
+        """Return the entries of all registered nodes.
 
         Raises:
-            StoreError: No usable answer.
+            StoreError: The store gave no valid response.
         """
         newest = await self._read_newest_items(NODES_TOPIC, timeout)
         entries = []
@@ -127,33 +138,38 @@
             try:
                 entries.append(msgspec.json.decode(item.value, type=NodeEntry))
             except msgspec.MsgspecError as error:
-                # Of another version, or foreign: it names no node to use.
+                # Written by another version or another program; skip it.
                 self._journal.emit(ENTRY_UNREADABLE, key=item.key, reason=str(error))
         return entries
 
     async def write_node(self, entry: NodeEntry, timeout: float) -> None:
-        """Make a node known.
+        """Register a node.
 
         Raises:
-            StoreError: It may not be kept.
+            StoreError: The write was not confirmed; it may have succeeded.
         """
         await self._write(NODES_TOPIC, entry.name, msgspec.json.encode(entry), timeout)
 
     async def write_drain(
         self, instance: str, start_time_ms: int, timeout: float
     ) -> None:
-        """Keep that a backend server leaves.
+        """Record that a backend server is draining.
+
+        Args:
+            instance: Id of the backend server.
+            start_time_ms: Unix milliseconds of its start; 0 if unknown.
+            timeout: Seconds to wait for a response.
 
         Raises:
-            StoreError: It may not be kept.
+            StoreError: The write was not confirmed; it may have succeeded.
         """
         await self._write(DRAINS_TOPIC, instance, str(start_time_ms).encode(), timeout)
 
     async def list_drains(self, timeout: float) -> dict[str, int]:
-        """Return the backend servers that leave, with the start of their lifetime.
+        """Return the start times of draining backend servers, in Unix ms, by id.
 
         Raises:
-            StoreError: No usable answer.
+            StoreError: The store gave no valid response.
         """
         newest = await self._read_newest_items(DRAINS_TOPIC, timeout)
         return {
@@ -161,7 +177,7 @@
         }
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close idle connections."""
         self._pool.close_idle()
 
     async def _write(self, topic: str, key: str, value: bytes, timeout: float) -> None:
@@ -184,7 +200,7 @@
                 has_more = page.get("truncated") and items
                 end_offset = int(page["end"])
             except (ValueError, KeyError, TypeError) as error:
-                raise StoreError(f"an answer that cannot be read: {error}") from error
+                raise StoreError(f"malformed store response: {error}") from error
             if not has_more:
                 return NewestRecords(items, end_offset)
             query["after"] = items[-1].key
@@ -205,7 +221,7 @@
                 finally:
                     self._pool.release(connection)
         except TimeoutError as error:
-            raise StoreError(f"{path}: no answer within {timeout:.1f} s") from error
+            raise StoreError(f"{path}: no response within {timeout:.1f} s") from error
         except ExchangeError as error:
             raise StoreError(f"{path}: {error.detail}") from error
         if answer.status == GONE_STATUS:
@@ -216,7 +232,7 @@
 
 
 def split_records(data: bytes) -> list[bytes]:
-    """Return the records of a read; one that is cut short at the end is left out.
+    """Split the data of a read into records, without a truncated last one.
 
     >>> split_records(bytes([0, 0, 0, 2]) + b"ab" + bytes([0, 0, 0, 3]) + b"c")
     [b'ab']
@@ -234,15 +250,15 @@
 
 
 def split_key(record: bytes) -> tuple[str, bytes]:
-    """Return a keyed record's key and value.
+    """Split a keyed record into key and value.
 
     Raises:
-        StoreError: It is none.
+        StoreError: The record has no complete key.
 
     >>> split_key(bytes([2]) + b"abc")
     ('ab', b'c')
     """
     if not record or len(record) < 1 + record[0]:
-        raise StoreError("a record without a key")
+        raise StoreError("store record without a complete key")
     end = 1 + record[0]
     return record[1:end].decode("utf-8", "replace"), record[end:]
--- a/primroseglade/platform/values.py
+++ b/primroseglade/platform/values.py
@@ -1,4 +1,4 @@
-"""Checks of decoded JSON: what the platform's bodies and settings hold."""
+"""Typed access to decoded JSON objects, with errors that name the field."""
 
 import re
 from typing import Any
@@ -9,51 +9,54 @@
 
 
 class Fields:
-    """An object of a decoded body, read with checks.
+    """Reads the fields of a decoded JSON object and checks their types.
+
+    Getters raise ``InputError`` for a field of another type, and for a missing field
+    unless they have a default.
 
     Args:
-        value: As decoded.
-        source: What it is, in errors.
+        value: The decoded value.
+        source: Name of the document in errors.
     """
 
     __slots__ = ("_source", "_value")
 
     def __init__(self, value: Any, source: str):
         if not isinstance(value, dict):
-            raise InputError(source, "", "is no object")
+            raise InputError(source, "", "must be an object")
         self._value = value
         self._source = source
 
     def get_string(self, name: str, default: str | None = None) -> str:
-        """Return a string that is not empty."""
+        """Return a string, which may be empty only if that is the default."""
         value = self._value.get(name, default)
         if not isinstance(value, str) or (not value and value != default):
-            raise InputError(self._source, name, "is no text")
+            raise InputError(self._source, name, "must be a string that is not empty")
         return value
 
     def get_integer(self, name: str, default: int | None = None) -> int:
-        """Return a whole number."""
+        """Return an integer."""
         value = self._value.get(name, default)
         if not isinstance(value, int) or isinstance(value, bool):
-            raise InputError(self._source, name, "is no whole number")
+            raise InputError(self._source, name, "must be an integer")
         return value
 
     def get_number(self, name: str, default: float | None = None) -> float:
         """Return a number."""
         value = self._value.get(name, default)
         if not isinstance(value, int | float) or isinstance(value, bool):
-            raise InputError(self._source, name, "is no number")
+            raise InputError(self._source, name, "must be a number")
         return float(value)
 
     def get_boolean(self, name: str, default: bool = False) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         value = self._value.get(name, default)
         if not isinstance(value, bool):
-            raise InputError(self._source, name, "is neither true nor false")
+            raise InputError(self._source, name, "must be true or false")
         return value
 
     def get_seconds(self, name: str, default: float | None = None) -> float:
-        """Return a time, written as a number and its unit, in seconds."""
+        """Return a duration in seconds, written as a number and ``ms`` or ``s``."""
         value = self._value.get(name)
         if value is None and default is not None:
             return default
@@ -62,21 +65,23 @@
             if match:
                 number = float(match.group(1))
                 return number / 1000 if match.group(2) == "ms" else number
-        raise InputError(self._source, name, "is no time", "such as 1500ms or 2.5s")
+        raise InputError(
+            self._source, name, "must be a duration", "such as 1500ms or 2.5s"
+        )
 
     def get_object(self, name: str) -> "Fields":
-        """Return an object."""
+        """Return a nested object."""
         return Fields(self._value.get(name), f"{self._source}/{name}")
 
     def get_list(self, name: str) -> list[Any]:
-        """Return a list, empty if there is none."""
+        """Return a list, empty if the field is missing."""
         value = self._value.get(name)
         if value is None:
             return []
         if not isinstance(value, list):
-            raise InputError(self._source, name, "is no list")
+            raise InputError(self._source, name, "must be a list")
         return value
 
     def has(self, name: str) -> bool:
-        """Whether the field is there."""
+        """Whether the field is present and not null."""
         return self._value.get(name) is not None
