--- a/primroseglade/platform/__main__.py
+++ b/primroseglade/platform/__main__.py
@@ -28,8 +28,8 @@
     journal = Journal(settings.node.name)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(
         signal.SIGHUP, lambda: journal.emit(SETTINGS_CHANGED, path=path)
     )
--- a/primroseglade/platform/reports.py
+++ b/primroseglade/platform/reports.py
@@ -79,10 +79,10 @@
             return Reply(render_status_line(404), b"")
         instance = unquote(path[len(INSTANCES_PATH) :].decode("latin-1"))
         if request.method == b"DELETE":
-            stored = await node.registration.handle_deregistration(
+            acknowledged = await node.registration.handle_deregistration(
                 instance, decode_deregistration(request.body)
             )
-            return Reply(OK, b"{}") if stored else Reply(UNAVAILABLE, b"")
+            return Reply(OK, b"{}") if acknowledged else Reply(UNAVAILABLE, b"")
         if request.method != b"PUT":
             return Reply(render_status_line(405), b"")
         try:
@@ -90,7 +90,7 @@
         except InputError as error:
             journal.emit(BACKEND_REPORT_REFUSED, backend=instance, reason=str(error))
             return Reply(render_status_line(400), b"")
-        stored = await node.registration.handle_report(report)
-        return Reply(OK, b"{}") if stored else Reply(UNAVAILABLE, b"")
+        acknowledged = await node.registration.handle_report(report)
+        return Reply(OK, b"{}") if acknowledged else Reply(UNAVAILABLE, b"")
 
     return handle
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -106,8 +106,8 @@
             "from": offset,
             "wait_ms": int(wait * 1000),
         }
-        answer = await self._call("GET", "/log-read", query, b"", timeout)
-        data = answer.body
+        response = await self._call("GET", "/log-read", query, b"", timeout)
+        data = response.body
         if len(data) < OFFSETS.size:
             raise StoreError(
                 f"log read of {len(data)} bytes, less than its {OFFSETS.size}-byte head"
@@ -181,8 +181,8 @@
         self._pool.close_idle()
 
     async def _write(self, topic: str, key: str, value: bytes, timeout: float) -> None:
-        name = key.encode()
-        record = bytes([len(name)]) + name + value
+        encoded_key = key.encode()
+        record = bytes([len(encoded_key)]) + encoded_key + value
         body = RECORD_LENGTH.pack(len(record)) + record
         query = {"topic": topic, "part": 0}
         await self._call("POST", "/log-append", query, body, timeout)
@@ -191,9 +191,9 @@
         items: list[KeyedRecord] = []
         query: dict[str, Any] = {"topic": topic, "part": 0}
         while True:
-            answer = await self._call("GET", "/log-newest", query, b"", timeout)
+            response = await self._call("GET", "/log-newest", query, b"", timeout)
             try:
-                page = json.loads(answer.body)
+                page = json.loads(response.body)
                 for item in page["items"]:
                     value = base64.b64decode(item["value"])
                     items.append(KeyedRecord(item["key"], value))
@@ -217,18 +217,18 @@
             async with asyncio.timeout(timeout):
                 connection = await self._pool.acquire()
                 try:
-                    answer = await connection.exchange(head.encode() + body)
+                    response = await connection.exchange(head.encode() + body)
                 finally:
                     self._pool.release(connection)
         except TimeoutError as error:
             raise StoreError(f"{path}: no response within {timeout:.1f} s") from error
         except ExchangeError as error:
             raise StoreError(f"{path}: {error.detail}") from error
-        if answer.status == GONE_STATUS:
-            raise OffsetExpiredError(f"{path}: status {answer.status}")
-        if answer.status != 200:
-            raise StoreError(f"{path}: status {answer.status}")
-        return answer
+        if response.status == GONE_STATUS:
+            raise OffsetExpiredError(f"{path}: status {response.status}")
+        if response.status != 200:
+            raise StoreError(f"{path}: status {response.status}")
+        return response
 
 
 def split_records(data: bytes) -> list[bytes]:
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -133,8 +133,8 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the request that waits for a response."""
         self._transport = None
-        text = str(exc) if exc else "closed by the server"
-        self._fail(ExchangeError(f"connection lost: {text}", sent=True))
+        reason = str(exc) if exc else "closed by the server"
+        self._fail(ExchangeError(f"connection lost: {reason}", sent=True))
 
     def data_received(self, data: bytes) -> None:
         """Parse received bytes."""
