--- a/primroseglade/platform/settings.py
+++ b/primroseglade/platform/settings.py
@@ -46,7 +46,7 @@
     bounds = fields.get_object("bounds")
     ports = fields.get_list("internal_ports")
     if not ports or not all(isinstance(port, int) for port in ports):
-        raise InputError("settings", "internal_ports", "must be a list of at least one port")
+        raise InputError("settings", "internal_ports", "must list at least one port")
     host = fields.get_string("ip")
     node = NodeSettings(
         name=fields.get_string("node_name"),
