--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -1,4 +1,4 @@
-"""Callers that send further requests before the first is answered."""
+"""HTTP/1.1 pipelining: requests that are sent before the first is answered."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,7 @@
 
 
 class Handler:
-    """Answers each request when the test says so, with its path."""
+    """Answers each request with its path, once the test releases it."""
 
     def __init__(self) -> None:
         self.started: list[bytes] = []
@@ -34,25 +34,25 @@
         return Reply(render_status_line(status), request.target)
 
     def release(self, *targets: bytes) -> None:
-        """Let requests be answered."""
+        """Let the requests for these targets be answered."""
         for target in targets:
             self.gates.setdefault(target, asyncio.Event()).set()
 
 
 class Caller:
-    """One connection."""
+    """A caller with one connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter):
         self.reader = reader
         self.writer = writer
 
     def send(self, *targets: bytes, method: bytes = b"GET") -> None:
-        """Send requests without waiting for answers."""
+        """Send requests without waiting for responses."""
         head = b"%b %b HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n"
         self.writer.write(b"".join(head % (method, target) for target in targets))
 
     async def read(self) -> tuple[int, bytes, bool]:
-        """Return an answer's status, its body, and whether it ends the connection."""
+        """Return a response's status and body, and whether it ends the connection."""
         async with asyncio.timeout(2):
             head = await self.reader.readuntil(b"\r\n\r\n")
             length = int(head.lower().split(b"content-length: ")[1].split(b"\r")[0])
@@ -61,7 +61,7 @@
 
 
 class Harness:
-    """A server and what calls it."""
+    """A running server with its handler and address."""
 
     def __init__(self, server: HttpServer, handler: Handler, address: str):
         self.server = server
@@ -75,7 +75,7 @@
 
 @contextlib.asynccontextmanager
 async def run_server(stalled: bool = False) -> AsyncIterator[Harness]:
-    """Run a server whose answers a test lets go."""
+    """Run a server whose responses the test releases."""
     handler = Handler()
     address = find_address()
     server = HttpServer(address, handler)
@@ -90,7 +90,7 @@
 
 
 async def wait_until(condition: object) -> None:
-    """Wait until a function returns something true."""
+    """Wait until a function returns a true value."""
     assert callable(condition)
     async with asyncio.timeout(2):
         while not condition():
@@ -98,8 +98,9 @@
 
 
 async def test_responses_are_sent_in_request_order():
-    """A caller read the second page in place of the first: both were worked on at
-    once, and the second was ready earlier.
+    """Guards against a response being sent first because its handler finished first.
+
+    The caller would take it for the response to the earlier request.
     """
     async with run_server() as harness:
         caller = await harness.call()
@@ -114,7 +115,7 @@
 
 
 async def test_unsafe_request_waits_for_earlier_requests():
-    """A booking that was sent behind a look-up ran first, and changed what that saw."""
+    """Guards against a POST that runs before an earlier GET and changes its result."""
     async with run_server() as harness:
         caller = await harness.call()
         caller.send(b"/look")
@@ -131,9 +132,10 @@
 
 
 async def test_shutdown_answers_started_requests_and_starts_no_others():
-    """A node was stopped while a caller had three requests on one connection. Two were
-    at work: the first answer ended the connection, and the caller saw the second one
-    cut off. The third may not be started, as the caller sends it again elsewhere.
+    """Guards against requests cut off when a node stops with three on one connection.
+
+    Two were started, and the first response closed the connection before the second.
+    The third must not start, since the caller sends it again to another node.
     """
     async with run_server() as harness:
         caller = await harness.call()
@@ -150,8 +152,9 @@
 
 
 async def test_unread_pipelined_requests_do_not_reset_the_last_response():
-    """A node that stopped closed connections with requests unread on them. Their
-    callers saw a reset and not the answer that had been written just before.
+    """Guards against a reset that discards the last response of a stopping node.
+
+    The kernel resets a connection that is closed with unread requests on it.
     """
     async with run_server() as harness:
         caller = await harness.call()
@@ -168,8 +171,9 @@
 
 
 async def test_disconnect_cancels_all_requests_of_the_connection():
-    """Backend servers went on working for a caller that had left: only the first of
-    its requests was cancelled.
+    """Guards against cancelling only the first request of a disconnected caller.
+
+    Backend servers would keep working on the others.
     """
     async with run_server() as harness:
         caller = await harness.call()
@@ -180,7 +184,7 @@
 
 
 async def test_concurrent_requests_of_a_connection_are_limited():
-    """One caller that sent a hundred requests ahead had them all worked on at once."""
+    """Guards against running a hundred pipelined requests of one caller at once."""
     async with run_server() as harness:
         caller = await harness.call()
         targets = [b"/%d" % number for number in range(3 * MAX_CONCURRENT_REQUESTS)]
@@ -192,7 +196,7 @@
 
 
 async def test_malformed_bytes_close_the_connection_after_pending_responses():
-    """What was asked before is answered; nothing is read behind broken bytes."""
+    """Earlier requests are answered; nothing is read after malformed bytes."""
     async with run_server() as harness:
         caller = await harness.call()
         caller.send(b"/a")
@@ -207,7 +211,7 @@
 
 
 async def test_stopping_node_answers_pipelined_requests(mesh: Mesh):
-    """The same through a whole node: what it passed on is answered across its stop."""
+    """Requests that a node has forwarded are answered while it shuts down."""
     for place in mesh.places[1:]:
         place.backend.work = 0.3
     node = mesh.places[0]
@@ -229,22 +233,20 @@
 
 
 async def test_sequential_requests_are_served_on_one_connection(mesh: Mesh):
-    """One after the other, as most callers do."""
+    """Each request is sent after the response to the one before, as usual."""
     for number in range(3):
         answer = await ask(mesh.places[0], "/deep/a", f"one-{number}")
         assert answer.status == 200
 
 
 def build_request(method: bytes = b"GET", keep_alive: bool = True) -> Request:
-    """Return a request that nobody sent."""
+    """Return a request without a connection."""
     return Request(method, b"/", [], b"", keep_alive, "", 0.0)
 
 
 @pytest.mark.parametrize("alone", [True, False])
 def test_no_concurrent_start_on_a_closing_connection(alone: bool):
-    """Of two look-ups the second is started beside the first, unless it would be
-    thrown away with the connection.
-    """
+    """The second of two GETs starts beside the first, unless the connection closes."""
     pipeline = Pipeline()
     pipeline.add(build_request())
     pipeline.add(build_request())
@@ -254,9 +256,10 @@
 
 
 async def test_request_of_a_disconnected_caller_is_not_started():
-    """A node without processor time accepted connections seconds after they had been
-    opened. Their callers had left, but that was to be read only after the requests,
-    which were passed on to backend servers meanwhile.
+    """Guards against forwarding requests of callers that have disconnected.
+
+    A node short of CPU time accepts connections seconds after they were opened, and
+    reads the request before the end of the connection.
     """
     async with run_server() as harness:
         for _ in range(5):
@@ -267,7 +270,10 @@
 
 
 async def test_disconnect_on_a_reused_connection_is_seen_after_a_stall():
-    """The same on a connection that had served before, at a node that stood still."""
+    """Guards against the same on a connection that has served a request before.
+
+    Here the node's event loop was blocked between the two requests.
+    """
     async with run_server(stalled=True) as harness:
         harness.handler.release(b"/before")
         with socket.create_connection(parse_address(harness.address)) as caller:
--- a/tests/test_mesh_resets.py
+++ b/tests/test_mesh_resets.py
@@ -1,4 +1,4 @@
-"""Answers that have no length, and connections that are broken off within them."""
+"""Responses delimited by the end of the connection, and resets within them."""
 
 import asyncio
 import socket
@@ -16,7 +16,7 @@
 
 
 class TruncatingServer:
-    """Answers one request without a length, and ends the connection."""
+    """Sends one response without a length, then closes or resets the connection."""
 
     def __init__(self, reset: bool):
         self._reset = reset
@@ -28,7 +28,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Wait for its end."""
+        """Wait for the server thread and stop listening."""
         self._thread.join(5.0)
         self._listener.close()
 
@@ -43,9 +43,11 @@
 
 @pytest.mark.parametrize("busy", [0.0, 0.2])
 async def test_reset_within_an_unframed_response_is_an_error(busy: float):
-    """A backend server crashed within an answer that ends with its connection. The
-    node was busy in that moment, found data and reset in one turn of its loop, and
-    handed half of an answer on as a whole one.
+    """Guards against forwarding half of a response as a complete one.
+
+    The backend server crashes while it sends a response delimited by the end of its
+    connection. A busy node finds the data and the reset in one iteration of its event
+    loop.
     """
     server = TruncatingServer(reset=True)
     connection = await ConnectionPool(server.address, 1.0).acquire()
@@ -58,7 +60,7 @@
 
 @pytest.mark.parametrize("busy", [0.0, 0.2])
 async def test_unframed_response_ends_with_its_connection(busy: float):
-    """An ordinary end makes it whole."""
+    """An orderly close completes the response."""
     server = TruncatingServer(reset=False)
     connection = await ConnectionPool(server.address, 1.0).acquire()
     asyncio.get_running_loop().call_later(0.0, time.sleep, busy)
