--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -97,7 +97,7 @@
             timeout: Seconds to wait for the store's response.
 
         Raises:
-            OffsetExpiredError: The store has deleted records since the offset.
+            OffsetExpiredError: The store does not have all records since the offset.
             StoreError: The store gave no valid response.
         """
         query = {
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -16,9 +16,9 @@
 
 RawHeaders = list[tuple[bytes, bytes]]
 
-# How long sent data may stay unacknowledged before the kernel closes the connection,
-# whose peer may have vanished. Longer than two retransmissions within a site, shorter
-# than most callers' deadlines.
+# How long sent data may stay unacknowledged before the kernel closes the connection as
+# dead. Longer than two retransmissions within a site, shorter than most callers'
+# deadlines.
 UNACKNOWLEDGED_MS = 1500
 KEEP_ALIVE_IDLE_SECONDS = 1
 # For servers that send no Keep-Alive header; common servers close idle connections
@@ -139,8 +139,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse received bytes."""
         if self._pending is None:
-            # Bytes without a request: a later response could not be distinguished
-            # from them.
+            # Unsolicited bytes could be mistaken for the response to the next request.
             self.close()
             return
         try:
--- a/primroseglade/sidecar/pipeline.py
+++ b/primroseglade/sidecar/pipeline.py
@@ -31,7 +31,7 @@
     """The queue of unanswered requests of one connection.
 
     Attributes:
-        size: Number of requests whose response has not been taken for sending.
+        size: Number of requests whose response has not been sent.
         started: How many of them have been started. Their handlers are running, or
             their responses wait for the response to an earlier request.
     """
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -20,7 +20,7 @@
 
 # Unanswered requests on one connection at which reading pauses.
 MAX_PIPELINED_REQUESTS = 8
-# Write buffer limit of a connection, for callers that read slowly.
+# High-water mark of a connection's write buffer, which fills if a caller reads slowly.
 WRITE_HIGH_WATER_BYTES = 256 * 1024
 # Time to receive a body, on top of the operator's limit for the head.
 BODY_TIMEOUT_SECONDS = 30.0
@@ -170,7 +170,7 @@
         This is an httptools callback.
         """
         if self._received_bytes + self._chunk_bytes > self._server.limits.header_bytes:
-            # The chunk may also hold body bytes, so the head is measured exactly.
+            # The chunk may also hold body bytes, so only the head's parts are added up.
             self._check_head_size()
         self._received_bytes = 0
         self._method = self._parser.get_method()
@@ -208,7 +208,7 @@
         self._body = []
         pipeline = self._pipeline
         if pipeline.size and pipeline.closes_connection:
-            # An earlier request said "Connection: close": ignore what follows it.
+            # An earlier request asked to close the connection: ignore later ones.
             return
         pipeline.add(request)
         if pipeline.size >= MAX_PIPELINED_REQUESTS and self._transport is not None:
