--- a/primroseglade/platform/__main__.py
+++ b/primroseglade/platform/__main__.py
@@ -18,8 +18,8 @@
 
 SETTINGS_VARIABLE = "PRIMROSEGLADE_SETTINGS"
 # Net allocations that trigger a collection of the youngest generation. A request makes
-# some hundred objects and leaves no cycles, so rare collections mean fewer pauses and
-# no more garbage.
+# some hundred objects and leaves no reference cycles, so rarer collections cause fewer
+# pauses and cost no memory.
 GC_THRESHOLD = 50_000
 
 
--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -132,10 +132,11 @@
 
 
 async def test_shutdown_answers_started_requests_and_starts_no_others():
-    """Guards against requests cut off when a node stops with three on one connection.
+    """Guards against a stopping node that closes a connection too early.
 
-    Two were started, and the first response closed the connection before the second.
-    The third must not start, since the caller sends it again to another node.
+    Two requests are started when the node stops; the first response must not close the
+    connection before the second. A third must not start, since the caller sends it
+    again to another node.
     """
     async with run_server() as harness:
         caller = await harness.call()
