--- a/primroseglade/platform/__main__.py
+++ b/primroseglade/platform/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m primroseglade.platform``: the node as the platform runs it."""
+"""Entry point of the node on the platform: ``python -m primroseglade.platform``."""
 
 import asyncio
 import gc
@@ -17,9 +17,10 @@
 from .store import StoreClient
 
 SETTINGS_VARIABLE = "PRIMROSEGLADE_SETTINGS"
-# Objects made between two collections of the youngest: a request makes some hundred
-# and leaves no cycles, so that rarer collections cost nothing and pause less.
-COLLECT_AFTER = 50_000
+# Net allocations that trigger a collection of the youngest generation. A request makes
+# some hundred objects and leaves no reference cycles, so rarer collections cause fewer
+# pauses and cost no memory.
+GC_THRESHOLD = 50_000
 
 
 async def run(settings: PlatformSettings, path: str) -> None:
@@ -27,8 +28,8 @@
     journal = Journal(settings.node.name)
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     loop.add_signal_handler(
         signal.SIGHUP, lambda: journal.emit(SETTINGS_CHANGED, path=path)
     )
@@ -42,12 +43,12 @@
     )
     gc.collect()
     gc.freeze()
-    gc.set_threshold(COLLECT_AFTER, 20, 50)
+    gc.set_threshold(GC_THRESHOLD, 20, 50)
     await node.run(stopping)
 
 
 def main() -> int:
-    """Run, and return the exit status."""
+    """Run the node and return the exit status."""
     path = os.environ.get(SETTINGS_VARIABLE, "")
     handler = LineHandler()
     with handler.applicationbound():
--- a/primroseglade/platform/reports.py
+++ b/primroseglade/platform/reports.py
@@ -1,4 +1,4 @@
-"""Status reports of the backend server beside a node, and readiness checks."""
+"""HTTP handlers for the local backend server's status reports and readiness checks."""
 
 import json
 from urllib.parse import unquote
@@ -11,16 +11,20 @@
 from ..sidecar.node import SidecarNode
 from .values import Fields
 
-PREFIX = b"/instances/"
+INSTANCES_PATH = b"/instances/"
 OK = render_status_line(200) + b"Content-Type: application/json\r\n"
 UNAVAILABLE = render_status_line(503)
 
 
 def decode_report(instance: str, body: bytes) -> StatusReport:
-    """Return what a report says.
+    """Decode a status report.
+
+    Args:
+        instance: Id of the backend server, from the request's path.
+        body: JSON body of the request.
 
     Raises:
-        InputError: It comes from another writer, or cannot be read.
+        InputError: The report is malformed.
     """
     source = "status report"
     try:
@@ -29,36 +33,36 @@
         raise InputError(source, "", f"is not JSON: {error}") from error
     fields = Fields(value, source)
     try:
-        state = BackendState(fields.get_text("state"))
+        state = BackendState(fields.get_string("state"))
     except ValueError as error:
         raise InputError(source, "state", str(error)) from error
-    slots = fields.get_whole("capacity_slots")
+    slots = fields.get_integer("capacity_slots")
     if slots < 1:
-        raise InputError(source, "capacity_slots", "is not above 0")
+        raise InputError(source, "capacity_slots", "must be above 0")
     return StatusReport(
         instance,
-        fields.get_text("service"),
-        fields.get_text("address"),
+        fields.get_string("service"),
+        fields.get_string("address"),
         slots,
         state,
         fields.get_seconds("cold_remaining", 0.0),
-        fields.get_whole("sequence"),
-        fields.get_whole("born", 0),
+        fields.get_integer("sequence"),
+        fields.get_integer("born", 0),
     )
 
 
-def decode_leave(body: bytes) -> int:
-    """Return the start of the lifetime that a leave call names, 0 if it names none."""
+def decode_deregistration(body: bytes) -> int:
+    """Return the start time in a deregistration, in Unix ms; 0 if it has none."""
     if not body:
         return 0
     try:
-        return Fields(json.loads(body), "leave").get_whole("born", 0)
+        return Fields(json.loads(body), "leave").get_integer("born", 0)
     except (ValueError, InputError):
         return 0
 
 
 def build_ready(node: SidecarNode) -> Handler:
-    """Return what answers readiness checks."""
+    """Return the handler of readiness checks."""
 
     async def handle(request: Request) -> Reply:
         return Reply(OK, b"{}") if node.ready else Reply(UNAVAILABLE, b"")
@@ -67,18 +71,18 @@
 
 
 def build_control(node: SidecarNode, journal: Journal) -> Handler:
-    """Return what takes the backend server's reports."""
+    """Return the handler of status reports and deregistrations."""
 
     async def handle(request: Request) -> Reply:
         path = request.target.partition(b"?")[0]
-        if not path.startswith(PREFIX):
+        if not path.startswith(INSTANCES_PATH):
             return Reply(render_status_line(404), b"")
-        instance = unquote(path[len(PREFIX) :].decode("latin-1"))
+        instance = unquote(path[len(INSTANCES_PATH) :].decode("latin-1"))
         if request.method == b"DELETE":
-            kept = await node.registration.handle_deregistration(
-                instance, decode_leave(request.body)
+            acknowledged = await node.registration.handle_deregistration(
+                instance, decode_deregistration(request.body)
             )
-            return Reply(OK, b"{}") if kept else Reply(UNAVAILABLE, b"")
+            return Reply(OK, b"{}") if acknowledged else Reply(UNAVAILABLE, b"")
         if request.method != b"PUT":
             return Reply(render_status_line(405), b"")
         try:
@@ -86,7 +90,7 @@
         except InputError as error:
             journal.emit(BACKEND_REPORT_REFUSED, backend=instance, reason=str(error))
             return Reply(render_status_line(400), b"")
-        kept = await node.registration.handle_report(report)
-        return Reply(OK, b"{}") if kept else Reply(UNAVAILABLE, b"")
+        acknowledged = await node.registration.handle_report(report)
+        return Reply(OK, b"{}") if acknowledged else Reply(UNAVAILABLE, b"")
 
     return handle
--- a/primroseglade/platform/settings.py
+++ b/primroseglade/platform/settings.py
@@ -9,11 +9,11 @@
 
 
 class PlatformSettings:
-    """What the file says.
+    """The decoded settings file.
 
     Args:
-        node: For the node.
-        store: Address of the platform's store.
+        node: The node's settings.
+        store: Address of the platform's store, ``IP:PORT``.
     """
 
     __slots__ = ("node", "store")
@@ -24,10 +24,10 @@
 
 
 def load_settings(path: str) -> PlatformSettings:
-    """Read the file.
+    """Read and decode the settings file.
 
     Raises:
-        InputError: It cannot be read, or lacks what is needed.
+        InputError: The file cannot be read, or a field is missing or invalid.
     """
     try:
         value = json.loads(pathlib.Path(path).read_text(encoding="utf-8"))
@@ -37,29 +37,29 @@
 
 
 def decode_settings(fields: Fields) -> PlatformSettings:
-    """Return what the decoded file says.
+    """Return the settings from the file's JSON object.
 
     Raises:
-        InputError: A field is missing or wrong.
+        InputError: A field is missing or invalid.
     """
     listen = fields.get_object("listen")
     bounds = fields.get_object("bounds")
     ports = fields.get_list("internal_ports")
     if not ports or not all(isinstance(port, int) for port in ports):
-        raise InputError("settings", "internal_ports", "names no ports")
-    host = fields.get_text("ip")
+        raise InputError("settings", "internal_ports", "must list at least one port")
+    host = fields.get_string("ip")
     node = NodeSettings(
-        name=fields.get_text("node_name"),
-        zone=fields.get_text("zone"),
-        service=fields.get_text("service"),
-        backend=fields.get_text("app_addr"),
+        name=fields.get_string("node_name"),
+        zone=fields.get_string("zone"),
+        service=fields.get_string("service"),
+        backend=fields.get_string("app_addr"),
         host=host,
-        outbound=listen.get_text("outbound"),
-        ready=listen.get_text("ready"),
-        control=listen.get_text("control"),
+        outbound=listen.get_string("outbound"),
+        ready=listen.get_string("ready"),
+        control=listen.get_string("control"),
         peers=f"{host}:{ports[0]}",
         metrics=f"{host}:{ports[0] + 1}",
-        first_start=fields.get_flag("first_start"),
+        first_start=fields.get_boolean("first_start"),
         grace=bounds.get_seconds("grace", 6.0),
         revoke=bounds.get_seconds("revoke", 5.0),
         config_apply=bounds.get_seconds("config_apply", 2.0),
@@ -70,4 +70,4 @@
         quota_slack=bounds.get_number("quota_slack", 0.0),
         quota_window=bounds.get_seconds("quota_window", 5.0),
     )
-    return PlatformSettings(node, fields.get_object("platform").get_text("address"))
+    return PlatformSettings(node, fields.get_object("platform").get_string("address"))
