--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -17,32 +17,32 @@
 
 # Of what backend servers get done, what is let through: some calls are repeated, and a
 # service with no room at all makes each of them wait.
-FULL = 0.95
+ADMITTED_CAPACITY_RATIO = 0.95
 # Calls at work and waiting for each slot. Above the first, more came than was reckoned
 # with; below the second, less.
-TOO_BUSY = 1.5
-ROOM = 0.95
+MAX_TARGET_UTILIZATION = 1.5
+MIN_TARGET_UTILIZATION = 0.95
 # What waits is worked off within so many seconds. It is seen late, and what is done
 # about it shows later: in less time the level would swing.
-DRAIN_SECONDS = 1.5
+QUEUE_DRAIN_SECONDS = 1.5
 # The reckoning is corrected by these parts a step: slowly against the time after which
 # a correction shows.
-TRIM_DOWN = 0.01
-TRIM_UP = 0.01
+CORRECTION_DECREASE_RATIO = 0.01
+CORRECTION_INCREASE_RATIO = 0.01
 # And by this where slots stand empty: after an overload that was worse than reckoned.
-EMPTY = 0.7
-TRIM_UP_EMPTY = 0.08
-LEAST_TRIM = 0.4
-MOST_TRIM = 4.0
+FAST_RECOVERY_UTILIZATION = 0.7
+FAST_CORRECTION_INCREASE_RATIO = 0.08
+MIN_CORRECTION_FACTOR = 0.4
+MAX_CORRECTION_FACTOR = 4.0
 # While no calls wait, levels above this are taken for an error of the reckoning.
-SURE = 0.85
+MAX_INITIAL_ADMISSION_LEVEL = 0.85
 # Some always pass, or nothing would show that there is room.
-LEAST_LEVEL = 0.05
+MIN_ADMISSION_LEVEL = 0.05
 # Demand is counted over this span, in seconds: long enough for some requests at each
 # node, and a burst has to be seen before queues are full.
-DEMAND_SECONDS = 1.0
+DEMAND_WINDOW_SECONDS = 1.0
 # A service that one request in so many reaches is no reason to refuse it.
-LEAST_VISITS = 0.05
+MIN_CALLS_PER_REQUEST = 0.05
 
 
 class ServiceLoad:
@@ -53,26 +53,28 @@
     by slots alone it had requests refused while four others stood half empty.
     """
 
-    __slots__ = ("_known", "_unknown", "waiting")
+    __slots__ = ("_sums", "_sums_without_slot_time", "queued")
 
     def __init__(self) -> None:
         #: Calls that wait for a slot.
-        self.waiting = 0.0
+        self.queued = 0.0
         # Of servers whose time of work is known: sums of pressure times weight, and of
         # weights; of the others, just as long as none is known.
-        self._known = [0.0, 0.0]
-        self._unknown = [0.0, 0.0]
+        self._sums = [0.0, 0.0]
+        self._sums_without_slot_time = [0.0, 0.0]
 
     @property
     def capacity(self) -> float:
         """Calls that it gets done in a second; 0 where that is not known."""
-        return self._known[1] * 1000
+        return self._sums[1] * 1000
 
     @property
     def utilization(self) -> float:
         """Calls at work and waiting for each slot."""
-        weighted, weights = self._known if self._known[1] else self._unknown
-        return weighted / weights if weights else 0.0
+        weighted_utilization, total_weight = (
+            self._sums if self._sums[1] else self._sums_without_slot_time
+        )
+        return weighted_utilization / total_weight if total_weight else 0.0
 
     def add(self, in_flight: float, slots: float, slot_ms: float) -> None:
         """Add a backend server.
@@ -83,8 +85,8 @@
             slot_ms: Usual milliseconds for which a call holds a slot, 0 before the
                 first.
         """
-        self.waiting += max(0.0, in_flight - slots)
-        sums = self._known if slot_ms else self._unknown
+        self.queued += max(0.0, in_flight - slots)
+        sums = self._sums if slot_ms else self._sums_without_slot_time
         sums[0] += in_flight / (slot_ms or 1.0)
         sums[1] += slots / (slot_ms or 1.0)
 
@@ -104,14 +106,14 @@
     def __init__(self, rng: random.Random):
         self._rng = rng
         self._demand: dict[str, dict[int, SlidingCount]] = {}
-        self._trims: dict[str, float] = {}
-        self._levels: dict[str, float] = {}
-        self._passed: dict[str, dict[int, float]] = {}
+        self._correction_factors: dict[str, float] = {}
+        self._admission_levels: dict[str, float] = {}
+        self._admitted_fractions: dict[str, dict[int, float]] = {}
 
     @property
     def admission_levels(self) -> dict[str, float]:
         """Levels below 1, by service."""
-        return self._levels
+        return self._admission_levels
 
     def record_demand(self, visits: Mapping[str, float], rank: int, now: float) -> None:
         """Count a request, admitted or not.
@@ -122,18 +124,19 @@
             now: Seconds.
         """
         for service, calls in visits.items():
-            if calls < LEAST_VISITS:
+            if calls < MIN_CALLS_PER_REQUEST:
                 continue
-            ranks = self._demand.setdefault(service, {})
-            count = ranks.get(rank)
+            counts = self._demand.setdefault(service, {})
+            count = counts.get(rank)
             if count is None:
-                count = ranks[rank] = SlidingCount(DEMAND_SECONDS)
+                count = counts[rank] = SlidingCount(DEMAND_WINDOW_SECONDS)
             count.add(now, calls)
 
     def measure_demand(self, now: float) -> dict[str, float]:
         """Return calls a second that requests here lead to, by service."""
         demand = {
-            service: sum(count.total(now) for count in ranks.values()) / DEMAND_SECONDS
+            service: sum(count.total(now) for count in ranks.values())
+            / DEMAND_WINDOW_SECONDS
             for service, ranks in self._demand.items()
         }
         return {service: round(calls, 1) for service, calls in demand.items() if calls}
@@ -149,32 +152,46 @@
             now: Seconds on the loop's clock.
         """
         for service, load in loads.items():
-            level = self._reckon(service, load, demand.get(service, 0.0))
+            level = self._compute_level(service, load, demand.get(service, 0.0))
             if level >= 1.0:
-                self._levels.pop(service, None)
+                self._admission_levels.pop(service, None)
             else:
-                self._levels[service] = max(LEAST_LEVEL, level)
-        self._passed = {
-            service: self._share_out(service, level, now)
-            for service, level in self._levels.items()
+                self._admission_levels[service] = max(MIN_ADMISSION_LEVEL, level)
+        self._admitted_fractions = {
+            service: self._compute_admitted_fractions(service, level, now)
+            for service, level in self._admission_levels.items()
         }
 
-    def _reckon(self, service: str, load: ServiceLoad, demand: float) -> float:
+    def _compute_level(self, service: str, load: ServiceLoad, demand: float) -> float:
         """Return the part of the demand that a service can serve."""
-        trim = self._trims.get(service, 1.0)
+        correction_factor = self._correction_factors.get(service, 1.0)
         utilization = load.utilization
-        if utilization > TOO_BUSY:
-            trim *= 1.0 - TRIM_DOWN
-        elif utilization < ROOM and (trim < 1.0 or service in self._levels):
-            trim *= 1.0 + (TRIM_UP_EMPTY if utilization < EMPTY else TRIM_UP)
-        elif service not in self._levels:
-            trim = min(trim, 1.0)
-        self._trims[service] = min(MOST_TRIM, max(LEAST_TRIM, trim))
+        if utilization > MAX_TARGET_UTILIZATION:
+            correction_factor *= 1.0 - CORRECTION_DECREASE_RATIO
+        elif utilization < MIN_TARGET_UTILIZATION and (
+            correction_factor < 1.0 or service in self._admission_levels
+        ):
+            correction_factor *= 1.0 + (
+                FAST_CORRECTION_INCREASE_RATIO
+                if utilization < FAST_RECOVERY_UTILIZATION
+                else CORRECTION_INCREASE_RATIO
+            )
+        elif service not in self._admission_levels:
+            correction_factor = min(correction_factor, 1.0)
+        self._correction_factors[service] = min(
+            MAX_CORRECTION_FACTOR, max(MIN_CORRECTION_FACTOR, correction_factor)
+        )
         if not load.capacity or not demand:
             return 1.0
-        rate = self._trims[service] * FULL * load.capacity
-        level = (rate - load.waiting / DRAIN_SECONDS) / demand
-        if level > SURE and utilization < ROOM and service not in self._levels:
+        target_rate = (
+            self._correction_factors[service] * ADMITTED_CAPACITY_RATIO * load.capacity
+        )
+        level = (target_rate - load.queued / QUEUE_DRAIN_SECONDS) / demand
+        if (
+            level > MAX_INITIAL_ADMISSION_LEVEL
+            and utilization < MIN_TARGET_UTILIZATION
+            and service not in self._admission_levels
+        ):
             return 1.0
         return level
 
@@ -185,22 +202,24 @@
             visits: Calls at each service that it leads to.
             rank: Of the request.
         """
-        if not self._passed:
+        if not self._admitted_fractions:
             return True
-        passed = 1.0
+        admitted_fraction = 1.0
         for service, calls in visits.items():
-            ranks = self._passed.get(service)
-            if ranks is not None and calls >= LEAST_VISITS:
-                passed = min(passed, ranks.get(rank, 1.0))
-        return passed >= 1.0 or self._rng.random() < passed
-
-    def _share_out(self, service: str, level: float, now: float) -> dict[int, float]:
+            fractions = self._admitted_fractions.get(service)
+            if fractions is not None and calls >= MIN_CALLS_PER_REQUEST:
+                admitted_fraction = min(admitted_fraction, fractions.get(rank, 1.0))
+        return admitted_fraction >= 1.0 or self._rng.random() < admitted_fraction
+
+    def _compute_admitted_fractions(
+        self, service: str, level: float, now: float
+    ) -> dict[int, float]:
         """Return which part of each rank passes."""
-        ranks = self._demand.get(service, {})
-        demand = {rank: count.total(now) for rank, count in sorted(ranks.items())}
-        left = level * sum(demand.values())
-        passed: dict[int, float] = {}
+        counts = self._demand.get(service, {})
+        demand = {rank: count.total(now) for rank, count in sorted(counts.items())}
+        remaining = level * sum(demand.values())
+        admitted_fractions: dict[int, float] = {}
         for rank, calls in demand.items():
-            passed[rank] = min(1.0, left / calls) if calls else 1.0
-            left = max(0.0, left - calls)
-        return passed
+            admitted_fractions[rank] = min(1.0, remaining / calls) if calls else 1.0
+            remaining = max(0.0, remaining - calls)
+        return admitted_fractions
--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -1,10 +1,10 @@
 """How large the answers of each route usually are, learnt from those that came."""
 
 # Weight of a new answer, about the last 30 of its route.
-SMOOTHING = 1 / 32
+SIZE_SMOOTHING = 1 / 32
 # Routes that are remembered; a configuration that renames them without end does not
 # fill the memory.
-MOST_ROUTES = 2000
+MAX_ROUTES = 2000
 
 
 class AnswerSizes:
@@ -27,10 +27,10 @@
         """Take in an answer's bytes."""
         mean = self._means.get(route)
         if mean is None:
-            if len(self._means) >= MOST_ROUTES:
+            if len(self._means) >= MAX_ROUTES:
                 self._means.clear()
             mean = float(size)
-        self._means[route] = mean + SMOOTHING * (size - mean)
+        self._means[route] = mean + SIZE_SMOOTHING * (size - mean)
 
     def estimate(self, route: str) -> float:
         """Return the usual bytes of an answer, 0 before the first."""
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -20,19 +20,19 @@
 from .load_balancing import Candidate
 from .model import BackendState, StatusReport
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 # A call with less time left is not begun.
-LEAST_SECONDS = 0.002
+MIN_REMAINING_SECONDS = 0.002
 # Weight of a new outcome in the share of failed calls, about the last 30 calls.
 FAILURE_SMOOTHING = 1 / 32
 # Times the usual work after which a call without an answer counts as failed; few calls
 # work for so long.
-SILENT_FACTOR = 4.0
+UNANSWERED_SERVICE_TIMES = 4.0
 # A backend server that is still slow after its start works half as fast, as its
 # operators say; it is told to others as having fewer slots.
-COLD_SHARE = 0.5
+COLD_CAPACITY_RATIO = 0.5
 # Reports may come some seconds late, also after the backend server was told to leave.
-LATE_REPORT_SECONDS = 10.0
+MAX_REPORT_DELAY_SECONDS = 10.0
 
 
 class BackendAnswer:
@@ -109,18 +109,18 @@
         self._journal = journal
         self._broadcast_state = broadcast_state
         self._report: StatusReport | None = None
-        self._left: dict[str, int] = {}
+        self._drained_start_times: dict[str, int] = {}
         # Until when a leave that named no lifetime holds for the next report.
-        self._unnamed_until: dict[str, float] = {}
+        self._unspecified_drain_until: dict[str, float] = {}
         # Start of the newest lifetime that left here. Peers tell of backend servers
         # that left elsewhere too, which say nothing of the one here.
-        self._newest_left = 0
-        self._leaving = True
-        self._gone = False
+        self._newest_drained_start_ms = 0
+        self._draining = True
+        self._unavailable = False
         self._stopping = False
         self._cold_until = 0.0
         self._failure_ratio = 0.0
-        self._pool = ConnectionPool(address, CONNECT_SECONDS)
+        self._pool = ConnectionPool(address, CONNECT_TIMEOUT_SECONDS)
         self.queue = BackendQueue(1)
 
     @property
@@ -131,7 +131,12 @@
     @property
     def instance(self) -> str:
         """Id of the backend server that takes calls now; empty if there is none."""
-        if self._report is None or self._leaving or self._gone or self._stopping:
+        if (
+            self._report is None
+            or self._draining
+            or self._unavailable
+            or self._stopping
+        ):
             return ""
         return self._report.instance
 
@@ -139,20 +144,20 @@
     def slots(self) -> int:
         """Calls at work at once, as others should reckon with."""
         if time.monotonic() < self._cold_until:
-            return max(1, int(self.queue.concurrency_limit * COLD_SHARE))
+            return max(1, int(self.queue.concurrency_limit * COLD_CAPACITY_RATIO))
         return self.queue.concurrency_limit
 
     @property
     def service_ms(self) -> float:
         """Usual milliseconds of work of a call, 0 before the first."""
-        if not self.queue.measured:
+        if not self.queue.has_measurement:
             return 0.0
         return round(self.queue.service_seconds * 1000, 2)
 
     @property
     def slot_ms(self) -> float:
         """Usual milliseconds for which a call holds a slot, 0 before the first."""
-        if not self.queue.measured:
+        if not self.queue.has_measurement:
             return 0.0
         return round(self.queue.slot_seconds * 1000, 2)
 
@@ -186,7 +191,10 @@
     def is_stale(self, report: StatusReport) -> bool:
         """Whether a report is of an earlier lifetime, or late in this one."""
         known = self._report
-        if report.start_time_ms and report.start_time_ms < self._newest_left:
+        if (
+            report.start_time_ms
+            and report.start_time_ms < self._newest_drained_start_ms
+        ):
             return True
         if known is None:
             return False
@@ -208,34 +216,34 @@
         if self.is_stale(report):
             return False
         known = self._report
-        another = (
+        is_new_incarnation = (
             known is None
             or known.instance != report.instance
             or known.start_time_ms != report.start_time_ms
         )
         self._report = report
-        if another:
-            self._start_lifetime(report)
-        if self._has_left(report):
-            self._leaving = True
+        if is_new_incarnation:
+            self._start_incarnation(report)
+        if self._is_drained(report):
+            self._draining = True
         elif report.state is BackendState.DRAINING:
             self.drain(report.instance, report.start_time_ms)
         else:
-            if self._leaving or self._gone:
+            if self._draining or self._unavailable:
                 self._journal.emit(BACKEND_ANNOUNCED, backend=report.instance)
-            self._leaving = False
-            self._gone = False
+            self._draining = False
+            self._unavailable = False
         return True
 
-    def _has_left(self, report: StatusReport) -> bool:
+    def _is_drained(self, report: StatusReport) -> bool:
         """Whether a report is of a lifetime that was told to leave."""
-        if report.instance not in self._left:
+        if report.instance not in self._drained_start_times:
             return False
-        if time.monotonic() < self._unnamed_until.get(report.instance, 0.0):
+        if time.monotonic() < self._unspecified_drain_until.get(report.instance, 0.0):
             # The leave named no lifetime, and came before any report of it.
-            self._left[report.instance] = report.start_time_ms
-            del self._unnamed_until[report.instance]
-        return self._left[report.instance] == report.start_time_ms
+            self._drained_start_times[report.instance] = report.start_time_ms
+            del self._unspecified_drain_until[report.instance]
+        return self._drained_start_times[report.instance] == report.start_time_ms
 
     def drain(self, instance: str, start_time_ms: int) -> None:
         """Send nothing more to a backend server that leaves.
@@ -246,14 +254,18 @@
         known = self._report
         if known is not None and known.instance == instance:
             start_time_ms = start_time_ms or known.start_time_ms
-            if not self._leaving:
+            if not self._draining:
                 self._journal.emit(BACKEND_DRAINING, backend=instance)
             if start_time_ms == known.start_time_ms:
-                self._leaving = True
-            self._newest_left = max(self._newest_left, start_time_ms)
-        self._left[instance] = start_time_ms
+                self._draining = True
+            self._newest_drained_start_ms = max(
+                self._newest_drained_start_ms, start_time_ms
+            )
+        self._drained_start_times[instance] = start_time_ms
         if not start_time_ms:
-            self._unnamed_until[instance] = time.monotonic() + LATE_REPORT_SECONDS
+            self._unspecified_drain_until[instance] = (
+                time.monotonic() + MAX_REPORT_DELAY_SECONDS
+            )
 
     async def serve(self, call: Call, remaining: float) -> ServedAnswer:
         """Run a call on the backend server.
@@ -263,7 +275,7 @@
         """
         self._check_instance(call)
         deadline = time.monotonic() + remaining
-        _check_time(remaining)
+        _check_remaining_time(remaining)
         slot = await self.queue.acquire(
             call.latency_target_ms / 1000, remaining, call.nested
         )
@@ -279,23 +291,23 @@
         except asyncio.CancelledError:
             # Its caller gave up. Where it waited for much longer than usual, nothing
             # more would have come: answers that get lost show in no other way.
-            waited = time.monotonic() - started
-            if waited > SILENT_FACTOR * self.queue.service_seconds:
-                self._note_outcome(failed=True)
+            elapsed = time.monotonic() - started
+            if elapsed > UNANSWERED_SERVICE_TIMES * self.queue.service_seconds:
+                self._record_outcome(failed=True)
             raise
         finally:
             now = time.monotonic()
             self._call_ratios.record_end(call.route, now)
             self.queue.release(slot, now - started, completed)
 
-    def _start_lifetime(self, report: StatusReport) -> None:
+    def _start_incarnation(self, report: StatusReport) -> None:
         self._pool.close_idle()
-        self._leaving = True
+        self._draining = True
         self._failure_ratio = 0.0
         self._cold_until = time.monotonic() + report.cold_remaining
         self.queue.resize(report.slots)
 
-    def _note_gone(self) -> None:
+    def _mark_unavailable(self) -> None:
         """Take no calls for a backend server that has crashed.
 
         It says nothing when it does. While others took it for usable, a part of all
@@ -303,9 +315,9 @@
         A report proves that it lives; one that was under way is refuted by the next
         call.
         """
-        if self._gone:
+        if self._unavailable:
             return
-        self._gone = True
+        self._unavailable = True
         self._pool.close_idle()
         self._journal.emit(BACKEND_GONE, backend=self._report and self._report.instance)
         self._broadcast_state()
@@ -317,61 +329,61 @@
             raise not_run(Reason.DRAINING, "another backend server is here now")
 
     async def _exchange(self, call: Call, deadline: float) -> ServedAnswer:
-        read: BackendAnswer | None = None
+        parsed: BackendAnswer | None = None
 
-        def accept(answer: Answer) -> bool:
-            nonlocal read
-            read = self._dialect.read_answer(answer)
-            return read.request_id == call.request_id or (
-                not read.request_id and answer.status >= 300
+        def is_answer_to_call(answer: Answer) -> bool:
+            nonlocal parsed
+            parsed = self._dialect.read_answer(answer)
+            return parsed.request_id == call.request_id or (
+                not parsed.request_id and answer.status >= 300
             )
 
         try:
             connection = await self._pool.acquire(once=not call.idempotent)
         except ExchangeError as error:
-            self._note_outcome(failed=True)
+            self._record_outcome(failed=True)
             if error.refused:
-                self._note_gone()
+                self._mark_unavailable()
             raise not_run(Reason.CONNECTION_LOST, error.detail) from error
         try:
             remaining = deadline - time.monotonic()
-            _check_time(remaining)
+            _check_remaining_time(remaining)
             request = self._dialect.finish_request(call, remaining)
             answer = await connection.exchange(
-                request, accept, call.head.startswith(b"HEAD ")
+                request, is_answer_to_call, call.head.startswith(b"HEAD ")
             )
         except ExchangeError as error:
-            self._note_outcome(failed=True)
+            self._record_outcome(failed=True)
             if not error.sent:
                 raise not_run(Reason.CONNECTION_LOST, error.detail) from error
             raise may_have_run(Reason.CONNECTION_LOST, error.detail) from error
         finally:
             self._pool.release(connection)
-        assert read is not None
-        return self._judge(answer, read)
+        assert parsed is not None
+        return self._classify_answer(answer, parsed)
 
-    def _judge(self, answer: Answer, read: BackendAnswer) -> ServedAnswer:
+    def _classify_answer(self, answer: Answer, parsed: BackendAnswer) -> ServedAnswer:
         """Tell an answer from a refusal of the backend server."""
-        if read.not_executed or answer.status == 421:
-            self._note_outcome(failed=True)
+        if parsed.not_executed or answer.status == 421:
+            self._record_outcome(failed=True)
             if answer.status == 421:
                 # Another backend server has the address; the next report says which.
-                self._leaving = True
+                self._draining = True
                 raise BackendRefusal(Reason.DRAINING, detail="another instance")
             detail = "the backend server refused it"
             raise BackendRefusal(Reason.OVERLOADED, detail=detail)
-        if answer.status < 300 and not read.signed:
-            self._note_outcome(failed=True)
+        if answer.status < 300 and not parsed.signed:
+            self._record_outcome(failed=True)
             detail = "an answer without the backend server's signature"
             raise may_have_run(Reason.ANSWER_BROKEN, detail)
-        self._note_outcome(failed=answer.status >= 500)
-        return ServedAnswer(answer.status, read, answer.body)
+        self._record_outcome(failed=answer.status >= 500)
+        return ServedAnswer(answer.status, parsed, answer.body)
 
-    def _note_outcome(self, failed: bool) -> None:
+    def _record_outcome(self, failed: bool) -> None:
         self._failure_ratio += FAILURE_SMOOTHING * (float(failed) - self._failure_ratio)
 
 
-def _check_time(remaining: float) -> None:
+def _check_remaining_time(remaining: float) -> None:
     """Refuse a call whose caller has left: what it would get done is of no use."""
-    if remaining < LEAST_SECONDS:
+    if remaining < MIN_REMAINING_SECONDS:
         raise not_run(Reason.DEADLINE_EXCEEDED, "its time passed on the way")
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -12,7 +12,7 @@
 from .model import Route
 
 # Deeper than any known graph; ends the walk where services call each other.
-DEEPEST = 20
+MAX_DEPTH = 20
 
 # A route, and the service that serves it.
 ServiceRoute = tuple[str, str]
@@ -22,13 +22,13 @@
     """The routes' calls to each other, put together from all nodes."""
 
     def __init__(self) -> None:
-        self._below: dict[ServiceRoute, CallRatios] = {}
+        self._call_ratios: dict[ServiceRoute, CallRatios] = {}
         self._routes: Mapping[str, Route] = {}
         self._visits: dict[ServiceRoute, dict[str, float]] = {}
 
     def rebuild(
         self,
-        told: Iterable[tuple[str, Mapping[str, CallRatios]]],
+        reported_ratios: Iterable[tuple[str, Mapping[str, CallRatios]]],
         routes: Mapping[str, Route],
     ) -> None:
         """Take what nodes tell.
@@ -39,17 +39,20 @@
             routes: In force, by name, for who serves the calls.
         """
         sums: dict[ServiceRoute, CallRatios] = {}
-        nodes: dict[ServiceRoute, int] = {}
-        for service, by_route in told:
-            for route, below in by_route.items():
-                place = (route, service)
-                nodes[place] = nodes.get(place, 0) + 1
-                target = sums.setdefault(place, {})
-                for name, ratio in below.items():
-                    target[name] = target.get(name, 0.0) + ratio
-        self._below = {
-            place: {name: total / nodes[place] for name, total in below.items()}
-            for place, below in sums.items()
+        node_counts: dict[ServiceRoute, int] = {}
+        for service, by_route in reported_ratios:
+            for route, ratios in by_route.items():
+                service_route = (route, service)
+                node_counts[service_route] = node_counts.get(service_route, 0) + 1
+                route_sums = sums.setdefault(service_route, {})
+                for name, ratio in ratios.items():
+                    route_sums[name] = route_sums.get(name, 0.0) + ratio
+        self._call_ratios = {
+            service_route: {
+                name: total / node_counts[service_route]
+                for name, total in ratios.items()
+            }
+            for service_route, ratios in sums.items()
         }
         self._routes = routes
         self._visits = {}
@@ -61,28 +64,28 @@
             route: Name of the route.
             service: That serves the request.
         """
-        place = (route, service)
-        visits = self._visits.get(place)
+        service_route = (route, service)
+        visits = self._visits.get(service_route)
         if visits is None:
-            visits = self._visits[place] = self._sum_levels(place)
+            visits = self._visits[service_route] = self._sum_visits(service_route)
         return visits
 
     def list_downstream_calls(
-        self, place: ServiceRoute
+        self, service_route: ServiceRoute
     ) -> list[tuple[ServiceRoute, float]]:
         """Return the calls of one run, each with how often it is made."""
-        below = self._below.get(place)
-        if below is None:
+        ratios = self._call_ratios.get(service_route)
+        if ratios is None:
             # A route that is new at its service counts as the average run there.
-            below = self._below.get(("", place[1]), {})
+            ratios = self._call_ratios.get(("", service_route[1]), {})
         return [
             ((route, service), ratio * share)
-            for route, ratio in below.items()
-            for service, share in self._share_out(route)
-            if service != place[1]
+            for route, ratio in ratios.items()
+            for service, share in self._split_by_weight(route)
+            if service != service_route[1]
         ]
 
-    def _sum_levels(self, root: ServiceRoute) -> dict[str, float]:
+    def _sum_visits(self, root: ServiceRoute) -> dict[str, float]:
         """Add up the calls at each depth.
 
         Level by level and not path by path: routes that move leave a few calls from
@@ -91,19 +94,23 @@
         """
         visits = {root[1]: 1.0}
         level = {root: 1.0}
-        for _ in range(DEEPEST):
-            below: dict[ServiceRoute, float] = {}
-            for place, count in level.items():
-                for called, ratio in self.list_downstream_calls(place):
-                    below[called] = below.get(called, 0.0) + count * ratio
-            level = {place: n for place, n in below.items() if n >= MIN_CALL_RATIO}
+        for _ in range(MAX_DEPTH):
+            next_level: dict[ServiceRoute, float] = {}
+            for service_route, count in level.items():
+                for called, ratio in self.list_downstream_calls(service_route):
+                    next_level[called] = next_level.get(called, 0.0) + count * ratio
+            level = {
+                service_route: count
+                for service_route, count in next_level.items()
+                if count >= MIN_CALL_RATIO
+            }
             if not level:
                 break
             for (_, service), count in level.items():
                 visits[service] = visits.get(service, 0.0) + count
         return visits
 
-    def _share_out(self, name: str) -> list[tuple[str, float]]:
+    def _split_by_weight(self, name: str) -> list[tuple[str, float]]:
         """Return who serves a route, each with its part."""
         route = self._routes.get(name)
         if route is None:
--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -9,7 +9,7 @@
 import time
 
 # How late a call may be ended; callers measure in tenths of a second.
-SWEEP_SECONDS = 0.05
+CANCEL_DELAY_SECONDS = 0.05
 
 
 class Deadline:
@@ -36,44 +36,44 @@
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._open: set[Deadline] = set()
+        self._active: set[Deadline] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._wakes_at = math.inf
+        self._next_sweep_at = math.inf
 
     def start(self, at: float) -> Deadline:
         """Have the running task cancelled at a time on the loop's clock."""
         task = asyncio.current_task(self._loop)
         assert task is not None
         deadline = Deadline(at, task)
-        self._open.add(deadline)
-        if at + SWEEP_SECONDS < self._wakes_at:
-            self._wake_at(at + SWEEP_SECONDS)
+        self._active.add(deadline)
+        if at + CANCEL_DELAY_SECONDS < self._next_sweep_at:
+            self._schedule_sweep(at + CANCEL_DELAY_SECONDS)
         return deadline
 
     def end(self, deadline: Deadline) -> None:
         """Note that the call has ended."""
-        self._open.discard(deadline)
+        self._active.discard(deadline)
 
     def close(self) -> None:
         """End no call any more."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _wake_at(self, moment: float) -> None:
+    def _schedule_sweep(self, sweep_at: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._wakes_at = moment
-        wait = max(0.0, moment - time.monotonic())
+        self._next_sweep_at = sweep_at
+        wait = max(0.0, sweep_at - time.monotonic())
         self._timer = self._loop.call_later(wait, self._sweep)
 
     def _sweep(self) -> None:
         """Cancel what is over its time."""
         now = time.monotonic()
-        for deadline in [d for d in self._open if d.at <= now]:
+        for deadline in [d for d in self._active if d.at <= now]:
             deadline.expired = True
-            self._open.discard(deadline)
+            self._active.discard(deadline)
             deadline.task.cancel()
-        self._wakes_at = math.inf
+        self._next_sweep_at = math.inf
         self._timer = None
-        if self._open:
-            self._wake_at(min(d.at for d in self._open) + SWEEP_SECONDS)
+        if self._active:
+            self._schedule_sweep(min(d.at for d in self._active) + CANCEL_DELAY_SECONDS)
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -11,9 +11,9 @@
 from .zone_costs import ZoneCosts
 
 # How often the graph is built anew; what backend servers call is told less often.
-GRAPH_SECONDS = 1.0
+GRAPH_REBUILD_SECONDS = 1.0
 # Levels change in steps; the log has them once a second while any is below its top.
-LEVELS_TOLD_SECONDS = 1.0
+LEVELS_LOG_INTERVAL_SECONDS = 1.0
 
 
 class LoadMonitor:
@@ -49,8 +49,8 @@
         self._call_ratios = call_ratios
         self._policies = policies
         self._journal = journal
-        self._levels_told = False
-        self._levels_told_at = 0.0
+        self._last_log_had_levels = False
+        self._levels_logged_at = 0.0
         self._graph_built_at = 0.0
         self.average_in_flight = 0.0
 
@@ -58,9 +58,9 @@
         """Look once, at every step of the ticker."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
-        self._tell_levels(survey, now)
+        self._log_levels(survey, now)
         self._zone_costs.refresh(survey.min_costs)
-        if now - self._graph_built_at > GRAPH_SECONDS:
+        if now - self._graph_built_at > GRAPH_REBUILD_SECONDS:
             self._graph_built_at = now
             self._rebuild_graph(now)
 
@@ -79,14 +79,17 @@
             survey.demand[service] = survey.demand.get(service, 0.0) + calls
         return survey
 
-    def _tell_levels(self, survey: Survey, now: float) -> None:
+    def _log_levels(self, survey: Survey, now: float) -> None:
         admission_levels = self._admission.admission_levels
-        if not admission_levels and not self._levels_told:
+        if not admission_levels and not self._last_log_had_levels:
             return
-        if now - self._levels_told_at < LEVELS_TOLD_SECONDS and admission_levels:
+        if (
+            now - self._levels_logged_at < LEVELS_LOG_INTERVAL_SECONDS
+            and admission_levels
+        ):
             return
-        self._levels_told_at = now
-        self._levels_told = bool(admission_levels)
+        self._levels_logged_at = now
+        self._last_log_had_levels = bool(admission_levels)
         loads = survey.loads
         self._journal.emit(
             LEVELS_SET,
@@ -98,12 +101,12 @@
         )
 
     def _rebuild_graph(self, now: float) -> None:
-        told = [
+        reported_ratios = [
             (peer.entry.service, peer.state.downstream_calls)
             for peer in self._fleet
             if peer.connected and peer.state.downstream_calls
         ]
-        own = self._call_ratios.get_ratios(now)
-        if own:
-            told.append((self._backend.service, own))
-        self._graph.rebuild(told, self._policies.routes.by_name)
+        own_ratios = self._call_ratios.get_ratios(now)
+        if own_ratios:
+            reported_ratios.append((self._backend.service, own_ratios))
+        self._graph.rebuild(reported_ratios, self._policies.routes.by_name)
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -17,10 +17,10 @@
         window: Seconds.
     """
 
-    USED = 0.7
-    USED_AFTER_RESTART = 0.2
+    ENFORCED_RATIO = 0.7
+    RESTART_RATIO = 0.2
     # Part of what is used that goes to the burst; the rest goes to the rate.
-    BURST_PART = 0.5
+    BURST_RATIO = 0.5
 
     __slots__ = ("_overshoot", "_slack", "_window")
 
@@ -40,13 +40,13 @@
         """
         if tenant.rate <= 0:
             return TokenLimits(tenant.name, 0.0, 0.0, version)
-        tolerated = self._slack
-        tolerated += self._overshoot * (tenant.rate * self._window + tenant.burst)
-        used = tolerated * self.USED
+        tolerated_calls = self._slack
+        tolerated_calls += self._overshoot * (tenant.rate * self._window + tenant.burst)
+        extra_calls = tolerated_calls * self.ENFORCED_RATIO
         return TokenLimits(
             tenant.name,
-            tenant.rate + used * (1.0 - self.BURST_PART) / self._window,
-            tenant.burst + used * self.BURST_PART,
+            tenant.rate + extra_calls * (1.0 - self.BURST_RATIO) / self._window,
+            tenant.burst + extra_calls * self.BURST_RATIO,
             version,
-            tolerated * self.USED_AFTER_RESTART,
+            tolerated_calls * self.RESTART_RATIO,
         )
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -5,9 +5,9 @@
 
 # Of the operator's share of repeats, what nodes use: the calls that a repeated run
 # will make are estimates, and lag behind a graph that changes.
-SHARE_USED = 0.7
+RATIO_USED_FRACTION = 0.7
 # Of the operator's fixed number of repeats, what all nodes use together.
-FIXED_USED = 0.6
+FIXED_USED_FRACTION = 0.6
 
 
 class RetryBudget:
@@ -24,15 +24,15 @@
     """
 
     def __init__(self, ratio: float, fixed: float, window: float):
-        self._ratio = ratio * SHARE_USED
-        self._fixed = fixed * FIXED_USED
+        self._ratio = ratio * RATIO_USED_FRACTION
+        self._fixed = fixed * FIXED_USED_FRACTION
         self._window = window
-        self._firsts: dict[str, SlidingCount] = {}
-        self._repeats: dict[str, SlidingCount] = {}
+        self._first_attempts: dict[str, SlidingCount] = {}
+        self._retries: dict[str, SlidingCount] = {}
 
     def record_first_attempt(self, service: str, now: float) -> None:
         """Count a caller's request to a service."""
-        self._get(self._firsts, service).add(now)
+        self._get_count(self._first_attempts, service).add(now)
 
     def try_spend(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
         """Whether one more repeat may be sent; it is counted if so.
@@ -47,16 +47,18 @@
             now: Seconds on the loop's clock.
         """
         for service, calls in visits.items():
-            firsts = self._get(self._firsts, service).total(now)
-            repeats = self._get(self._repeats, service).total(now)
-            allowed = firsts * self._ratio + self._fixed / max(1, nodes)
-            if repeats + calls > allowed:
+            first_attempts = self._get_count(self._first_attempts, service).total(now)
+            retries = self._get_count(self._retries, service).total(now)
+            allowed = first_attempts * self._ratio + self._fixed / max(1, nodes)
+            if retries + calls > allowed:
                 return False
         for service, calls in visits.items():
-            self._get(self._repeats, service).add(now, calls)
+            self._get_count(self._retries, service).add(now, calls)
         return True
 
-    def _get(self, counts: "dict[str, SlidingCount]", service: str) -> "SlidingCount":
+    def _get_count(
+        self, counts: "dict[str, SlidingCount]", service: str
+    ) -> "SlidingCount":
         count = counts.get(service)
         if count is None:
             count = counts[service] = SlidingCount(self._window)
@@ -70,20 +72,20 @@
         window: Seconds.
     """
 
-    STEPS = 20
+    BUCKETS = 20
 
     def __init__(self, window: float):
-        self._step = window / self.STEPS
-        self._counts: collections.deque[list[float]] = collections.deque()
+        self._bucket_seconds = window / self.BUCKETS
+        self._buckets: collections.deque[list[float]] = collections.deque()
         self._total = 0.0
 
     def add(self, now: float, amount: float = 1.0) -> None:
         """Count events at a time that does not go back."""
-        step = int(now / self._step)
-        if self._counts and self._counts[-1][0] == step:
-            self._counts[-1][1] += amount
+        bucket = int(now / self._bucket_seconds)
+        if self._buckets and self._buckets[-1][0] == bucket:
+            self._buckets[-1][1] += amount
         else:
-            self._counts.append([step, amount])
+            self._buckets.append([bucket, amount])
         self._total += amount
 
     def total(self, now: float) -> float:
@@ -94,7 +96,7 @@
         >>> count.total(9.9), count.total(11.0), count.total(17.0)
         (2.0, 1.0, 0.0)
         """
-        oldest = int(now / self._step) - self.STEPS
-        while self._counts and self._counts[0][0] < oldest:
-            self._total -= self._counts.popleft()[1]
+        oldest_bucket = int(now / self._bucket_seconds) - self.BUCKETS
+        while self._buckets and self._buckets[0][0] < oldest_bucket:
+            self._total -= self._buckets.popleft()[1]
         return self._total
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -59,7 +59,7 @@
     """The deadline passed and, before the task ran, its caller left too."""
     task = asyncio.create_task(wait(deadlines, 5.0, 5.0))
     await asyncio.sleep(0)
-    (deadline,) = deadlines._open
+    (deadline,) = deadlines._active
     deadline.expired = True
     task.cancel()
     task.cancel()
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -11,11 +11,11 @@
     for number in range(100):
         budget.record_first_attempt("front", number * 0.01)
         budget.record_first_attempt("deep", number * 0.01)
-    repeats = sum(
+    retries = sum(
         budget.try_spend({"front": 1.0, "deep": 4.0}, nodes=10, now=1.0)
         for _ in range(100)
     )
-    assert 0 < repeats * 4 <= 0.2 * 100 + 50 / 10
+    assert 0 < retries * 4 <= 0.2 * 100 + 50 / 10
 
 
 def test_the_sum_over_nodes_keeps_the_bound():
@@ -24,9 +24,9 @@
     for node in nodes:
         for _ in range(30):
             node.record_first_attempt("front", 1.0)
-    repeats = sum(
+    retries = sum(
         node.try_spend({"front": 1.0}, nodes=10, now=2.0)
         for node in nodes
         for _ in range(50)
     )
-    assert 0 < repeats <= 0.2 * 300 + 50
+    assert 0 < retries <= 0.2 * 300 + 50
