--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -100,9 +100,9 @@
                 for called, ratio in self.list_downstream_calls(service_route):
                     next_level[called] = next_level.get(called, 0.0) + count * ratio
             level = {
-                service_route: count
-                for service_route, count in next_level.items()
-                if count >= MIN_CALL_RATIO
+                service_route: calls
+                for service_route, calls in next_level.items()
+                if calls >= MIN_CALL_RATIO
             }
             if not level:
                 break
