--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -1,13 +1,14 @@
-"""Which requests of callers are refused at once while a service below is overloaded.
+"""Decides which requests are refused while a downstream service is overloaded.
 
-A call that is refused deep in a graph throws away the work of all above it. So what
-cannot be served is refused where it enters, least urgent first, by how much of the
-demand the scarcest service can serve that it leads to.
+A call that is refused deep in the call graph wastes the work of all services above it.
+Excess load is therefore refused where requests enter, the least urgent first. Each
+overloaded service has an admission level, the fraction of the demand that is admitted;
+the lowest level among the services that a request calls applies to it.
 
-How much that is, is reckoned and not searched for: what backend servers get done, over
-the calls that all requests ask for, admitted or not. A queue tells of an overload only
-when requests have come down the whole graph, and the state is told: by then a second
-has passed, and levels that follow it swing.
+The level is computed as the estimated capacity divided by the demand of all requests,
+admitted or not. A controller that follows the queue length would oscillate: the queue
+shows an overload about a second late, after requests have passed through the whole
+graph and the state has been broadcast.
 """
 
 import random
@@ -15,62 +16,66 @@
 
 from .retry_budget import SlidingCount
 
-# Of what backend servers get done, what is let through: some calls are repeated, and a
-# service with no room at all makes each of them wait.
+# Fraction of the estimated capacity that is admitted. The rest leaves room for retries:
+# every call has to queue at a service that runs at full capacity.
 ADMITTED_CAPACITY_RATIO = 0.95
-# Calls at work and waiting for each slot. Above the first, more came than was reckoned
-# with; below the second, less.
+# Target range of the utilization: calls in flight, running and queued, per slot. Above
+# it the capacity is overestimated, and its correction factor falls; below it the factor
+# rises.
 MAX_TARGET_UTILIZATION = 1.5
 MIN_TARGET_UTILIZATION = 0.95
-# What waits is worked off within so many seconds. It is seen late, and what is done
-# about it shows later: in less time the level would swing.
+# Time in which queued calls are to be completed. Queues are reported late, and a new
+# level takes effect later still, so that the level would oscillate with a shorter time.
 QUEUE_DRAIN_SECONDS = 1.5
-# The reckoning is corrected by these parts a step: slowly against the time after which
-# a correction shows.
+# Relative change of the correction factor per update: slow compared with the delay
+# until a correction takes effect.
 CORRECTION_DECREASE_RATIO = 0.01
 CORRECTION_INCREASE_RATIO = 0.01
-# And by this where slots stand empty: after an overload that was worse than reckoned.
+# Below this utilization the factor rises faster: slots are idle after an overload that
+# lowered the factor too far.
 FAST_RECOVERY_UTILIZATION = 0.7
 FAST_CORRECTION_INCREASE_RATIO = 0.08
 MIN_CORRECTION_FACTOR = 0.4
 MAX_CORRECTION_FACTOR = 4.0
-# While no calls wait, levels above this are taken for an error of the reckoning.
+# A service below the target range gets its first level only if that is at most this:
+# a higher one may be an error of the estimate.
 MAX_INITIAL_ADMISSION_LEVEL = 0.85
-# Some always pass, or nothing would show that there is room.
+# Always admitted, since without any calls a recovery would not be noticed.
 MIN_ADMISSION_LEVEL = 0.05
-# Demand is counted over this span, in seconds: long enough for some requests at each
-# node, and a burst has to be seen before queues are full.
+# Window in which demand is counted: long enough for each node to receive some requests,
+# short enough to notice a burst before queues are full.
 DEMAND_WINDOW_SECONDS = 1.0
-# A service that one request in so many reaches is no reason to refuse it.
+# A request is not refused for a service to which it makes fewer calls on average.
 MIN_CALLS_PER_REQUEST = 0.05
 
 
 class ServiceLoad:
-    """How busy a service is, over all its backend servers.
+    """Aggregates the load of a service over its backend servers.
 
-    Each counts by what it gets done, its slots over its time of work. One of five that
-    became twelve times slower, with a long queue, is a sixtieth of the service; counted
-    by slots alone it had requests refused while four others stood half empty.
+    Each backend server is weighted by its throughput, slots divided by slot time. One
+    of five that becomes twelve times slower then counts for a sixtieth of the service.
+    Weighted by slots alone, its long queue caused refusals while the other four were
+    half idle.
     """
 
     __slots__ = ("_sums", "_sums_without_slot_time", "queued")
 
     def __init__(self) -> None:
-        #: Calls that wait for a slot.
+        #: Calls that wait for a slot at any backend server.
         self.queued = 0.0
-        # Of servers whose time of work is known: sums of pressure times weight, and of
-        # weights; of the others, just as long as none is known.
+        # Sums of utilization times weight, and of weights. Backend servers without a
+        # known slot time have sums of their own, used while no slot time is known.
         self._sums = [0.0, 0.0]
         self._sums_without_slot_time = [0.0, 0.0]
 
     @property
     def capacity(self) -> float:
-        """Calls that it gets done in a second; 0 where that is not known."""
+        """Estimated throughput in calls per second; 0 while no slot time is known."""
         return self._sums[1] * 1000
 
     @property
     def utilization(self) -> float:
-        """Calls at work and waiting for each slot."""
+        """Calls in flight, running and queued, per slot."""
         weighted_utilization, total_weight = (
             self._sums if self._sums[1] else self._sums_without_slot_time
         )
@@ -80,10 +85,10 @@
         """Add a backend server.
 
         Args:
-            in_flight: Calls at work and waiting there.
-            slots: Calls that it works on at once.
-            slot_ms: Usual milliseconds for which a call holds a slot, 0 before the
-                first.
+            in_flight: Running and queued calls.
+            slots: Calls that it can run concurrently.
+            slot_ms: Average milliseconds for which a call holds a slot; 0 before the
+                first call.
         """
         self.queued += max(0.0, in_flight - slots)
         sums = self._sums if slot_ms else self._sums_without_slot_time
@@ -92,15 +97,16 @@
 
 
 class Admission:
-    """A level for each overloaded service: the part of the demand for it that passes.
+    """Keeps an admission level for each overloaded service and applies it to requests.
 
-    Demand is the calls at the service that requests lead to. Of a level of 0.7 the
-    most urgent ranks use what they need, and the rank in which 0.7 of the demand is
-    reached passes in part. So a level means the same however requests are spread
-    over ranks, of which most may be nearly empty.
+    The demand for a service is the rate of calls to it that requests cause. At a level
+    of 0.7 requests are admitted by urgency until they make up 0.7 of the demand: the
+    most urgent ranks are admitted whole, and the rank that reaches the limit in part.
+    The effect of a level therefore does not depend on how requests are distributed over
+    ranks, most of which may be nearly empty.
 
     Args:
-        rng: Draws which of a rank pass in part.
+        rng: Selects the requests of a partly admitted rank.
     """
 
     def __init__(self, rng: random.Random):
@@ -112,16 +118,16 @@
 
     @property
     def admission_levels(self) -> dict[str, float]:
-        """Levels below 1, by service."""
+        """Admission levels by service; only those below 1."""
         return self._admission_levels
 
     def record_demand(self, visits: Mapping[str, float], rank: int, now: float) -> None:
-        """Count a request, admitted or not.
+        """Record the demand of a request, admitted or not.
 
         Args:
-            visits: Calls at each service that it leads to.
-            rank: Of the request, 0 the most urgent.
-            now: Seconds.
+            visits: Expected calls to each service.
+            rank: Urgency of the request, 0 the most urgent.
+            now: Seconds on the loop's clock.
         """
         for service, calls in visits.items():
             if calls < MIN_CALLS_PER_REQUEST:
@@ -133,7 +139,7 @@
             count.add(now, calls)
 
     def measure_demand(self, now: float) -> dict[str, float]:
-        """Return calls a second that requests here lead to, by service."""
+        """Return the calls per second that this node's requests cause, by service."""
         demand = {
             service: sum(count.total(now) for count in ranks.values())
             / DEMAND_WINDOW_SECONDS
@@ -144,11 +150,11 @@
     def update(
         self, loads: Mapping[str, ServiceLoad], demand: Mapping[str, float], now: float
     ) -> None:
-        """Set the levels anew, once a step.
+        """Recompute the admission levels, once per step of the ticker.
 
         Args:
-            loads: How busy each service is.
-            demand: Calls a second that requests at all nodes lead to, by service.
+            loads: Load of each service.
+            demand: Calls per second that requests at all nodes cause, by service.
             now: Seconds on the loop's clock.
         """
         for service, load in loads.items():
@@ -163,7 +169,7 @@
         }
 
     def _compute_level(self, service: str, load: ServiceLoad, demand: float) -> float:
-        """Return the part of the demand that a service can serve."""
+        """Update the correction factor and return the admission level of a service."""
         correction_factor = self._correction_factors.get(service, 1.0)
         utilization = load.utilization
         if utilization > MAX_TARGET_UTILIZATION:
@@ -196,11 +202,11 @@
         return level
 
     def admits(self, visits: Mapping[str, float], rank: int) -> bool:
-        """Whether a request that leads to these services may go in.
+        """Return whether a request is admitted.
 
         Args:
-            visits: Calls at each service that it leads to.
-            rank: Of the request.
+            visits: Expected calls to each service.
+            rank: Urgency of the request, 0 the most urgent.
         """
         if not self._admitted_fractions:
             return True
@@ -214,7 +220,7 @@
     def _compute_admitted_fractions(
         self, service: str, level: float, now: float
     ) -> dict[int, float]:
-        """Return which part of each rank passes."""
+        """Return the admitted fraction of each rank."""
         counts = self._demand.get(service, {})
         demand = {rank: count.total(now) for rank, count in sorted(counts.items())}
         remaining = level * sum(demand.values())
