--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -150,7 +150,7 @@
     def update(
         self, loads: Mapping[str, ServiceLoad], demand: Mapping[str, float], now: float
     ) -> None:
-        """Recompute the admission levels, once per step of the ticker.
+        """Recompute the admission levels, at every step of the periodic scheduler.
 
         Args:
             loads: Load of each service.
