--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -1,4 +1,4 @@
-"""The backend server beside this node: the only way to it leads through here."""
+"""State of the local backend server, and the calls that this node runs on it."""
 
 import asyncio
 import time
@@ -21,28 +21,28 @@
 from .model import BackendState, StatusReport
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-# A call with less time left is not begun.
+# A call with less time until its deadline is not sent.
 MIN_REMAINING_SECONDS = 0.002
-# Weight of a new outcome in the share of failed calls, about the last 30 calls.
+# Weight of a new outcome in the moving average: covers about the last 30 calls.
 FAILURE_SMOOTHING = 1 / 32
-# Times the usual work after which a call without an answer counts as failed; few calls
-# work for so long.
+# A call that is canceled without an answer after more than this many times the average
+# service time counts as failed; few calls run that long.
 UNANSWERED_SERVICE_TIMES = 4.0
-# A backend server that is still slow after its start works half as fast, as its
-# operators say; it is told to others as having fewer slots.
+# A backend server that is still cold after its start works at half its speed, according
+# to its operators; it is announced to other nodes with this fraction of its slots.
 COLD_CAPACITY_RATIO = 0.5
-# Reports may come some seconds late, also after the backend server was told to leave.
+# Status reports may arrive this late, even after a drain was requested.
 MAX_REPORT_DELAY_SECONDS = 10.0
 
 
 class BackendAnswer:
-    """What the adapter reads in a backend server's answer.
+    """The parts of a backend server's answer that the platform's adapter interprets.
 
     Args:
-        head: Status line and headers to hand on.
-        request_id: Of the request that it answers.
-        signed: Whether it bears the backend server's signature.
-        not_executed: Whether it says that the request did not run.
+        head: Status line and headers to forward.
+        request_id: ID of the request that it answers.
+        signed: Whether it carries the backend server's signature.
+        not_executed: Whether it states that the request was not executed.
     """
 
     __slots__ = ("head", "not_executed", "request_id", "signed")
@@ -57,17 +57,22 @@
 
 
 class BackendDialect(Protocol):
-    """How to speak to backend servers; the platform's adapter knows."""
+    """Builds requests to backend servers and parses their answers, for one platform."""
 
     def finish_request(self, call: Call, remaining: float) -> bytes:
-        """Return a request's bytes for the backend server."""
+        """Return the bytes of a request for the backend server.
+
+        Args:
+            call: The call to send.
+            remaining: Seconds until its deadline.
+        """
 
     def read_answer(self, answer: Answer) -> BackendAnswer:
-        """Return what an answer says."""
+        """Parse a backend server's answer."""
 
 
 class ServedAnswer:
-    """A backend server's answer to a call."""
+    """The answer that a call got from the backend server."""
 
     __slots__ = ("answer", "body", "status")
 
@@ -78,19 +83,19 @@
 
 
 class BackendRefusal(Refusal):
-    """A refusal by the backend server itself: the request reached it."""
+    """A refusal by the backend server itself, which the request has reached."""
 
 
 class Backend:
-    """Knows the backend server's lifetime and state, and runs calls on it.
+    """Tracks the backend server's incarnation and state, and runs calls on it.
 
     Args:
-        service: What the platform says it serves.
-        address: Where the platform says it listens.
-        dialect: How to speak to it.
-        call_ratios: Counts its runs.
-        journal: Where changes are told.
-        broadcast_state: Tells the other nodes at once what changed here.
+        service: Service that it serves, as configured by the platform.
+        address: Address at which it listens, as configured by the platform.
+        dialect: Builds requests and parses answers.
+        call_ratios: Counts the runs of each route.
+        journal: Logs changes of state.
+        broadcast_state: Announces the state of this node to the others at once.
     """
 
     def __init__(
@@ -110,10 +115,11 @@
         self._broadcast_state = broadcast_state
         self._report: StatusReport | None = None
         self._drained_start_times: dict[str, int] = {}
-        # Until when a leave that named no lifetime holds for the next report.
+        # A drain that names no incarnation applies to the next one that is reported
+        # until then.
         self._unspecified_drain_until: dict[str, float] = {}
-        # Start of the newest lifetime that left here. Peers tell of backend servers
-        # that left elsewhere too, which say nothing of the one here.
+        # Start time of the newest incarnation that was drained here. Peers also relay
+        # drains of other nodes' backend servers, which do not count.
         self._newest_drained_start_ms = 0
         self._draining = True
         self._unavailable = False
@@ -125,12 +131,12 @@
 
     @property
     def service(self) -> str:
-        """What it serves."""
+        """The service that the backend server serves."""
         return self._service
 
     @property
     def instance(self) -> str:
-        """Id of the backend server that takes calls now; empty if there is none."""
+        """ID of the backend server that accepts calls now; empty if there is none."""
         if (
             self._report is None
             or self._draining
@@ -142,37 +148,37 @@
 
     @property
     def slots(self) -> int:
-        """Calls at work at once, as others should reckon with."""
+        """Concurrent calls to announce to other nodes, fewer while it is cold."""
         if time.monotonic() < self._cold_until:
             return max(1, int(self.queue.concurrency_limit * COLD_CAPACITY_RATIO))
         return self.queue.concurrency_limit
 
     @property
     def service_ms(self) -> float:
-        """Usual milliseconds of work of a call, 0 before the first."""
+        """Average service time of a call in milliseconds, 0 before the first."""
         if not self.queue.has_measurement:
             return 0.0
         return round(self.queue.service_seconds * 1000, 2)
 
     @property
     def slot_ms(self) -> float:
-        """Usual milliseconds for which a call holds a slot, 0 before the first."""
+        """Average milliseconds for which a call holds a slot, 0 before the first."""
         if not self.queue.has_measurement:
             return 0.0
         return round(self.queue.slot_seconds * 1000, 2)
 
     @property
     def failure_ratio(self) -> float:
-        """Share of calls that failed there lately."""
+        """Fraction of recent calls that failed."""
         return self._failure_ratio
 
     @property
     def start_time_ms(self) -> int:
-        """Start of the lifetime that is known, 0 if none is."""
+        """Start time of the reported incarnation, 0 before the first report."""
         return self._report.start_time_ms if self._report else 0
 
     def build_candidate(self, node: str) -> Candidate | None:
-        """Return it as a place for calls of this node; None if it takes none."""
+        """Return the load-balancing candidate, or None if it accepts no calls."""
         if not self.instance:
             return None
         return Candidate(
@@ -185,11 +191,11 @@
         )
 
     def stop(self) -> None:
-        """Take no further calls: this node stops."""
+        """Accept no further calls, because this node shuts down."""
         self._stopping = True
 
     def is_stale(self, report: StatusReport) -> bool:
-        """Whether a report is of an earlier lifetime, or late in this one."""
+        """Return whether a report is older than the newest report or drain."""
         known = self._report
         if (
             report.start_time_ms
@@ -205,12 +211,17 @@
         return report.sequence <= known.sequence
 
     def apply_report(self, report: StatusReport) -> bool:
-        """Take in a report and return whether it names the backend server here."""
+        """Apply a status report.
+
+        Returns:
+            Whether it was applied: False if it is stale, or if its service or address
+            differs from the configured one.
+        """
         if report.service != self._service or report.address != self._address:
             self._journal.emit(
                 BACKEND_REPORT_REFUSED,
                 backend=report.instance,
-                reason="of another service or address",
+                reason="service or address differs from the configured one",
             )
             return False
         if self.is_stale(report):
@@ -236,20 +247,24 @@
         return True
 
     def _is_drained(self, report: StatusReport) -> bool:
-        """Whether a report is of a lifetime that was told to leave."""
+        """Return whether a report is of an incarnation that was told to drain."""
         if report.instance not in self._drained_start_times:
             return False
         if time.monotonic() < self._unspecified_drain_until.get(report.instance, 0.0):
-            # The leave named no lifetime, and came before any report of it.
+            # The drain named no incarnation and came before any report of it.
             self._drained_start_times[report.instance] = report.start_time_ms
             del self._unspecified_drain_until[report.instance]
         return self._drained_start_times[report.instance] == report.start_time_ms
 
     def drain(self, instance: str, start_time_ms: int) -> None:
-        """Send nothing more to a backend server that leaves.
+        """Send no further calls to a backend server that is being drained.
+
+        The drain applies to the whole incarnation. A report that was sent before it and
+        arrives later, stating that the backend server is ready, changes nothing.
 
-        It binds for the lifetime: a report that was sent before and comes after,
-        saying that the backend server is ready, changes nothing.
+        Args:
+            instance: ID of the backend server.
+            start_time_ms: Start time of the incarnation; 0 if unknown.
         """
         known = self._report
         if known is not None and known.instance == instance:
@@ -270,8 +285,13 @@
     async def serve(self, call: Call, remaining: float) -> ServedAnswer:
         """Run a call on the backend server.
 
+        Args:
+            call: The call to run.
+            remaining: Seconds until its deadline.
+
         Raises:
-            Refusal: With a verdict that the bytes sent and received allow.
+            Refusal: The call got no usable answer. The verdict says whether it may have
+                run, judging by the bytes sent and received.
         """
         self._check_instance(call)
         deadline = time.monotonic() + remaining
@@ -283,14 +303,14 @@
         completed = False
         self._call_ratios.record_start(call.route, started)
         try:
-            # It may have left while the call waited.
+            # The backend server may have been drained while the call was queued.
             self._check_instance(call)
             served = await self._exchange(call, deadline)
             completed = True
             return served
         except asyncio.CancelledError:
-            # Its caller gave up. Where it waited for much longer than usual, nothing
-            # more would have come: answers that get lost show in no other way.
+            # The caller gave up. After far more than the usual service time the answer
+            # is taken for lost, which shows in no other way.
             elapsed = time.monotonic() - started
             if elapsed > UNANSWERED_SERVICE_TIMES * self.queue.service_seconds:
                 self._record_outcome(failed=True)
@@ -308,12 +328,12 @@
         self.queue.resize(report.slots)
 
     def _mark_unavailable(self) -> None:
-        """Take no calls for a backend server that has crashed.
+        """Accept no calls for a backend server that has crashed, and announce it.
 
-        It says nothing when it does. While others took it for usable, a part of all
-        calls failed here first, and admission let in what its slots would have served.
-        A report proves that it lives; one that was under way is refuted by the next
-        call.
+        A crash sends no report. While other nodes considered the backend server
+        available, part of their calls failed here first, and its slots still counted as
+        capacity for admission. The next report makes it available again; if that was
+        sent before the crash, the next call marks it unavailable once more.
         """
         if self._unavailable:
             return
@@ -324,9 +344,9 @@
 
     def _check_instance(self, call: Call) -> None:
         if not self.instance:
-            raise not_run(Reason.DRAINING, "the backend server takes no calls")
+            raise not_run(Reason.DRAINING, "the backend server accepts no calls")
         if call.instance != self.instance:
-            raise not_run(Reason.DRAINING, "another backend server is here now")
+            raise not_run(Reason.DRAINING, "the backend server was replaced")
 
     async def _exchange(self, call: Call, deadline: float) -> ServedAnswer:
         parsed: BackendAnswer | None = None
@@ -363,18 +383,20 @@
         return self._classify_answer(answer, parsed)
 
     def _classify_answer(self, answer: Answer, parsed: BackendAnswer) -> ServedAnswer:
-        """Tell an answer from a refusal of the backend server."""
+        """Return the answer, or raise if it is a refusal or carries no signature."""
         if parsed.not_executed or answer.status == 421:
             self._record_outcome(failed=True)
             if answer.status == 421:
-                # Another backend server has the address; the next report says which.
+                # Another backend server has the address; the next report names it.
                 self._draining = True
-                raise BackendRefusal(Reason.DRAINING, detail="another instance")
-            detail = "the backend server refused it"
+                raise BackendRefusal(
+                    Reason.DRAINING, detail="another instance has the address"
+                )
+            detail = "the backend server refused the call"
             raise BackendRefusal(Reason.OVERLOADED, detail=detail)
         if answer.status < 300 and not parsed.signed:
             self._record_outcome(failed=True)
-            detail = "an answer without the backend server's signature"
+            detail = "the answer carries no signature of the backend server"
             raise may_have_run(Reason.ANSWER_BROKEN, detail)
         self._record_outcome(failed=answer.status >= 500)
         return ServedAnswer(answer.status, parsed, answer.body)
@@ -384,6 +406,6 @@
 
 
 def _check_remaining_time(remaining: float) -> None:
-    """Refuse a call whose caller has left: what it would get done is of no use."""
+    """Refuse a call whose deadline has passed: nobody waits for the answer."""
     if remaining < MIN_REMAINING_SECONDS:
-        raise not_run(Reason.DEADLINE_EXCEEDED, "its time passed on the way")
+        raise not_run(Reason.DEADLINE_EXCEEDED, "deadline passed before sending")
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -1,6 +1,6 @@
-"""Which call goes next to the backend server, and which is told that there is no room.
+"""Queues calls to the backend server and refuses those that cannot be served in time.
 
-It needs no network: callers of `acquire` are tasks, and time comes from the loop.
+It does no network I/O: each caller of `acquire` waits in a task of its own.
 """
 
 import asyncio
@@ -10,42 +10,42 @@
 
 from ..verdicts import not_run, Reason
 
-# Backend servers slow down when nearly all of their slots are taken: the last ones cost
-# more than they bring.
+# Part of its slots in use at once. A backend server with nearly all slots taken slows
+# down, so that the last ones reduce its throughput.
 USED_SLOT_RATIO = 15 / 16
-# Calls go in the order in which they came, with a handicap of so many times their
-# target: one with a short target goes before another that has not waited for long.
+# Calls are sorted by arrival time plus this many latency targets: a call with a short
+# target overtakes calls with a longer one that have not waited long.
 LATENCY_TARGET_WEIGHT = 3.0
-# Weight of a new measurement of the usual time of work, about the last 30 calls.
+# Weight of a new service time in the moving averages: covers about the last 30 calls.
 SERVICE_TIME_SMOOTHING = 1 / 32
-# Before the first answer, in seconds.
+# Assumed service time before the first answer.
 INITIAL_SERVICE_SECONDS = 0.03
-# Times the usual work after which a call without an answer holds its turn no longer.
-# An answer that got lost leaves its backend server free. Few calls work for so long,
-# and backend servers queue those.
+# The slot of an unanswered call is reclaimed after this many times the average service
+# time of answered calls: the answer may be lost and the backend server free. Few calls
+# run that long, and if one still does, the backend server queues the additional call.
 MAX_SLOT_SERVICE_TIMES = 2.0
-# Calls of callers that wait for one that is at work, at the most. They are refused
-# early, while they may still be served elsewhere or come back in time.
+# Queue length per slot at which calls of external callers are refused: early, while
+# another backend server or a retry can still serve them in time.
 MAX_QUEUED_PER_SLOT = 3.0
-# Calls of other backend servers, likewise: refused, they waste the work above them, so
-# that more of them wait; this bounds memory.
+# Queue length per slot at which calls of other backend servers are refused. That wastes
+# the work of the services above, so the limit is higher and only bounds memory.
 MAX_NESTED_QUEUED_PER_SLOT = 30.0
-# They wait until their answer would be late, or for so many times the usual work. A
-# request makes several calls one after the other: where each waits for all of its own
-# time, their sum is more than the request has, and a backend server with a long queue
-# works for requests that all fail.
+# A nested call may take up to its latency target, or this many average service times if
+# that is longer. A request makes several calls in sequence: if each waited until its
+# own deadline, together they would exceed that of the request, and a backend server
+# with a long queue would work on requests that all fail.
 MAX_NESTED_WAIT_SERVICE_TIMES = 2.0
 
 
 class BackendQueue:
-    """Lets as many calls through as the backend server works on well.
+    """Limits the calls that run on the backend server and queues the others.
 
-    The one whose answer would be late first goes first. What cannot be
-    served in time is refused when it comes, not when its time is up: its caller may
-    still be served elsewhere.
+    Queued calls are ordered by arrival time and latency target. A call that cannot meet
+    its deadline is refused on arrival rather than when the deadline passes, while
+    another backend server may still serve it.
 
     Args:
-        slots: Calls that the backend server works on at once.
+        slots: Calls that the backend server can run concurrently.
     """
 
     def __init__(self, slots: int):
@@ -57,8 +57,8 @@
         self._service_seconds = INITIAL_SERVICE_SECONDS
         self._slot_seconds = INITIAL_SERVICE_SECONDS
         self._completed_service_seconds = INITIAL_SERVICE_SECONDS
-        # When the calls that are at work got their turn, the oldest first, and those of
-        # them that hold it no longer.
+        # When each slot was acquired, the oldest first, and the IDs of the slots that
+        # were reclaimed while their call still waits for its answer.
         self._slot_acquired_at: dict[int, float] = {}
         self._reclaimed_slots: set[int] = set()
         self._has_measurement = False
@@ -69,41 +69,44 @@
 
     @property
     def concurrency_limit(self) -> int:
-        """Calls at work at once."""
+        """Maximum number of calls that run concurrently."""
         return self._concurrency_limit
 
     @property
     def in_flight(self) -> int:
-        """Calls at work and waiting."""
+        """Number of running and queued calls."""
         return self._running + self._queued
 
     @property
     def running(self) -> int:
-        """Calls at work."""
+        """Number of running calls, without those whose slot was reclaimed."""
         return self._running
 
     @property
     def has_measurement(self) -> bool:
-        """Whether any call has ended, so that the time of work is known."""
+        """Whether the service time of any call has been measured."""
         return self._has_measurement
 
     @property
     def service_seconds(self) -> float:
-        """Usual time of work of a call."""
+        """Average service time of a call, as its caller sees it."""
         return self._service_seconds
 
     @property
     def slot_seconds(self) -> float:
-        """Usual time for which a call holds its turn."""
+        """Average time for which a call holds a slot."""
         return self._slot_seconds
 
     def resize(self, slots: int) -> None:
-        """Take another number of slots."""
+        """Set the number of slots, and start queued calls if there are more."""
         self._concurrency_limit = max(1, int(slots * USED_SLOT_RATIO))
         self._start_queued_calls()
 
     def take_average_in_flight(self) -> float:
-        """Return the calls at work and waiting since the last time, on average."""
+        """Return the average number of calls in flight, and start a new average.
+
+        Slots of calls whose answer is considered lost are reclaimed first.
+        """
         now = time.monotonic()
         self._reclaim_unanswered_slots(now)
         self._integrate_in_flight(now)
@@ -116,15 +119,16 @@
     async def acquire(
         self, latency_target: float, remaining: float, nested: bool
     ) -> int:
-        """Wait for a turn, and return its number.
+        """Wait for a slot and return its ID.
 
         Args:
-            target: Seconds until the answer is late.
-            remaining: Seconds in which the call must be done.
+            latency_target: Seconds within which the answer should arrive.
+            remaining: Seconds until the call's deadline.
             nested: Whether another backend server makes the call.
 
         Raises:
-            Refusal: ``not run``: no room in time.
+            Refusal: ``not run``: the queue is full, or the call cannot meet its
+                deadline.
         """
         now = time.monotonic()
         self._integrate_in_flight(now)
@@ -134,7 +138,7 @@
             MAX_NESTED_QUEUED_PER_SLOT if nested else MAX_QUEUED_PER_SLOT
         )
         if self._queued >= self._concurrency_limit * max_queued_per_slot:
-            raise not_run(Reason.OVERLOADED, f"{self._queued} calls wait already")
+            raise not_run(Reason.OVERLOADED, f"queue is full: {self._queued} calls")
         sort_time = now + LATENCY_TARGET_WEIGHT * max(0.0, latency_target)
         calls_ahead = self._count_ahead(sort_time)
         expected_wait = (
@@ -147,20 +151,23 @@
             )
             max_response_seconds = min(remaining, max_nested_seconds)
         if expected_wait + self._service_seconds > max_response_seconds:
-            raise not_run(Reason.OVERLOADED, f"{calls_ahead} calls go before it")
+            raise not_run(
+                Reason.OVERLOADED,
+                f"cannot meet its deadline: {calls_ahead} calls ahead",
+            )
         loop = asyncio.get_running_loop()
         waiter: asyncio.Future[int] = loop.create_future()
         entry = (sort_time, next(self._ids), now + remaining, waiter)
         heapq.heappush(self._waiters, entry)
         self._queued += 1
-        # Ahead of the caller's own timeout, which would not know whether it ran.
+        # Before the caller's own timeout, which cannot tell whether the call ran.
         refuse_at = now + remaining - self._service_seconds / 2
         timer = loop.call_at(refuse_at, self._refuse_expired, waiter)
         try:
             return await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled() and waiter.exception() is None:
-                # Its turn came in the moment in which its caller left.
+                # The slot was assigned just as the caller canceled.
                 self.release(waiter.result(), 0.0, completed=False)
             elif waiter.cancelled() or not waiter.done():
                 waiter.cancel()
@@ -170,14 +177,14 @@
             timer.cancel()
 
     def release(self, slot: int, seconds: float, completed: bool = True) -> None:
-        """Give a turn back.
+        """Release a slot and record the service time of its call.
 
         Args:
-            number: Of the turn.
-            seconds: Time of work so far.
-            completed: Whether the call ended; otherwise its work would have taken
-                longer. A backend server that is slower than its callers' timeouts ends
-                none, and would look as fast as it was before.
+            slot: ID that `acquire` returned.
+            seconds: Service time so far.
+            completed: Whether the call got an answer. If not, its service time counts
+                only if it is above average: a backend server slower than its callers'
+                timeouts answers no call, and would otherwise look as fast as before.
         """
         self._integrate_in_flight(time.monotonic())
         del self._slot_acquired_at[slot]
@@ -208,7 +215,7 @@
         return slot
 
     def _reclaim_unanswered_slots(self, now: float) -> None:
-        """Let others go in place of calls that wait for an answer in vain."""
+        """Free the slots of calls whose answer is considered lost."""
         if not self._has_measurement:
             return
         acquired_before = now - MAX_SLOT_SERVICE_TIMES * self._completed_service_seconds
@@ -223,13 +230,13 @@
     def _refuse_expired(self, waiter: "asyncio.Future[int]") -> None:
         if not waiter.done():
             self._queued -= 1
-            error = not_run(Reason.OVERLOADED, "its time passed in the queue")
+            error = not_run(Reason.OVERLOADED, "deadline passed in the queue")
             waiter.set_exception(error)
 
     def _count_ahead(self, sort_time: float) -> int:
         if self._queued < 16:
             return sum(entry[0] <= sort_time for entry in self._waiters)
-        # Good enough, and cheaper than walking a long queue for each call.
+        # Estimated from a sample: scanning a long queue for each call is too slow.
         sample = self._waiters[:64]
         fraction_ahead = sum(entry[0] <= sort_time for entry in sample) / len(sample)
         return int(fraction_ahead * self._queued)
@@ -243,7 +250,7 @@
             now = time.monotonic()
             remaining = deadline - now
             if remaining < self._service_seconds / 2:
-                error = not_run(Reason.OVERLOADED, "its time passed in the queue")
+                error = not_run(Reason.OVERLOADED, "deadline passed in the queue")
                 waiter.set_exception(error)
                 continue
             waiter.set_result(self._take_slot(now))
