--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -1,22 +1,25 @@
-"""Ends calls whose time is up, with one timer for all of them.
+"""Cancels calls that exceed their deadline, with one timer for all of them.
 
-`asyncio.timeout` makes a timer and three objects for each call, and hardly any call
-lasts until its time is up. A node wakes only for the call whose time is up first.
+`asyncio.timeout` creates a timer and three objects per call, although hardly any call
+reaches its deadline. Here a node wakes only for the earliest deadline.
 """
 
 import asyncio
 import math
 import time
 
-# How late a call may be ended; callers measure in tenths of a second.
+# Calls are canceled this long after their deadline; callers set deadlines in tenths of
+# a second.
 CANCEL_DELAY_SECONDS = 0.05
 
 
 class Deadline:
-    """The time at which a task is to end.
+    """The deadline of a task.
 
     Attributes:
-        expired: Whether the task was cancelled for it.
+        at: Time on the loop's clock, in seconds.
+        task: The task that is canceled.
+        expired: Whether the task was canceled because the deadline passed.
     """
 
     __slots__ = ("at", "expired", "task")
@@ -27,12 +30,15 @@
         self.expired = False
 
     def caused_cancellation(self) -> bool:
-        """Whether a cancellation of the task comes from here and from nobody else."""
+        """Return whether this deadline alone canceled the task.
+
+        If the deadline passed, one cancellation of the task is taken back.
+        """
         return self.expired and self.task.uncancel() <= 0
 
 
 class Deadlines:
-    """The calls that are under way at a node."""
+    """Tracks the deadlines of all calls in flight at a node."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -41,7 +47,11 @@
         self._next_sweep_at = math.inf
 
     def start(self, at: float) -> Deadline:
-        """Have the running task cancelled at a time on the loop's clock."""
+        """Cancel the current task at a time on the loop's clock, in seconds.
+
+        Returns:
+            The deadline, to be passed to `end` when the call has ended.
+        """
         task = asyncio.current_task(self._loop)
         assert task is not None
         deadline = Deadline(at, task)
@@ -51,11 +61,11 @@
         return deadline
 
     def end(self, deadline: Deadline) -> None:
-        """Note that the call has ended."""
+        """Stop tracking the deadline of a call that has ended."""
         self._active.discard(deadline)
 
     def close(self) -> None:
-        """End no call any more."""
+        """Cancel the timer; no call is canceled after this."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -67,7 +77,7 @@
         self._timer = self._loop.call_later(wait, self._sweep)
 
     def _sweep(self) -> None:
-        """Cancel what is over its time."""
+        """Cancel the tasks whose deadline has passed, and schedule the next sweep."""
         now = time.monotonic()
         for deadline in [d for d in self._active if d.at <= now]:
             deadline.expired = True
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -1,4 +1,4 @@
-"""Looks at how busy services are, and sets what admission goes by."""
+"""Collects the load of all services and updates what is derived from it."""
 
 from ..observe.events import Journal, LEVELS_SET
 from .admission import Admission, ServiceLoad
@@ -10,24 +10,27 @@
 from .policy_tracker import PolicyTracker
 from .zone_costs import ZoneCosts
 
-# How often the graph is built anew; what backend servers call is told less often.
+# Interval between rebuilds of the call graph; call ratios are broadcast less often.
 GRAPH_REBUILD_SECONDS = 1.0
-# Levels change in steps; the log has them once a second while any is below its top.
+# Admission levels are updated more often than they are logged. They are logged while
+# any is below 1, and once more when none is.
 LEVELS_LOG_INTERVAL_SECONDS = 1.0
 
 
 class LoadMonitor:
-    """Puts together what this node and the others know of load.
+    """Combines the load of this node with that broadcast by the others.
+
+    It updates the admission levels, the call graph and the costs per availability zone.
 
     Args:
-        backend: The own backend server.
+        backend: The local backend server.
         fleet: The other nodes.
-        admission: Gets loads and demand.
-        graph: Gets what backend servers call.
-        zone_costs: Gets what calls cost in each zone.
-        call_ratios: What the own one calls.
-        policies: For the routes in force.
-        journal: Where levels are told.
+        admission: Receives the load and demand of each service.
+        graph: Receives the call ratios of each service.
+        zone_costs: Receives the cost of a call in each availability zone.
+        call_ratios: Call ratios of the local backend server.
+        policies: Provides the routes in force.
+        journal: Logs admission levels.
     """
 
     def __init__(
@@ -55,7 +58,7 @@
         self.average_in_flight = 0.0
 
     def update(self, now: float) -> None:
-        """Look once, at every step of the ticker."""
+        """Update everything, at every step of the periodic scheduler."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
         self._log_levels(survey, now)
@@ -65,7 +68,7 @@
             self._rebuild_graph(now)
 
     def _survey(self, now: float) -> Survey:
-        """Return what the other nodes told, with this node's part."""
+        """Return the load, costs and demand of all nodes, this one included."""
         survey = self._fleet.survey()
         backend = self._backend
         self.average_in_flight = backend.queue.take_average_in_flight()
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -1,25 +1,29 @@
-"""What the fleet may let through beyond a workspace's rate."""
+"""Limits that the fleet enforces, raised by part of the tolerated overshoot."""
 
 from .frames import TokenLimits
 from .model import Tenant
 
 
 class RateTolerance:
-    """The limits that the fleet enforces, above those of the operator's configuration.
+    """Computes the limits to enforce from the limits that the operator configured.
 
-    Operators tolerate an overshoot in any window. Most of it goes to callers, as a
-    higher rate and burst, and some to callers after a restart. The rest is kept for
-    nodes that join or are restarted behind a partition (see docs/DESIGN.md).
+    Operators tolerate a number of calls above the limits in any window. Most of it
+    raises the enforced rate and burst, and some is available as initial tokens after a
+    restart. The rest is reserved for nodes that join or restart behind a partition (see
+    docs/DESIGN.md).
 
     Args:
-        overshoot: Part of rate and burst.
-        slack: Calls in a window besides.
-        window: Seconds.
+        overshoot: Tolerated calls in a window, as a fraction of those that rate and
+            burst allow.
+        slack: Further tolerated calls in a window.
+        window: Length of the window in seconds.
     """
 
+    # Fraction of the tolerated calls by which rate and burst are raised.
     ENFORCED_RATIO = 0.7
+    # Fraction of the tolerated calls that is available after a restart.
     RESTART_RATIO = 0.2
-    # Part of what is used that goes to the burst; the rest goes to the rate.
+    # Fraction of the raise that goes to the burst; the rest goes to the rate.
     BURST_RATIO = 0.5
 
     __slots__ = ("_overshoot", "_slack", "_window")
@@ -30,7 +34,11 @@
         self._window = window
 
     def compute_enforced_limits(self, tenant: Tenant, version: int) -> TokenLimits:
-        """Return the limits to enforce.
+        """Return the limits to enforce for a workspace.
+
+        Args:
+            tenant: The workspace with its configured rate and burst.
+            version: Version of the configuration that they are from.
 
         >>> tolerance = RateTolerance(0.1, 20)
         >>> tenant = Tenant("north", 1, 100.0, 50.0)
