--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -1,14 +1,13 @@
-"""How large the answers of each route usually are, learnt from those that came."""
+"""Estimates the size of each route's answers from those received so far."""
 
-# Weight of a new answer, about the last 30 of its route.
+# Weight of a new answer in the moving average: covers about the last 30 of its route.
 SIZE_SMOOTHING = 1 / 32
-# Routes that are remembered; a configuration that renames them without end does not
-# fill the memory.
+# Bounds memory when configuration updates keep renaming routes.
 MAX_ROUTES = 2000
 
 
 class AnswerSizes:
-    """Bytes of answers, by route.
+    """Keeps the moving average of the answer size in bytes, by route.
 
     >>> sizes = AnswerSizes()
     >>> sizes.estimate("photos")
@@ -24,7 +23,7 @@
         self._means: dict[str, float] = {}
 
     def record(self, route: str, size: int) -> None:
-        """Take in an answer's bytes."""
+        """Record the size of an answer in bytes."""
         mean = self._means.get(route)
         if mean is None:
             if len(self._means) >= MAX_ROUTES:
@@ -33,5 +32,5 @@
         self._means[route] = mean + SIZE_SMOOTHING * (size - mean)
 
     def estimate(self, route: str) -> float:
-        """Return the usual bytes of an answer, 0 before the first."""
+        """Return the average size of an answer in bytes, 0 before the first."""
         return self._means.get(route, 0.0)
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -1,9 +1,9 @@
-"""Which services a request leads to, and with how many calls.
+"""Computes how many calls to each service a request causes.
 
-Every node tells which calls its backend server makes for runs of each route
-(`call_ratios.py`). Put together they give the whole tree below a route, whatever it
-looks like: an upload that calls nobody is not refused because look-ups at the same
-service lead to one that is overloaded.
+Every node broadcasts how many calls its backend server makes per run of each route
+(`call_ratios.py`). Together these give the whole call tree of a route. As each route
+has its own, an upload that makes no calls is not refused because look-ups at the same
+service call an overloaded one.
 """
 
 from collections.abc import Iterable, Mapping
@@ -11,15 +11,16 @@
 from .call_ratios import CallRatios, MIN_CALL_RATIO
 from .model import Route
 
-# Deeper than any known graph; ends the walk where services call each other.
+# Maximum depth of the call tree, deeper than any known graph; it ends the traversal
+# where services call each other.
 MAX_DEPTH = 20
 
-# A route, and the service that serves it.
+# A route's name, and the service that serves it.
 ServiceRoute = tuple[str, str]
 
 
 class CallGraph:
-    """The routes' calls to each other, put together from all nodes."""
+    """Combines the call ratios of all nodes into the call tree of each route."""
 
     def __init__(self) -> None:
         self._call_ratios: dict[ServiceRoute, CallRatios] = {}
@@ -31,12 +32,12 @@
         reported_ratios: Iterable[tuple[str, Mapping[str, CallRatios]]],
         routes: Mapping[str, Route],
     ) -> None:
-        """Take what nodes tell.
+        """Replace the call ratios and routes.
 
         Args:
-            told: A service, and its calls for each run by the run's route; the
-                average over all runs under ``""``.
-            routes: In force, by name, for who serves the calls.
+            reported_ratios: For each node, its service and the calls per run, by the
+                run's route; the average over all runs is under ``""``.
+            routes: Routes in force by name, which say what services serve the calls.
         """
         sums: dict[ServiceRoute, CallRatios] = {}
         node_counts: dict[ServiceRoute, int] = {}
@@ -58,11 +59,13 @@
         self._visits = {}
 
     def get_visits(self, route: str, service: str) -> dict[str, float]:
-        """Return how many runs at each service one request of a route leads to.
+        """Return the expected calls to each service per request of a route.
+
+        The request itself counts as one call to the service that serves it.
 
         Args:
             route: Name of the route.
-            service: That serves the request.
+            service: Service that serves the request.
         """
         service_route = (route, service)
         visits = self._visits.get(service_route)
@@ -73,10 +76,10 @@
     def list_downstream_calls(
         self, service_route: ServiceRoute
     ) -> list[tuple[ServiceRoute, float]]:
-        """Return the calls of one run, each with how often it is made."""
+        """Return the direct calls of one run, each with its expected number."""
         ratios = self._call_ratios.get(service_route)
         if ratios is None:
-            # A route that is new at its service counts as the average run there.
+            # A route without ratios of its own gets the average of its service.
             ratios = self._call_ratios.get(("", service_route[1]), {})
         return [
             ((route, service), ratio * share)
@@ -86,11 +89,11 @@
         ]
 
     def _sum_visits(self, root: ServiceRoute) -> dict[str, float]:
-        """Add up the calls at each depth.
+        """Return the calls to each service, summed level by level.
 
-        Level by level and not path by path: routes that move leave a few calls from
-        each service to most others for a while, and the paths through such a graph
-        are so many that walking them took most of a node's time.
+        Traversing each path instead took most of a node's processor time after routes
+        had moved to other services: for a while each service then calls most others,
+        and the number of paths through such a graph is huge.
         """
         visits = {root[1]: 1.0}
         level = {root: 1.0}
@@ -111,7 +114,7 @@
         return visits
 
     def _split_by_weight(self, name: str) -> list[tuple[str, float]]:
-        """Return who serves a route, each with its part."""
+        """Return the services of a route, each with its fraction of the calls."""
         route = self._routes.get(name)
         if route is None:
             return []
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -1,26 +1,26 @@
-"""How many further attempts this node may make, so that the fleet keeps its bound."""
+"""Limits the retries of this node so that the whole fleet stays within its budget."""
 
 import collections
 from collections.abc import Mapping
 
-# Of the operator's share of repeats, what nodes use: the calls that a repeated run
-# will make are estimates, and lag behind a graph that changes.
+# Fraction of the configured retry ratio that nodes use. The number of calls that a
+# retried run makes is an estimate, and lags behind a call graph that changes.
 RATIO_USED_FRACTION = 0.7
-# Of the operator's fixed number of repeats, what all nodes use together.
+# Fraction of the configured fixed number of retries that all nodes use together.
 FIXED_USED_FRACTION = 0.6
 
 
 class RetryBudget:
-    """Repeats to each service in a sliding window.
+    """Limits the retries to each service in a sliding window.
 
-    Each node keeps to its own part, whatever the others do: its own first attempts
-    times the ratio, and its part of the fixed number. So the sum holds without a
-    message, also between nodes that cannot reach each other.
+    Each node has a budget of its own: the ratio times its first attempts, plus its
+    share of the fixed number. The sum therefore stays within the limit without
+    coordination, even between nodes that cannot reach each other.
 
     Args:
-        ratio: Repeats for each first attempt.
-        fixed: Repeats in a window that all nodes together may make besides.
-        window: Seconds.
+        ratio: Allowed retries per first attempt.
+        fixed: Further retries per window, shared by all nodes.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, fixed: float, window: float):
@@ -31,19 +31,19 @@
         self._retries: dict[str, SlidingCount] = {}
 
     def record_first_attempt(self, service: str, now: float) -> None:
-        """Count a caller's request to a service."""
+        """Record the first attempt of a request to a service."""
         self._get_count(self._first_attempts, service).add(now)
 
     def try_spend(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
-        """Whether one more repeat may be sent; it is counted if so.
+        """Return whether a retry may be sent, and count it if so.
 
-        A run that is repeated makes its calls again, and they count as repeats at the
-        services below: with one repeat of a request that makes four calls to a deep
-        service, that service gets four. So all of them must have room.
+        A retried run makes its downstream calls again, and these count as retries too:
+        one retry of a request that makes four calls to a service brings that service
+        four retries. The budget of every service called must therefore suffice.
 
         Args:
-            visits: Calls at each service that the repeat leads to, its own too.
-            nodes: Nodes that share the fixed number.
+            visits: Expected calls of the retry to each service, its own included.
+            nodes: Number of nodes that share the fixed number.
             now: Seconds on the loop's clock.
         """
         for service, calls in visits.items():
@@ -66,10 +66,10 @@
 
 
 class SlidingCount:
-    """How many events there were in the last seconds, in twenty steps.
+    """Counts events in a sliding window of 20 buckets.
 
     Args:
-        window: Seconds.
+        window: Length of the window in seconds.
     """
 
     BUCKETS = 20
@@ -80,7 +80,12 @@
         self._total = 0.0
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """Count events at a time that does not go back."""
+        """Add events; times must not decrease from one call to the next.
+
+        Args:
+            now: Time of the events, in seconds.
+            amount: Number of events.
+        """
         bucket = int(now / self._bucket_seconds)
         if self._buckets and self._buckets[-1][0] == bucket:
             self._buckets[-1][1] += amount
@@ -89,7 +94,7 @@
         self._total += amount
 
     def total(self, now: float) -> float:
-        """Return the events in the window, and up to one step more.
+        """Return the number of events in the window, which is up to a bucket longer.
 
         >>> count = SlidingCount(10.0)
         >>> count.add(0.0); count.add(6.0)
