--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -7,21 +7,19 @@
 class RateTolerance:
     """Computes the limits to enforce from the limits that the operator configured.
 
-    Operators tolerate a number of calls above the limits in any window. Most of it
-    raises the enforced rate and burst, and some is available as initial tokens after a
-    restart. The rest is reserved for nodes that join or restart behind a partition (see
-    docs/DESIGN.md).
+    Operators tolerate an overshoot in any window. Most of it raises the enforced rate
+    and burst, and some is available as initial tokens after a restart. The rest is
+    reserved for nodes that join or restart behind a partition (see docs/DESIGN.md).
 
     Args:
-        overshoot: Tolerated calls in a window, as a fraction of those that rate and
-            burst allow.
+        overshoot: Tolerated excess, as a fraction of what rate and burst allow.
         slack: Further tolerated calls in a window.
         window: Length of the window in seconds.
     """
 
-    # Fraction of the tolerated calls by which rate and burst are raised.
+    # Fraction of the overshoot by which rate and burst are raised.
     ENFORCED_RATIO = 0.7
-    # Fraction of the tolerated calls that is available after a restart.
+    # Fraction of the overshoot that is available after a restart.
     RESTART_RATIO = 0.2
     # Fraction of the raise that goes to the burst; the rest goes to the rate.
     BURST_RATIO = 0.5
@@ -34,11 +32,7 @@
         self._window = window
 
     def compute_enforced_limits(self, tenant: Tenant, version: int) -> TokenLimits:
-        """Return the limits to enforce for a workspace.
-
-        Args:
-            tenant: The workspace with its configured rate and burst.
-            version: Version of the configuration that they are from.
+        """Return the limits to enforce.
 
         >>> tolerance = RateTolerance(0.1, 20)
         >>> tenant = Tenant("north", 1, 100.0, 50.0)
@@ -48,13 +42,13 @@
         """
         if tenant.rate <= 0:
             return TokenLimits(tenant.name, 0.0, 0.0, version)
-        tolerated_calls = self._slack
-        tolerated_calls += self._overshoot * (tenant.rate * self._window + tenant.burst)
-        extra_calls = tolerated_calls * self.ENFORCED_RATIO
+        tolerated = self._slack
+        tolerated += self._overshoot * (tenant.rate * self._window + tenant.burst)
+        extra_calls = tolerated * self.ENFORCED_RATIO
         return TokenLimits(
             tenant.name,
             tenant.rate + extra_calls * (1.0 - self.BURST_RATIO) / self._window,
             tenant.burst + extra_calls * self.BURST_RATIO,
             version,
-            tolerated_calls * self.RESTART_RATIO,
+            tolerated * self.RESTART_RATIO,
         )
