--- a/tests/test_backend_queue.py
+++ b/tests/test_backend_queue.py
@@ -8,7 +8,7 @@
 from primroseglade.verdicts import Refusal, Verdict
 
 
-async def fill(queue: BackendQueue) -> list[int]:
+async def take_all_slots(queue: BackendQueue) -> list[int]:
     """Take every slot, and return the turns."""
     for _ in range(queue.concurrency_limit):
         slot = await queue.acquire(0.1, 1.0, nested=False)
@@ -19,13 +19,13 @@
     ]
 
 
-async def test_a_call_whose_time_passes_is_told_that_it_did_not_run():
+async def test_queued_call_is_refused_as_not_run_before_its_deadline():
     """Payouts that had waited in vain were answered 504, which promises nothing, and
     their callers could not try again: the caller's node gave up a moment before the
     queue looked at them. The queue now refuses them while there is time to say so.
     """
     queue = BackendQueue(4)
-    await fill(queue)
+    await take_all_slots(queue)
     loop = asyncio.get_running_loop()
     started = loop.time()
     with pytest.raises(Refusal) as refused:
@@ -35,44 +35,46 @@
     assert queue.in_flight == queue.concurrency_limit
 
 
-async def test_a_short_target_goes_first():
+async def test_call_with_a_short_latency_target_goes_first():
     """A hazard check does not wait behind look-ups that have three times its time."""
     queue = BackendQueue(2)
-    turns = await fill(queue)
+    slots = await take_all_slots(queue)
     order: list[str] = []
 
-    async def wait(name: str, target: float) -> None:
+    async def acquire_and_release(name: str, target: float) -> None:
         slot = await queue.acquire(target, 5.0, nested=True)
         order.append(name)
         queue.release(slot, 0.01)
 
-    waits = [asyncio.create_task(wait(f"look-up {n}", 0.3)) for n in range(3)]
+    tasks = [
+        asyncio.create_task(acquire_and_release(f"look-up {n}", 0.3)) for n in range(3)
+    ]
     await asyncio.sleep(0.05)
-    waits.append(asyncio.create_task(wait("hazard", 0.1)))
+    tasks.append(asyncio.create_task(acquire_and_release("hazard", 0.1)))
     await asyncio.sleep(0.01)
-    queue.release(turns.pop(), 0.01)
-    await asyncio.gather(*waits)
+    queue.release(slots.pop(), 0.01)
+    await asyncio.gather(*tasks)
     assert order[0] == "hazard"
 
 
-async def test_callers_that_leave_give_their_place_back():
+async def test_canceled_callers_keep_no_slot():
     """Whoever leaves, waiting or just let go, takes no slot with them."""
     queue = BackendQueue(4)
-    turns = await fill(queue)
-    waits = [
+    slots = await take_all_slots(queue)
+    tasks = [
         asyncio.create_task(queue.acquire(0.1, 5.0, nested=True)) for _ in range(6)
     ]
     await asyncio.sleep(0)
-    queue.release(turns.pop(), 0.01)
-    for wait in waits:
-        wait.cancel()
-    await asyncio.gather(*waits, return_exceptions=True)
-    for slot in turns:
+    queue.release(slots.pop(), 0.01)
+    for task in tasks:
+        task.cancel()
+    await asyncio.gather(*tasks, return_exceptions=True)
+    for slot in slots:
         queue.release(slot, 0.01)
     assert queue.in_flight == 0
 
 
-async def test_a_backend_server_slower_than_its_callers_wait_looks_slow():
+async def test_unanswered_calls_raise_the_service_time():
     """Two of five backend servers became twelve times slower. All calls to them were
     given up at their timeout, none ended, and only calls that end were measured: they
     looked as fast as before and got their full share for nine seconds.
@@ -91,13 +93,13 @@
     assert queue.service_seconds == before
 
 
-async def test_calls_whose_answers_are_lost_do_not_keep_others_out():
+async def test_slots_of_lost_answers_are_reclaimed():
     """Three of ten answers of a backend server got lost, and each of these calls held a
     slot until its caller's time was up, a hundred times as long as the work. Callers
     were refused while the backend server stood idle.
     """
     queue = BackendQueue(4)
-    turns = await fill(queue)
+    slots = await take_all_slots(queue)
     waiting = asyncio.create_task(queue.acquire(0.1, 5.0, nested=True))
     await asyncio.sleep(0.1)
     assert not waiting.done()
@@ -105,12 +107,12 @@
     queue.take_average_in_flight()
     await asyncio.sleep(0)
     assert waiting.done()
-    for slot in [*turns, waiting.result()]:
+    for slot in [*slots, waiting.result()]:
         queue.release(slot, 0.5, completed=False)
     assert queue.running == 0
 
 
-async def test_lost_answers_count_as_slow_but_not_as_occupation():
+async def test_lost_answers_raise_the_service_time_but_not_the_slot_time():
     """What a slot is held for tells what a service can do; what callers wait for tells
     whether to choose it.
     """
@@ -125,7 +127,7 @@
     assert queue.service_seconds > 0.1
 
 
-async def test_look_ups_of_one_page_do_not_wait_for_all_of_their_time():
+async def test_nested_calls_are_refused_when_the_queue_exceeds_their_latency_target():
     """After a restart of everything a timetable had twenty calls waiting for each slot,
     and for six seconds hardly a page was served. Each page looks four times into it,
     one after the other; each look-up waited for nearly all of its 0.7 s, and pages with
--- a/tests/test_call_graph.py
+++ b/tests/test_call_graph.py
@@ -8,7 +8,7 @@
 
 # Walking the paths of the graph below took hours, adding up levels takes
 # milliseconds; this is far from both.
-SECONDS = 2.0
+MAX_SECONDS = 2.0
 
 
 def build_routes(**services: str) -> dict[str, Route]:
@@ -30,20 +30,20 @@
     }
 
 
-def test_a_dense_graph_is_added_up_in_no_time():
+def test_dense_graph_is_summed_quickly():
     """Callers saw answers take seconds although no service was busy: a configuration
     had moved routes, and for some seconds each service had called most others. Nodes
     walked every path through that graph four times a second, and did little else.
     """
     names = [f"service-{number}" for number in range(9)]
     graph = CallGraph()
-    below = dict.fromkeys(names, 0.1)
+    ratios = dict.fromkeys(names, 0.1)
     routes = build_routes(**{name: name for name in names})
-    graph.rebuild([(name, {"": below, name: below}) for name in names], routes)
+    graph.rebuild([(name, {"": ratios, name: ratios}) for name in names], routes)
     started = time.monotonic()
     for name in names:
         graph.get_visits(name, name)
-    assert time.monotonic() - started < SECONDS
+    assert time.monotonic() - started < MAX_SECONDS
 
 
 def test_visits_add_up_over_all_paths():
@@ -66,7 +66,7 @@
     }
 
 
-def test_services_that_call_each_other_end():
+def test_cycle_of_services_terminates():
     """A cycle is followed for as long as calls remain, and not for ever."""
     graph = CallGraph()
     graph.rebuild(
@@ -78,26 +78,26 @@
     assert all(count < 100 for count in itertools.chain(visits.values()))
 
 
-def test_routes_of_one_service_lead_to_different_places():
+def test_routes_of_one_service_have_separate_call_trees():
     """An upload was refused since look-ups at the same service lead to one that was
     overloaded. Each route has a tree of its own.
     """
     graph = CallGraph()
-    told = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
-    graph.rebuild([("images", told)], build_routes(lookup="deep"))
+    reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
+    graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
     assert graph.get_visits("upload", "images") == {"images": 1.0}
     assert graph.get_visits("index", "images")["deep"] == 4.0
 
 
-def test_a_route_that_is_new_at_its_service_counts_as_the_average():
+def test_new_route_gets_the_average_of_its_service():
     """Before any run of it was seen, what others there call is the best guess."""
     graph = CallGraph()
-    told = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
-    graph.rebuild([("images", told)], build_routes(lookup="deep"))
+    reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
+    graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
     assert graph.get_visits("moved", "images")["deep"] == 3.2
 
 
-def test_calls_of_a_split_route_are_shared_out_by_weight():
+def test_calls_of_a_split_route_are_divided_by_weight():
     """A quarter of the calls goes to the service with a quarter of the weight."""
     graph = CallGraph()
     routes = build_routes(lookup="old")
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -7,7 +7,7 @@
 from primroseglade.sidecar.deadlines import Deadlines
 
 
-async def wait(deadlines: Deadlines, seconds: float, work: float) -> str:
+async def run_with_deadline(deadlines: Deadlines, seconds: float, work: float) -> str:
     """Work for some time under a deadline and return how it ended."""
     deadline = deadlines.start(asyncio.get_running_loop().time() + seconds)
     try:
@@ -29,35 +29,37 @@
     deadlines.close()
 
 
-async def test_a_call_ends_when_its_time_is_up(deadlines: Deadlines):
+async def test_call_is_canceled_at_its_deadline(deadlines: Deadlines):
     """It ends within a sweep of its time, and its task goes on."""
     async with asyncio.timeout(1.0):
-        assert await wait(deadlines, 0.05, 5.0) == "time is up"
-        assert await wait(deadlines, 0.5, 0.01) == "done"
+        assert await run_with_deadline(deadlines, 0.05, 5.0) == "time is up"
+        assert await run_with_deadline(deadlines, 0.5, 0.01) == "done"
     assert not asyncio.current_task().cancelling()
 
 
-async def test_a_caller_that_leaves_is_no_time_out(deadlines: Deadlines):
+async def test_cancellation_by_the_caller_is_not_a_timeout(deadlines: Deadlines):
     """A caller left in the moment in which its time was up. Its task must end as
     cancelled, or it would write an answer to a connection that is gone.
     """
-    task = asyncio.create_task(wait(deadlines, 0.01, 5.0))
+    task = asyncio.create_task(run_with_deadline(deadlines, 0.01, 5.0))
     await asyncio.sleep(0)
     task.cancel()
     await asyncio.sleep(0.1)
     assert task.cancelled()
 
 
-async def test_a_call_that_has_ended_is_left_alone(deadlines: Deadlines):
+async def test_ended_call_is_not_canceled(deadlines: Deadlines):
     """The task serves the next request by then."""
-    assert await wait(deadlines, 0.03, 0.0) == "done"
+    assert await run_with_deadline(deadlines, 0.03, 0.0) == "done"
     await asyncio.sleep(0.1)
     assert not asyncio.current_task().cancelling()
 
 
-async def test_both_at_once_end_as_cancelled(deadlines: Deadlines):
+async def test_deadline_and_caller_cancellation_together_end_as_canceled(
+    deadlines: Deadlines,
+):
     """The deadline passed and, before the task ran, its caller left too."""
-    task = asyncio.create_task(wait(deadlines, 5.0, 5.0))
+    task = asyncio.create_task(run_with_deadline(deadlines, 5.0, 5.0))
     await asyncio.sleep(0)
     (deadline,) = deadlines._active
     deadline.expired = True
@@ -67,39 +69,39 @@
     assert task.cancelled()
 
 
-async def test_calls_that_end_in_time_cost_no_wakes(
+async def test_calls_that_end_in_time_cause_no_sweep(
     deadlines: Deadlines, monkeypatch: pytest.MonkeyPatch
 ):
     """A fleet of idle nodes that looked at their calls twenty times a second spent
     more on that than on the calls. A later call with less time still ends in time.
     """
-    wakes = 0
+    sweeps = 0
     sweep = Deadlines._sweep
 
-    def count(self: Deadlines) -> None:
-        nonlocal wakes
-        wakes += 1
+    def count_sweep(self: Deadlines) -> None:
+        nonlocal sweeps
+        sweeps += 1
         sweep(self)
 
-    monkeypatch.setattr(Deadlines, "_sweep", count)
-    await asyncio.gather(*[wait(deadlines, 5.0, 0.3) for _ in range(20)])
-    assert wakes == 0
+    monkeypatch.setattr(Deadlines, "_sweep", count_sweep)
+    await asyncio.gather(*[run_with_deadline(deadlines, 5.0, 0.3) for _ in range(20)])
+    assert sweeps == 0
     async with asyncio.timeout(0.5):
-        assert await wait(deadlines, 0.05, 5.0) == "time is up"
-    assert wakes == 1
+        assert await run_with_deadline(deadlines, 0.05, 5.0) == "time is up"
+    assert sweeps == 1
 
 
-async def test_calls_that_come_without_end_do_not_put_off_an_earlier_deadline(
+async def test_later_calls_do_not_postpone_an_earlier_deadline(
     deadlines: Deadlines,
 ):
     """A call hung for as long as others came: each of them, with a deadline a moment
     later, set the one timer anew.
     """
-    hung = asyncio.create_task(wait(deadlines, 0.2, 5.0))
-    others = []
+    first_call = asyncio.create_task(run_with_deadline(deadlines, 0.2, 5.0))
+    later_calls = []
     for _ in range(40):
-        others.append(asyncio.create_task(wait(deadlines, 0.2, 0.0)))
+        later_calls.append(asyncio.create_task(run_with_deadline(deadlines, 0.2, 0.0)))
         await asyncio.sleep(0.01)
-    assert hung.done()
-    assert hung.result() == "time is up"
-    await asyncio.gather(*others)
+    assert first_call.done()
+    assert first_call.result() == "time is up"
+    await asyncio.gather(*later_calls)
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -3,7 +3,7 @@
 from primroseglade.sidecar.retry_budget import RetryBudget
 
 
-def test_calls_made_again_below_count_as_repeats():
+def test_downstream_calls_of_a_retry_count_as_retries():
     """A deep service got more repeats than the operator allows, though no call to it
     was repeated: requests above it were, and each made its four calls once more.
     """
@@ -18,7 +18,7 @@
     assert 0 < retries * 4 <= 0.2 * 100 + 50 / 10
 
 
-def test_the_sum_over_nodes_keeps_the_bound():
+def test_retries_of_all_nodes_stay_within_the_budget():
     """Each node keeps to its part, so that all together keep the operator's."""
     nodes = [RetryBudget(ratio=0.2, fixed=50, window=10.0) for _ in range(10)]
     for node in nodes:
