--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -1,4 +1,4 @@
-"""Loads of callers' requests over what a service deep in the graph can do."""
+"""Admission levels while a service deep in the call graph is overloaded."""
 
 import random
 
@@ -14,8 +14,7 @@
 from .rates import OneHolder
 
 URGENT, NORMAL, LEAST_URGENT = 10, 11, 12
-# Steps of the plant below that a load lags behind what was admitted: heartbeats are
-# half a second apart.
+# Steps by which the reported load lags: states are broadcast every half second.
 REPORT_LAG_STEPS = 2
 
 
@@ -27,7 +26,7 @@
 
 
 class FakeService:
-    """A service that works on so many calls a step; the rest waits or is dropped."""
+    """A service that runs a fixed number of calls per step and queues or drops more."""
 
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
@@ -36,7 +35,7 @@
         self.reported = [0.0] * REPORT_LAG_STEPS
 
     def step(self, calls: float) -> ServiceLoad:
-        """Take in a step's calls and return the load as others hear of it."""
+        """Run the calls of a step and return the lagging load that is reported."""
         running_fraction = min(1.0, (calls + self.waiting) / self.capacity)
         self.waiting = max(0.0, self.waiting + calls - self.capacity)
         self.waiting = min(self.waiting, 3 * self.slots)
@@ -48,7 +47,7 @@
 def simulate_overload(
     demand: dict[int, int], capacity: float, steps: int
 ) -> dict[int, float]:
-    """Return which part of each rank was admitted in the second half of a load."""
+    """Return the admitted fraction of each rank in the second half of a simulation."""
     admission = Admission(random.Random(1))
     fake_service = FakeService(capacity, 20)
     admitted = dict.fromkeys(demand, 0)
@@ -71,7 +70,7 @@
 
 
 def test_everything_is_admitted_below_capacity():
-    """Demand of 0.8 of what the service can do passes whole."""
+    """Demand of 0.8 of the capacity is admitted whole."""
     admitted_fractions = simulate_overload(
         {URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}, 400.0, 80
     )
@@ -79,7 +78,7 @@
 
 
 def test_least_urgent_requests_are_refused_first():
-    """Demand of 1.6 of the capacity: the urgent half passes whole."""
+    """At a demand of 1.6 times the capacity the urgent ranks are admitted."""
     admitted_fractions = simulate_overload(
         {URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}, 200.0, 160
     )
@@ -90,9 +89,9 @@
 
 def test_capacity_is_used_during_an_overload():
     """Requests were refused for ten seconds after a burst although the service was
-    half idle: levels fell by ranks, most of them empty, far below the demand that it
-    could serve, and rose as slowly. The load lags, so that some falls too far; on
-    average at least three quarters of the capacity is used.
+    half idle: levels moved rank by rank, most of them empty, fell far below the demand
+    that it could serve, and rose as slowly. As the load lags, levels may fall too far
+    for a while; on average at least three quarters of the capacity must be used.
     """
     demand = {0: 1, 1: 1, 2: 1, URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}
     admitted_fractions = simulate_overload(demand, 200.0, 160)
@@ -103,8 +102,8 @@
 
 
 def test_refunded_token_is_available_again():
-    """Workspaces were refused as over their rate at half of it: each call that an
-    overloaded service had refused was counted against them.
+    """Workspaces were refused at half of their rate: each call that an overloaded
+    service had refused still cost them a token.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 10.0, 10.0)
@@ -115,16 +114,16 @@
 
 
 def test_rate_holds_across_nodes_that_share_it():
-    """Three nodes with five times the rate between them let through the rate."""
+    """Three nodes that together receive five times the rate admit just the rate."""
     simulation = play_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
     assert simulation.find_worst_window() <= count_allowed(100.0, 100.0)
     assert len(simulation.admitted) >= 100.0 * 10 * 0.95
 
 
 def test_admission_level_recovers_soon_after_an_overload():
-    """A slow service became fast again, and for eight more seconds half of all
-    callers were refused while its slots stood two thirds empty: the level rose by a
-    fixed step whatever the room.
+    """After a slow service became fast again, half of all callers were refused for
+    eight more seconds while two thirds of its slots were idle: the level rose by a
+    fixed step, however low the utilization.
     """
     admission = Admission(random.Random(1))
     visits = {"front": 1.0, "deep": 4.0}
@@ -140,7 +139,7 @@
     for number in range(40):
         level = step(number, build_load(80.0, 20.0, slow_ms))
     assert level < 0.1
-    # From now on the demand takes six tenths of the slots.
+    # From now on the whole demand uses six tenths of the slots.
     admission_levels = [level] * (REPORT_LAG_STEPS + 1)
     for number in range(40, 40 + int(3.0 / STEP_SECONDS)):
         load = build_load(
@@ -151,12 +150,12 @@
 
 
 class DelayedService:
-    """A deep service behind others: what is let through comes 0.3 s later, and what it
-    tells is half a second old.
+    """A service deep in the graph: admitted calls arrive 0.3 s later, and the reported
+    load is half a second old.
 
     Args:
-        capacity: Calls a second.
-        slots: Of its backend servers together.
+        capacity: Calls per second.
+        slots: Slots of all its backend servers.
     """
 
     SIMULATED_STEP_SECONDS = 0.05
@@ -172,27 +171,27 @@
         self.reported = [0.0] * self.LOAD_LAG_STEPS
 
     def step(self, calls: float) -> None:
-        """Let a twentieth of a second pass."""
+        """Simulate 0.05 s."""
         self.in_transit.append(calls)
         max_done = self.capacity * self.SIMULATED_STEP_SECONDS
         arrived = self.waiting + self.in_transit.pop(0)
         done = min(arrived, max_done)
         self.done += done
-        # Who waits for too long gives up.
+        # Callers that wait too long give up.
         self.waiting = min(arrived - done, 8 * self.slots)
         self.reported.append(self.slots * done / max_done + self.waiting)
 
     @property
     def load(self) -> ServiceLoad:
-        """What others know of it now."""
+        """The load that other nodes know now."""
         service_ms = 1000 * self.slots / self.capacity
         return build_load(self.reported[-self.LOAD_LAG_STEPS], self.slots, service_ms)
 
 
 def test_admission_level_does_not_oscillate_when_reports_lag():
-    """In a burst of 1.6 times what the deepest service can do, it stood idle and was
-    flooded by turns, each for a second: what was let through came down the graph, its
-    queue was told, and was answered when it was gone. A third of its work was lost.
+    """In a burst of 1.6 times the capacity of the deepest service, it alternated
+    between idle and flooded every second: the levels followed its queue, which was
+    reported only after it had gone. A third of its throughput was lost.
     """
     admission = Admission(random.Random(1))
     delayed_service = DelayedService(4900.0, 92.0)
@@ -221,9 +220,9 @@
 
 
 def test_one_slow_backend_server_of_three_does_not_overload_the_service():
-    """One of three backend servers became twelve times slower and gathered a queue.
-    Callers of the service were refused for seconds, while the two others had room for
-    everything.
+    """One of three backend servers became twelve times slower and built up a queue.
+    Callers of the service were refused for seconds, although the two others had the
+    capacity for all calls.
     """
     load = ServiceLoad()
     load.add(180.0, 46.0, 360.0)
--- a/tests/test_backend_queue.py
+++ b/tests/test_backend_queue.py
@@ -9,7 +9,7 @@
 
 
 async def take_all_slots(queue: BackendQueue) -> list[int]:
-    """Take every slot, and return the turns."""
+    """Take and return all slots of a queue, after service times of 0.01 s."""
     for _ in range(queue.concurrency_limit):
         slot = await queue.acquire(0.1, 1.0, nested=False)
         queue.release(slot, 0.01)
@@ -20,9 +20,9 @@
 
 
 async def test_queued_call_is_refused_as_not_run_before_its_deadline():
-    """Payouts that had waited in vain were answered 504, which promises nothing, and
-    their callers could not try again: the caller's node gave up a moment before the
-    queue looked at them. The queue now refuses them while there is time to say so.
+    """Queued calls that got no slot in time were answered 504, which does not say
+    whether they ran, so that callers could not retry: the caller's node timed out just
+    before the queue refused them. The queue must refuse them earlier, as not run.
     """
     queue = BackendQueue(4)
     await take_all_slots(queue)
@@ -36,7 +36,7 @@
 
 
 async def test_call_with_a_short_latency_target_goes_first():
-    """A hazard check does not wait behind look-ups that have three times its time."""
+    """A call overtakes queued calls with three times its latency target."""
     queue = BackendQueue(2)
     slots = await take_all_slots(queue)
     order: list[str] = []
@@ -58,7 +58,7 @@
 
 
 async def test_canceled_callers_keep_no_slot():
-    """Whoever leaves, waiting or just let go, takes no slot with them."""
+    """A canceled caller keeps no slot, whether queued or just granted one."""
     queue = BackendQueue(4)
     slots = await take_all_slots(queue)
     tasks = [
@@ -75,9 +75,9 @@
 
 
 async def test_unanswered_calls_raise_the_service_time():
-    """Two of five backend servers became twelve times slower. All calls to them were
-    given up at their timeout, none ended, and only calls that end were measured: they
-    looked as fast as before and got their full share for nine seconds.
+    """Two of five backend servers became twelve times slower. All calls to them timed
+    out, and only the service times of answered calls were recorded: they looked as fast
+    as before and got their full share of calls for nine seconds.
     """
     queue = BackendQueue(20)
     slot = await queue.acquire(0.5, 5.0, nested=False)
@@ -89,21 +89,21 @@
     before = queue.service_seconds
     slot = await queue.acquire(0.5, 5.0, nested=False)
     queue.release(slot, 0.01, completed=False)
-    # One whose caller left early says nothing of the work.
+    # A call canceled early says nothing about the service time.
     assert queue.service_seconds == before
 
 
 async def test_slots_of_lost_answers_are_reclaimed():
     """Three of ten answers of a backend server got lost, and each of these calls held a
-    slot until its caller's time was up, a hundred times as long as the work. Callers
-    were refused while the backend server stood idle.
+    slot until its deadline, a hundred times the service time. Callers were refused
+    while the backend server was idle.
     """
     queue = BackendQueue(4)
     slots = await take_all_slots(queue)
     waiting = asyncio.create_task(queue.acquire(0.1, 5.0, nested=True))
     await asyncio.sleep(0.1)
     assert not waiting.done()
-    # The work takes 0.01 s: ten times that is a lost answer.
+    # The service time is 0.01 s: after ten times that the answer counts as lost.
     queue.take_average_in_flight()
     await asyncio.sleep(0)
     assert waiting.done()
@@ -113,8 +113,8 @@
 
 
 async def test_lost_answers_raise_the_service_time_but_not_the_slot_time():
-    """What a slot is held for tells what a service can do; what callers wait for tells
-    whether to choose it.
+    """The slot time determines the capacity of a service, the service time that callers
+    see whether to choose the backend server.
     """
     queue = BackendQueue(20)
     for number in range(200):
@@ -128,11 +128,11 @@
 
 
 async def test_nested_calls_are_refused_when_the_queue_exceeds_their_latency_target():
-    """After a restart of everything a timetable had twenty calls waiting for each slot,
-    and for six seconds hardly a page was served. Each page looks four times into it,
-    one after the other; each look-up waited for nearly all of its 0.7 s, and pages with
-    two seconds ended at the fourth. Whoever comes when the wait is too long for its
-    target hears so at once.
+    """After a restart of all services, one had twenty calls queued per slot, and for
+    six seconds hardly any request succeeded. A request made four calls to it in
+    sequence; each waited for nearly all of its 0.7 s, so that the request exceeded its
+    deadline of two seconds at the fourth. A call whose expected wait is too long for
+    its latency target must be refused on arrival.
     """
     queue = BackendQueue(16)
     slot = await queue.acquire(0.3, 0.7, nested=True)
@@ -144,7 +144,7 @@
     ]
     await asyncio.sleep(0)
     refused = [call for call in calls if call.done()]
-    # A third of a second of work for all slots, with the call's own.
+    # A queue of 0.3 s is accepted, the call's own service time included.
     assert 65 <= len(refused) <= 75
     for call in refused:
         error = call.exception()
--- a/tests/test_call_graph.py
+++ b/tests/test_call_graph.py
@@ -1,4 +1,4 @@
-"""What requests lead to."""
+"""Calls to each service that requests cause."""
 
 import itertools
 import time
@@ -6,8 +6,8 @@
 from primroseglade.sidecar.call_graph import CallGraph
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
 
-# Walking the paths of the graph below took hours, adding up levels takes
-# milliseconds; this is far from both.
+# Traversing all paths of the dense graph below takes hours, summing it level by level
+# takes milliseconds; the limit is far from both.
 MAX_SECONDS = 2.0
 
 
@@ -31,9 +31,9 @@
 
 
 def test_dense_graph_is_summed_quickly():
-    """Callers saw answers take seconds although no service was busy: a configuration
-    had moved routes, and for some seconds each service had called most others. Nodes
-    walked every path through that graph four times a second, and did little else.
+    """Answers took seconds although no service was busy: after a configuration had
+    moved routes, each service called most others for some seconds. Nodes traversed
+    every path through that graph four times a second, and did little else.
     """
     names = [f"service-{number}" for number in range(9)]
     graph = CallGraph()
@@ -47,7 +47,7 @@
 
 
 def test_visits_add_up_over_all_paths():
-    """A service that is reached on two ways is visited by both."""
+    """A service that is called on two paths gets the calls of both."""
     graph = CallGraph()
     graph.rebuild(
         [
@@ -67,7 +67,7 @@
 
 
 def test_cycle_of_services_terminates():
-    """A cycle is followed for as long as calls remain, and not for ever."""
+    """The traversal of a cycle ends at the maximum depth."""
     graph = CallGraph()
     graph.rebuild(
         [("a", {"a": {"b": 1.0}}), ("b", {"b": {"a": 1.0}})],
@@ -79,8 +79,8 @@
 
 
 def test_routes_of_one_service_have_separate_call_trees():
-    """An upload was refused since look-ups at the same service lead to one that was
-    overloaded. Each route has a tree of its own.
+    """An upload was refused because look-ups at the same service called an overloaded
+    one. Each route must have a call tree of its own.
     """
     graph = CallGraph()
     reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
@@ -90,7 +90,7 @@
 
 
 def test_new_route_gets_the_average_of_its_service():
-    """Before any run of it was seen, what others there call is the best guess."""
+    """Before its first run, the average of its service is the best estimate."""
     graph = CallGraph()
     reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
     graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
@@ -98,7 +98,7 @@
 
 
 def test_calls_of_a_split_route_are_divided_by_weight():
-    """A quarter of the calls goes to the service with a quarter of the weight."""
+    """A service with a quarter of the weight gets a quarter of the calls."""
     graph = CallGraph()
     routes = build_routes(lookup="old")
     routes["lookup"].services = [
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Calls whose time is up, and calls that somebody else cancels."""
+"""Calls that exceed their deadline, and calls that are canceled by others."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def run_with_deadline(deadlines: Deadlines, seconds: float, work: float) -> str:
-    """Work for some time under a deadline and return how it ended."""
+    """Sleep for `work` seconds with a deadline after `seconds`; return how it ended."""
     deadline = deadlines.start(asyncio.get_running_loop().time() + seconds)
     try:
         await asyncio.sleep(work)
@@ -23,14 +23,14 @@
 
 @pytest.fixture
 async def deadlines():
-    """Deadlines that are looked at."""
+    """Return deadlines that are closed after the test."""
     deadlines = Deadlines()
     yield deadlines
     deadlines.close()
 
 
 async def test_call_is_canceled_at_its_deadline(deadlines: Deadlines):
-    """It ends within a sweep of its time, and its task goes on."""
+    """The call ends soon after its deadline, and its task goes on."""
     async with asyncio.timeout(1.0):
         assert await run_with_deadline(deadlines, 0.05, 5.0) == "time is up"
         assert await run_with_deadline(deadlines, 0.5, 0.01) == "done"
@@ -38,8 +38,8 @@
 
 
 async def test_cancellation_by_the_caller_is_not_a_timeout(deadlines: Deadlines):
-    """A caller left in the moment in which its time was up. Its task must end as
-    cancelled, or it would write an answer to a connection that is gone.
+    """A caller canceled just as its deadline passed. Its task must end as canceled, or
+    it would write an answer to a closed connection.
     """
     task = asyncio.create_task(run_with_deadline(deadlines, 0.01, 5.0))
     await asyncio.sleep(0)
@@ -49,7 +49,7 @@
 
 
 async def test_ended_call_is_not_canceled(deadlines: Deadlines):
-    """The task serves the next request by then."""
+    """By the time of the deadline the task serves the next request."""
     assert await run_with_deadline(deadlines, 0.03, 0.0) == "done"
     await asyncio.sleep(0.1)
     assert not asyncio.current_task().cancelling()
@@ -58,7 +58,7 @@
 async def test_deadline_and_caller_cancellation_together_end_as_canceled(
     deadlines: Deadlines,
 ):
-    """The deadline passed and, before the task ran, its caller left too."""
+    """The deadline passed and, before the task ran again, its caller canceled too."""
     task = asyncio.create_task(run_with_deadline(deadlines, 5.0, 5.0))
     await asyncio.sleep(0)
     (deadline,) = deadlines._active
@@ -72,8 +72,9 @@
 async def test_calls_that_end_in_time_cause_no_sweep(
     deadlines: Deadlines, monkeypatch: pytest.MonkeyPatch
 ):
-    """A fleet of idle nodes that looked at their calls twenty times a second spent
-    more on that than on the calls. A later call with less time still ends in time.
+    """Idle nodes that checked their calls' deadlines twenty times a second spent more
+    processor time on that than on the calls. A later call with an earlier deadline must
+    still end in time.
     """
     sweeps = 0
     sweep = Deadlines._sweep
@@ -94,8 +95,8 @@
 async def test_later_calls_do_not_postpone_an_earlier_deadline(
     deadlines: Deadlines,
 ):
-    """A call hung for as long as others came: each of them, with a deadline a moment
-    later, set the one timer anew.
+    """A call hung for as long as other calls arrived: each of them had a slightly later
+    deadline and rescheduled the only timer.
     """
     first_call = asyncio.create_task(run_with_deadline(deadlines, 0.2, 5.0))
     later_calls = []
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,11 +1,11 @@
-"""Repeats over the fleet."""
+"""Retry budgets of the nodes of a fleet."""
 
 from primroseglade.sidecar.retry_budget import RetryBudget
 
 
 def test_downstream_calls_of_a_retry_count_as_retries():
-    """A deep service got more repeats than the operator allows, though no call to it
-    was repeated: requests above it were, and each made its four calls once more.
+    """A service deep in the graph got more retries than the operator allows, although
+    no call to it was retried: each retried request made its four calls to it again.
     """
     budget = RetryBudget(ratio=0.2, fixed=50, window=10.0)
     for number in range(100):
@@ -19,7 +19,7 @@
 
 
 def test_retries_of_all_nodes_stay_within_the_budget():
-    """Each node keeps to its part, so that all together keep the operator's."""
+    """Each node stays within its share, so that the fleet stays within the limit."""
     nodes = [RetryBudget(ratio=0.2, fixed=50, window=10.0) for _ in range(10)]
     for node in nodes:
         for _ in range(30):
