--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -34,7 +34,7 @@
 # that is longer. A request makes several calls in sequence: if each waited until its
 # own deadline, together they would exceed that of the request, and a backend server
 # with a long queue would work on requests that all fail.
-MAX_NESTED_WAIT_SERVICE_TIMES = 2.0
+MAX_NESTED_RESPONSE_SERVICE_TIMES = 2.0
 
 
 class BackendQueue:
@@ -147,7 +147,8 @@
         max_response_seconds = remaining
         if nested:
             max_nested_seconds = max(
-                latency_target, MAX_NESTED_WAIT_SERVICE_TIMES * self._service_seconds
+                latency_target,
+                MAX_NESTED_RESPONSE_SERVICE_TIMES * self._service_seconds,
             )
             max_response_seconds = min(remaining, max_nested_seconds)
         if expected_wait + self._service_seconds > max_response_seconds:
