--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -5,9 +5,9 @@
 
 # Fraction of the configured retry ratio that nodes use. The number of calls that a
 # retried run makes is an estimate, and lags behind a call graph that changes.
-RATIO_USED_FRACTION = 0.7
+RETRY_RATIO_USED_FRACTION = 0.7
 # Fraction of the configured fixed number of retries that all nodes use together.
-FIXED_USED_FRACTION = 0.6
+FIXED_RETRIES_USED_FRACTION = 0.6
 
 
 class RetryBudget:
@@ -24,8 +24,8 @@
     """
 
     def __init__(self, ratio: float, fixed: float, window: float):
-        self._ratio = ratio * RATIO_USED_FRACTION
-        self._fixed = fixed * FIXED_USED_FRACTION
+        self._ratio = ratio * RETRY_RATIO_USED_FRACTION
+        self._fixed = fixed * FIXED_RETRIES_USED_FRACTION
         self._window = window
         self._first_attempts: dict[str, SlidingCount] = {}
         self._retries: dict[str, SlidingCount] = {}
