--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -5,10 +5,11 @@
 overloaded service has an admission level, the fraction of the demand that is admitted;
 the lowest level among the services that a request calls applies to it.
 
-The level is computed as the estimated capacity divided by the demand of all requests,
-admitted or not. A controller that follows the queue length would oscillate: the queue
-shows an overload about a second late, after requests have passed through the whole
-graph and the state has been broadcast.
+The level is computed: the estimated capacity, less what is needed to drain the queues,
+divided by the demand of all requests, admitted or not. Utilization only corrects the
+estimate, and slowly. A controller that followed the queue length would oscillate: the
+queue shows an overload about a second late, after requests have passed through the
+whole graph and the state has been broadcast.
 """
 
 import random
@@ -16,36 +17,39 @@
 
 from .retry_budget import SlidingCount
 
-# Fraction of the estimated capacity that is admitted. The rest leaves room for retries:
-# every call has to queue at a service that runs at full capacity.
+# Fraction of the estimated capacity that is admitted. The rest is spare for retries;
+# at a service without spare capacity each of them makes calls queue.
 ADMITTED_CAPACITY_RATIO = 0.95
 # Target range of the utilization: calls in flight, running and queued, per slot. Above
-# it the capacity is overestimated, and its correction factor falls; below it the factor
-# rises.
+# it the capacity is overestimated, and the correction factor of the estimate falls;
+# below it the factor rises.
 MAX_TARGET_UTILIZATION = 1.5
 MIN_TARGET_UTILIZATION = 0.95
 # Time in which queued calls are to be completed. Queues are reported late, and a new
 # level takes effect later still, so that the level would oscillate with a shorter time.
 QUEUE_DRAIN_SECONDS = 1.5
-# Relative change of the correction factor per update: slow compared with the delay
-# until a correction takes effect.
+# Relative change of the correction factor per update; small, because a correction shows
+# in the utilization only some updates later.
 CORRECTION_DECREASE_RATIO = 0.01
 CORRECTION_INCREASE_RATIO = 0.01
 # Below this utilization the factor rises faster: slots are idle after an overload that
 # lowered the factor too far.
 FAST_RECOVERY_UTILIZATION = 0.7
 FAST_CORRECTION_INCREASE_RATIO = 0.08
+# Bounds of the factor by which the estimated capacity is multiplied.
 MIN_CORRECTION_FACTOR = 0.4
 MAX_CORRECTION_FACTOR = 4.0
-# A service below the target range gets its first level only if that is at most this:
-# a higher one may be an error of the estimate.
+# While the utilization is below the target range, load shedding starts only at a level
+# of at most this; a higher one may be an error of the estimate.
 MAX_INITIAL_ADMISSION_LEVEL = 0.85
-# Always admitted, since without any calls a recovery would not be noticed.
+# Fraction of the demand that is always admitted: without any calls, a recovery would
+# not be noticed.
 MIN_ADMISSION_LEVEL = 0.05
 # Window in which demand is counted: long enough for each node to receive some requests,
 # short enough to notice a burst before queues are full.
 DEMAND_WINDOW_SECONDS = 1.0
-# A request is not refused for a service to which it makes fewer calls on average.
+# A service to which a request makes fewer calls on average does not count the request
+# in its demand, and is no reason to refuse it.
 MIN_CALLS_PER_REQUEST = 0.05
 
 
--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -1,6 +1,6 @@
 """Estimates the size of each route's answers from those received so far."""
 
-# Weight of a new answer in the moving average: covers about the last 30 of its route.
+# Weight of a new answer in the moving average, which covers about 30 of its route.
 SIZE_SMOOTHING = 1 / 32
 # Bounds memory when configuration updates keep renaming routes.
 MAX_ROUTES = 2000
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -23,7 +23,7 @@
 CONNECT_TIMEOUT_SECONDS = 1.0
 # A call with less time until its deadline is not sent.
 MIN_REMAINING_SECONDS = 0.002
-# Weight of a new outcome in the moving average: covers about the last 30 calls.
+# Weight of a new outcome in the moving average, which covers about 30 calls.
 FAILURE_SMOOTHING = 1 / 32
 # A call that is canceled without an answer after more than this many times the average
 # service time counts as failed; few calls run that long.
@@ -114,9 +114,10 @@
         self._journal = journal
         self._broadcast_state = broadcast_state
         self._report: StatusReport | None = None
+        # Start times of drained incarnations by instance; 0 if the drain named none.
         self._drained_start_times: dict[str, int] = {}
-        # A drain that names no incarnation applies to the next one that is reported
-        # until then.
+        # By instance, the time until which a drain that named no incarnation applies to
+        # the next one that is reported.
         self._unspecified_drain_until: dict[str, float] = {}
         # Start time of the newest incarnation that was drained here. Peers also relay
         # drains of other nodes' backend servers, which do not count.
@@ -148,7 +149,7 @@
 
     @property
     def slots(self) -> int:
-        """Concurrent calls to announce to other nodes, fewer while it is cold."""
+        """Number of slots to announce to other nodes, reduced while it is cold."""
         if time.monotonic() < self._cold_until:
             return max(1, int(self.queue.concurrency_limit * COLD_CAPACITY_RATIO))
         return self.queue.concurrency_limit
@@ -174,11 +175,15 @@
 
     @property
     def start_time_ms(self) -> int:
-        """Start time of the reported incarnation, 0 before the first report."""
+        """Start time of the reported incarnation in ms, 0 before the first report."""
         return self._report.start_time_ms if self._report else 0
 
     def build_candidate(self, node: str) -> Candidate | None:
-        """Return the load-balancing candidate, or None if it accepts no calls."""
+        """Return it as a load-balancing candidate, or None if it accepts no calls.
+
+        Args:
+            node: Name of this node.
+        """
         if not self.instance:
             return None
         return Candidate(
@@ -195,7 +200,7 @@
         self._stopping = True
 
     def is_stale(self, report: StatusReport) -> bool:
-        """Return whether a report is older than the newest report or drain."""
+        """Return whether a later report or drain has outdated a report."""
         known = self._report
         if (
             report.start_time_ms
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -10,13 +10,13 @@
 
 from ..verdicts import not_run, Reason
 
-# Part of its slots in use at once. A backend server with nearly all slots taken slows
-# down, so that the last ones reduce its throughput.
+# Fraction of a backend server's slots that is used. With nearly all of them taken it
+# slows down, so that the last ones reduce its throughput.
 USED_SLOT_RATIO = 15 / 16
 # Calls are sorted by arrival time plus this many latency targets: a call with a short
 # target overtakes calls with a longer one that have not waited long.
 LATENCY_TARGET_WEIGHT = 3.0
-# Weight of a new service time in the moving averages: covers about the last 30 calls.
+# Weight of a new service time in the moving averages, which cover about 30 calls.
 SERVICE_TIME_SMOOTHING = 1 / 32
 # Assumed service time before the first answer.
 INITIAL_SERVICE_SECONDS = 0.03
@@ -31,9 +31,9 @@
 # the work of the services above, so the limit is higher and only bounds memory.
 MAX_NESTED_QUEUED_PER_SLOT = 30.0
 # A nested call may take up to its latency target, or this many average service times if
-# that is longer. A request makes several calls in sequence: if each waited until its
-# own deadline, together they would exceed that of the request, and a backend server
-# with a long queue would work on requests that all fail.
+# that is longer, its wait included. A request makes several calls in sequence: if each
+# waited until its own deadline, together they would exceed that of the request, and a
+# backend server with a long queue would work on requests that all fail.
 MAX_NESTED_RESPONSE_SERVICE_TIMES = 2.0
 
 
@@ -41,8 +41,8 @@
     """Limits the calls that run on the backend server and queues the others.
 
     Queued calls are ordered by arrival time and latency target. A call that cannot meet
-    its deadline is refused on arrival rather than when the deadline passes, while
-    another backend server may still serve it.
+    its deadline is refused on arrival, when another backend server may still serve it,
+    instead of when the deadline passes.
 
     Args:
         slots: Calls that the backend server can run concurrently.
@@ -51,6 +51,7 @@
     def __init__(self, slots: int):
         self._concurrency_limit = 1
         self._running = 0
+        # Heap of sort time, ID, deadline and the future that gets the slot.
         self._waiters: list[tuple[float, int, float, asyncio.Future[int]]] = []
         self._ids = itertools.count()
         self._queued = 0
@@ -62,6 +63,7 @@
         self._slot_acquired_at: dict[int, float] = {}
         self._reclaimed_slots: set[int] = set()
         self._has_measurement = False
+        # Sum of in-flight calls times seconds since the average was started.
         self._in_flight_integral = 0.0
         self._integrated_until = 0.0
         self._average_started_at = 0.0
@@ -79,7 +81,7 @@
 
     @property
     def running(self) -> int:
-        """Number of running calls, without those whose slot was reclaimed."""
+        """Number of running calls, except those whose slot was reclaimed."""
         return self._running
 
     @property
@@ -89,7 +91,7 @@
 
     @property
     def service_seconds(self) -> float:
-        """Average service time of a call, as its caller sees it."""
+        """Average service time of a call, those without an answer included."""
         return self._service_seconds
 
     @property
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -37,7 +37,7 @@
         Args:
             reported_ratios: For each node, its service and the calls per run, by the
                 run's route; the average over all runs is under ``""``.
-            routes: Routes in force by name, which say what services serve the calls.
+            routes: Routes in force by name; they give the services that serve calls.
         """
         sums: dict[ServiceRoute, CallRatios] = {}
         node_counts: dict[ServiceRoute, int] = {}
--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -8,8 +8,8 @@
 import math
 import time
 
-# Calls are canceled this long after their deadline; callers set deadlines in tenths of
-# a second.
+# Calls are canceled up to this long after their deadline, which does not matter to
+# callers: they measure in tenths of a second.
 CANCEL_DELAY_SECONDS = 0.05
 
 
@@ -47,10 +47,10 @@
         self._next_sweep_at = math.inf
 
     def start(self, at: float) -> Deadline:
-        """Cancel the current task at a time on the loop's clock, in seconds.
+        """Cancel the current task at a time, unless `end` is called before.
 
-        Returns:
-            The deadline, to be passed to `end` when the call has ended.
+        Args:
+            at: Seconds on the loop's clock.
         """
         task = asyncio.current_task(self._loop)
         assert task is not None
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -55,6 +55,7 @@
         self._last_log_had_levels = False
         self._levels_logged_at = 0.0
         self._graph_built_at = 0.0
+        #: Calls in flight at the local backend server, average over the last step.
         self.average_in_flight = 0.0
 
     def update(self, now: float) -> None:
