--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -18,10 +18,10 @@
 REPORT_LAG_STEPS = 2
 
 
-def build_load(in_flight: float, slots: float, service_ms: float = 15.0) -> ServiceLoad:
+def build_load(in_flight: float, slots: float, slot_ms: float = 15.0) -> ServiceLoad:
     """Return the load of a service with one backend server."""
     load = ServiceLoad()
-    load.add(in_flight, slots, service_ms)
+    load.add(in_flight, slots, slot_ms)
     return load
 
 
@@ -31,17 +31,17 @@
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
         self.slots = slots
-        self.waiting = 0.0
+        self.queued = 0.0
         self.reported = [0.0] * REPORT_LAG_STEPS
 
     def step(self, calls: float) -> ServiceLoad:
         """Run the calls of a step and return the lagging load that is reported."""
-        running_fraction = min(1.0, (calls + self.waiting) / self.capacity)
-        self.waiting = max(0.0, self.waiting + calls - self.capacity)
-        self.waiting = min(self.waiting, 3 * self.slots)
-        self.reported.append(self.slots * running_fraction + self.waiting)
-        service_ms = 1000 * STEP_SECONDS * self.slots / self.capacity
-        return build_load(self.reported.pop(0), self.slots, service_ms)
+        running_fraction = min(1.0, (calls + self.queued) / self.capacity)
+        self.queued = max(0.0, self.queued + calls - self.capacity)
+        self.queued = min(self.queued, 3 * self.slots)
+        self.reported.append(self.slots * running_fraction + self.queued)
+        slot_ms = 1000 * STEP_SECONDS * self.slots / self.capacity
+        return build_load(self.reported.pop(0), self.slots, slot_ms)
 
 
 def simulate_overload(
@@ -165,7 +165,7 @@
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
         self.slots = slots
-        self.waiting = 0.0
+        self.queued = 0.0
         self.done = 0.0
         self.in_transit = [0.0] * self.TRANSIT_STEPS
         self.reported = [0.0] * self.LOAD_LAG_STEPS
@@ -174,18 +174,18 @@
         """Simulate 0.05 s."""
         self.in_transit.append(calls)
         max_done = self.capacity * self.SIMULATED_STEP_SECONDS
-        arrived = self.waiting + self.in_transit.pop(0)
+        arrived = self.queued + self.in_transit.pop(0)
         done = min(arrived, max_done)
         self.done += done
         # Callers that wait too long give up.
-        self.waiting = min(arrived - done, 8 * self.slots)
-        self.reported.append(self.slots * done / max_done + self.waiting)
+        self.queued = min(arrived - done, 8 * self.slots)
+        self.reported.append(self.slots * done / max_done + self.queued)
 
     @property
     def load(self) -> ServiceLoad:
         """The load that other nodes know now."""
-        service_ms = 1000 * self.slots / self.capacity
-        return build_load(self.reported[-self.LOAD_LAG_STEPS], self.slots, service_ms)
+        slot_ms = 1000 * self.slots / self.capacity
+        return build_load(self.reported[-self.LOAD_LAG_STEPS], self.slots, slot_ms)
 
 
 def test_admission_level_does_not_oscillate_when_reports_lag():
