--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -26,7 +26,7 @@
 
 
 class FakeService:
-    """A service that runs a fixed number of calls per step and queues or drops more."""
+    """A service with a fixed number of calls per step; it queues or drops the rest."""
 
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
--- a/tests/test_backend_queue.py
+++ b/tests/test_backend_queue.py
@@ -113,8 +113,8 @@
 
 
 async def test_lost_answers_raise_the_service_time_but_not_the_slot_time():
-    """The slot time determines the capacity of a service, the service time that callers
-    see whether to choose the backend server.
+    """Capacity is estimated from the slot time. Load balancing uses the service time,
+    which includes the wait for answers that were lost.
     """
     queue = BackendQueue(20)
     for number in range(200):
