--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -1,22 +1,25 @@
-"""Ends calls whose time is up, with one timer for all of them.
+"""Cancels calls that exceed their deadline, with one timer for all of them.
 
-`asyncio.timeout` makes a timer and three objects for each call, and hardly any call
-lasts until its time is up. A node wakes only for the call whose time is up first.
+`asyncio.timeout` creates a timer and three objects per call, although hardly any call
+reaches its deadline. Here a node wakes only for the earliest deadline.
 """
 
 import asyncio
 import math
 import time
 
-# How late a call may be ended; callers measure in tenths of a second.
-SWEEP_SECONDS = 0.05
+# Calls are canceled up to this long after their deadline, which does not matter to
+# callers: they measure in tenths of a second.
+CANCEL_DELAY_SECONDS = 0.05
 
 
 class Deadline:
-    """The time at which a task is to end.
+    """The deadline of a task.
 
     Attributes:
-        expired: Whether the task was cancelled for it.
+        at: Time on the loop's clock, in seconds.
+        task: The task that is canceled.
+        expired: Whether the task was canceled because the deadline passed.
     """
 
     __slots__ = ("at", "expired", "task")
@@ -27,53 +30,60 @@
         self.expired = False
 
     def caused_cancellation(self) -> bool:
-        """Whether a cancellation of the task comes from here and from nobody else."""
+        """Return whether this deadline alone canceled the task.
+
+        If the deadline passed, one cancellation of the task is taken back.
+        """
         return self.expired and self.task.uncancel() <= 0
 
 
 class Deadlines:
-    """The calls that are under way at a node."""
+    """Tracks the deadlines of all calls in flight at a node."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._open: set[Deadline] = set()
+        self._active: set[Deadline] = set()
         self._timer: asyncio.TimerHandle | None = None
-        self._wakes_at = math.inf
+        self._next_sweep_at = math.inf
 
     def start(self, at: float) -> Deadline:
-        """Have the running task cancelled at a time on the loop's clock."""
+        """Cancel the current task at a time, unless `end` is called before.
+
+        Args:
+            at: Seconds on the loop's clock.
+        """
         task = asyncio.current_task(self._loop)
         assert task is not None
         deadline = Deadline(at, task)
-        self._open.add(deadline)
-        if at + SWEEP_SECONDS < self._wakes_at:
-            self._wake_at(at + SWEEP_SECONDS)
+        self._active.add(deadline)
+        if at + CANCEL_DELAY_SECONDS < self._next_sweep_at:
+            self._schedule_sweep(at + CANCEL_DELAY_SECONDS)
         return deadline
 
     def end(self, deadline: Deadline) -> None:
-        """Note that the call has ended."""
-        self._open.discard(deadline)
+        """Stop tracking the deadline of a call that has ended."""
+        self._active.discard(deadline)
 
     def close(self) -> None:
-        """End no call any more."""
+        """Cancel the timer; no call is canceled after this."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _wake_at(self, moment: float) -> None:
+    def _schedule_sweep(self, sweep_at: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._wakes_at = moment
-        wait = max(0.0, moment - time.monotonic())
+        self._next_sweep_at = sweep_at
+        wait = max(0.0, sweep_at - time.monotonic())
         self._timer = self._loop.call_later(wait, self._sweep)
 
     def _sweep(self) -> None:
-        """Cancel what is over its time."""
+        """Cancel the tasks whose deadline has passed, and schedule the next sweep."""
         now = time.monotonic()
-        for deadline in [d for d in self._open if d.at <= now]:
+        for deadline in [d for d in self._active if d.at <= now]:
             deadline.expired = True
-            self._open.discard(deadline)
+            self._active.discard(deadline)
             deadline.task.cancel()
-        self._wakes_at = math.inf
+        self._next_sweep_at = math.inf
         self._timer = None
-        if self._open:
-            self._wake_at(min(d.at for d in self._open) + SWEEP_SECONDS)
+        if self._active:
+            self._schedule_sweep(min(d.at for d in self._active) + CANCEL_DELAY_SECONDS)
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -1,4 +1,4 @@
-"""Looks at how busy services are, and sets what admission goes by."""
+"""Collects the load of all services and updates what is derived from it."""
 
 from ..observe.events import Journal, LEVELS_SET
 from .admission import Admission, ServiceLoad
@@ -10,24 +10,27 @@
 from .policy_tracker import PolicyTracker
 from .zone_costs import ZoneCosts
 
-# How often the graph is built anew; what backend servers call is told less often.
-GRAPH_SECONDS = 1.0
-# Levels change in steps; the log has them once a second while any is below its top.
-LEVELS_TOLD_SECONDS = 1.0
+# Interval between rebuilds of the call graph; call ratios are broadcast less often.
+GRAPH_REBUILD_SECONDS = 1.0
+# Admission levels are updated more often than they are logged. They are logged while
+# any is below 1, and once more when none is.
+LEVELS_LOG_INTERVAL_SECONDS = 1.0
 
 
 class LoadMonitor:
-    """Puts together what this node and the others know of load.
+    """Combines the load of this node with that broadcast by the others.
+
+    It updates the admission levels, the call graph and the costs per availability zone.
 
     Args:
-        backend: The own backend server.
+        backend: The local backend server.
         fleet: The other nodes.
-        admission: Gets loads and demand.
-        graph: Gets what backend servers call.
-        zone_costs: Gets what calls cost in each zone.
-        call_ratios: What the own one calls.
-        policies: For the routes in force.
-        journal: Where levels are told.
+        admission: Receives the load and demand of each service.
+        graph: Receives the call ratios of each service.
+        zone_costs: Receives the cost of a call in each availability zone.
+        call_ratios: Call ratios of the local backend server.
+        policies: Provides the routes in force.
+        journal: Logs admission levels.
     """
 
     def __init__(
@@ -49,23 +52,24 @@
         self._call_ratios = call_ratios
         self._policies = policies
         self._journal = journal
-        self._levels_told = False
-        self._levels_told_at = 0.0
+        self._last_log_had_levels = False
+        self._levels_logged_at = 0.0
         self._graph_built_at = 0.0
+        #: Calls in flight at the local backend server, average over the last step.
         self.average_in_flight = 0.0
 
     def update(self, now: float) -> None:
-        """Look once, at every step of the ticker."""
+        """Update everything, at every step of the periodic scheduler."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
-        self._tell_levels(survey, now)
+        self._log_levels(survey, now)
         self._zone_costs.refresh(survey.min_costs)
-        if now - self._graph_built_at > GRAPH_SECONDS:
+        if now - self._graph_built_at > GRAPH_REBUILD_SECONDS:
             self._graph_built_at = now
             self._rebuild_graph(now)
 
     def _survey(self, now: float) -> Survey:
-        """Return what the other nodes told, with this node's part."""
+        """Return the load, costs and demand of all nodes, this one included."""
         survey = self._fleet.survey()
         backend = self._backend
         self.average_in_flight = backend.queue.take_average_in_flight()
@@ -79,14 +83,17 @@
             survey.demand[service] = survey.demand.get(service, 0.0) + calls
         return survey
 
-    def _tell_levels(self, survey: Survey, now: float) -> None:
+    def _log_levels(self, survey: Survey, now: float) -> None:
         admission_levels = self._admission.admission_levels
-        if not admission_levels and not self._levels_told:
+        if not admission_levels and not self._last_log_had_levels:
             return
-        if now - self._levels_told_at < LEVELS_TOLD_SECONDS and admission_levels:
+        if (
+            now - self._levels_logged_at < LEVELS_LOG_INTERVAL_SECONDS
+            and admission_levels
+        ):
             return
-        self._levels_told_at = now
-        self._levels_told = bool(admission_levels)
+        self._levels_logged_at = now
+        self._last_log_had_levels = bool(admission_levels)
         loads = survey.loads
         self._journal.emit(
             LEVELS_SET,
@@ -98,12 +105,12 @@
         )
 
     def _rebuild_graph(self, now: float) -> None:
-        told = [
+        reported_ratios = [
             (peer.entry.service, peer.state.downstream_calls)
             for peer in self._fleet
             if peer.connected and peer.state.downstream_calls
         ]
-        own = self._call_ratios.get_ratios(now)
-        if own:
-            told.append((self._backend.service, own))
-        self._graph.rebuild(told, self._policies.routes.by_name)
+        own_ratios = self._call_ratios.get_ratios(now)
+        if own_ratios:
+            reported_ratios.append((self._backend.service, own_ratios))
+        self._graph.rebuild(reported_ratios, self._policies.routes.by_name)
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -1,26 +1,28 @@
-"""What the fleet may let through beyond a workspace's rate."""
+"""Limits that the fleet enforces, raised by part of the tolerated overshoot."""
 
 from .frames import TokenLimits
 from .model import Tenant
 
 
 class RateTolerance:
-    """The limits that the fleet enforces, above those of the operator's configuration.
+    """Computes the limits to enforce from the limits that the operator configured.
 
-    Operators tolerate an overshoot in any window. Most of it goes to callers, as a
-    higher rate and burst, and some to callers after a restart. The rest is kept for
-    nodes that join or are restarted behind a partition (see docs/DESIGN.md).
+    Operators tolerate an overshoot in any window. Most of it raises the enforced rate
+    and burst, and some is available as initial tokens after a restart. The rest is
+    reserved for nodes that join or restart behind a partition (see docs/DESIGN.md).
 
     Args:
-        overshoot: Part of rate and burst.
-        slack: Calls in a window besides.
-        window: Seconds.
+        overshoot: Tolerated excess, as a fraction of what rate and burst allow.
+        slack: Further tolerated calls in a window.
+        window: Length of the window in seconds.
     """
 
-    USED = 0.7
-    USED_AFTER_RESTART = 0.2
-    # Part of what is used that goes to the burst; the rest goes to the rate.
-    BURST_PART = 0.5
+    # Fraction of the overshoot by which rate and burst are raised.
+    ENFORCED_RATIO = 0.7
+    # Fraction of the overshoot that is available after a restart.
+    RESTART_RATIO = 0.2
+    # Fraction of the raise that goes to the burst; the rest goes to the rate.
+    BURST_RATIO = 0.5
 
     __slots__ = ("_overshoot", "_slack", "_window")
 
@@ -42,11 +44,11 @@
             return TokenLimits(tenant.name, 0.0, 0.0, version)
         tolerated = self._slack
         tolerated += self._overshoot * (tenant.rate * self._window + tenant.burst)
-        used = tolerated * self.USED
+        extra_calls = tolerated * self.ENFORCED_RATIO
         return TokenLimits(
             tenant.name,
-            tenant.rate + used * (1.0 - self.BURST_PART) / self._window,
-            tenant.burst + used * self.BURST_PART,
+            tenant.rate + extra_calls * (1.0 - self.BURST_RATIO) / self._window,
+            tenant.burst + extra_calls * self.BURST_RATIO,
             version,
-            tolerated * self.USED_AFTER_RESTART,
+            tolerated * self.RESTART_RATIO,
         )
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -1,62 +1,64 @@
-"""How many further attempts this node may make, so that the fleet keeps its bound."""
+"""Limits the retries of this node so that the whole fleet stays within its budget."""
 
 import collections
 from collections.abc import Mapping
 
-# Of the operator's share of repeats, what nodes use: the calls that a repeated run
-# will make are estimates, and lag behind a graph that changes.
-SHARE_USED = 0.7
-# Of the operator's fixed number of repeats, what all nodes use together.
-FIXED_USED = 0.6
+# Fraction of the configured retry ratio that nodes use. The number of calls that a
+# retried run makes is an estimate, and lags behind a call graph that changes.
+RETRY_RATIO_USED_FRACTION = 0.7
+# Fraction of the configured fixed number of retries that all nodes use together.
+FIXED_RETRIES_USED_FRACTION = 0.6
 
 
 class RetryBudget:
-    """Repeats to each service in a sliding window.
+    """Limits the retries to each service in a sliding window.
 
-    Each node keeps to its own part, whatever the others do: its own first attempts
-    times the ratio, and its part of the fixed number. So the sum holds without a
-    message, also between nodes that cannot reach each other.
+    Each node has a budget of its own: the ratio times its first attempts, plus its
+    share of the fixed number. The sum therefore stays within the limit without
+    coordination, even between nodes that cannot reach each other.
 
     Args:
-        ratio: Repeats for each first attempt.
-        fixed: Repeats in a window that all nodes together may make besides.
-        window: Seconds.
+        ratio: Allowed retries per first attempt.
+        fixed: Further retries per window, shared by all nodes.
+        window: Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, fixed: float, window: float):
-        self._ratio = ratio * SHARE_USED
-        self._fixed = fixed * FIXED_USED
+        self._ratio = ratio * RETRY_RATIO_USED_FRACTION
+        self._fixed = fixed * FIXED_RETRIES_USED_FRACTION
         self._window = window
-        self._firsts: dict[str, SlidingCount] = {}
-        self._repeats: dict[str, SlidingCount] = {}
+        self._first_attempts: dict[str, SlidingCount] = {}
+        self._retries: dict[str, SlidingCount] = {}
 
     def record_first_attempt(self, service: str, now: float) -> None:
-        """Count a caller's request to a service."""
-        self._get(self._firsts, service).add(now)
+        """Record the first attempt of a request to a service."""
+        self._get_count(self._first_attempts, service).add(now)
 
     def try_spend(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
-        """Whether one more repeat may be sent; it is counted if so.
+        """Return whether a retry may be sent, and count it if so.
 
-        A run that is repeated makes its calls again, and they count as repeats at the
-        services below: with one repeat of a request that makes four calls to a deep
-        service, that service gets four. So all of them must have room.
+        A retried run makes its downstream calls again, and these count as retries too:
+        one retry of a request that makes four calls to a service brings that service
+        four retries. The budget of every service called must therefore suffice.
 
         Args:
-            visits: Calls at each service that the repeat leads to, its own too.
-            nodes: Nodes that share the fixed number.
+            visits: Expected calls of the retry to each service, its own included.
+            nodes: Number of nodes that share the fixed number.
             now: Seconds on the loop's clock.
         """
         for service, calls in visits.items():
-            firsts = self._get(self._firsts, service).total(now)
-            repeats = self._get(self._repeats, service).total(now)
-            allowed = firsts * self._ratio + self._fixed / max(1, nodes)
-            if repeats + calls > allowed:
+            first_attempts = self._get_count(self._first_attempts, service).total(now)
+            retries = self._get_count(self._retries, service).total(now)
+            allowed = first_attempts * self._ratio + self._fixed / max(1, nodes)
+            if retries + calls > allowed:
                 return False
         for service, calls in visits.items():
-            self._get(self._repeats, service).add(now, calls)
+            self._get_count(self._retries, service).add(now, calls)
         return True
 
-    def _get(self, counts: "dict[str, SlidingCount]", service: str) -> "SlidingCount":
+    def _get_count(
+        self, counts: "dict[str, SlidingCount]", service: str
+    ) -> "SlidingCount":
         count = counts.get(service)
         if count is None:
             count = counts[service] = SlidingCount(self._window)
@@ -64,37 +66,42 @@
 
 
 class SlidingCount:
-    """How many events there were in the last seconds, in twenty steps.
+    """Counts events in a sliding window of 20 buckets.
 
     Args:
-        window: Seconds.
+        window: Length of the window in seconds.
     """
 
-    STEPS = 20
+    BUCKETS = 20
 
     def __init__(self, window: float):
-        self._step = window / self.STEPS
-        self._counts: collections.deque[list[float]] = collections.deque()
+        self._bucket_seconds = window / self.BUCKETS
+        self._buckets: collections.deque[list[float]] = collections.deque()
         self._total = 0.0
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """Count events at a time that does not go back."""
-        step = int(now / self._step)
-        if self._counts and self._counts[-1][0] == step:
-            self._counts[-1][1] += amount
+        """Add events; times must not decrease from one call to the next.
+
+        Args:
+            now: Time of the events, in seconds.
+            amount: Number of events.
+        """
+        bucket = int(now / self._bucket_seconds)
+        if self._buckets and self._buckets[-1][0] == bucket:
+            self._buckets[-1][1] += amount
         else:
-            self._counts.append([step, amount])
+            self._buckets.append([bucket, amount])
         self._total += amount
 
     def total(self, now: float) -> float:
-        """Return the events in the window, and up to one step more.
+        """Return the number of events in the window, which is up to a bucket longer.
 
         >>> count = SlidingCount(10.0)
         >>> count.add(0.0); count.add(6.0)
         >>> count.total(9.9), count.total(11.0), count.total(17.0)
         (2.0, 1.0, 0.0)
         """
-        oldest = int(now / self._step) - self.STEPS
-        while self._counts and self._counts[0][0] < oldest:
-            self._total -= self._counts.popleft()[1]
+        oldest_bucket = int(now / self._bucket_seconds) - self.BUCKETS
+        while self._buckets and self._buckets[0][0] < oldest_bucket:
+            self._total -= self._buckets.popleft()[1]
         return self._total
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -1,4 +1,4 @@
-"""Loads of callers' requests over what a service deep in the graph can do."""
+"""Admission levels while a service deep in the call graph is overloaded."""
 
 import random
 
@@ -13,44 +13,45 @@
 
 from .rates import OneHolder
 
-URGENT, USUAL, LEAST = 10, 11, 12
-# Steps of the plant below that a load lags behind what was admitted: heartbeats are
-# half a second apart.
-LAG_STEPS = 2
+URGENT, NORMAL, LEAST_URGENT = 10, 11, 12
+# Steps by which the reported load lags: states are broadcast every half second.
+REPORT_LAG_STEPS = 2
 
 
-def build_load(in_flight: float, slots: float, service_ms: float = 15.0) -> ServiceLoad:
+def build_load(in_flight: float, slots: float, slot_ms: float = 15.0) -> ServiceLoad:
     """Return the load of a service with one backend server."""
     load = ServiceLoad()
-    load.add(in_flight, slots, service_ms)
+    load.add(in_flight, slots, slot_ms)
     return load
 
 
-class Deep:
-    """A service that works on so many calls a step; the rest waits or is dropped."""
+class FakeService:
+    """A service with a fixed number of calls per step; it queues or drops the rest."""
 
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
         self.slots = slots
-        self.waiting = 0.0
-        self.told = [0.0] * LAG_STEPS
+        self.queued = 0.0
+        self.reported = [0.0] * REPORT_LAG_STEPS
 
     def step(self, calls: float) -> ServiceLoad:
-        """Take in a step's calls and return the load as others hear of it."""
-        busy = min(1.0, (calls + self.waiting) / self.capacity)
-        self.waiting = max(0.0, self.waiting + calls - self.capacity)
-        self.waiting = min(self.waiting, 3 * self.slots)
-        self.told.append(self.slots * busy + self.waiting)
-        service_ms = 1000 * STEP_SECONDS * self.slots / self.capacity
-        return build_load(self.told.pop(0), self.slots, service_ms)
-
-
-def play(demand: dict[int, int], capacity: float, steps: int) -> dict[int, float]:
-    """Return which part of each rank was admitted in the second half of a load."""
+        """Run the calls of a step and return the lagging load that is reported."""
+        running_fraction = min(1.0, (calls + self.queued) / self.capacity)
+        self.queued = max(0.0, self.queued + calls - self.capacity)
+        self.queued = min(self.queued, 3 * self.slots)
+        self.reported.append(self.slots * running_fraction + self.queued)
+        slot_ms = 1000 * STEP_SECONDS * self.slots / self.capacity
+        return build_load(self.reported.pop(0), self.slots, slot_ms)
+
+
+def simulate_overload(
+    demand: dict[int, int], capacity: float, steps: int
+) -> dict[int, float]:
+    """Return the admitted fraction of each rank in the second half of a simulation."""
     admission = Admission(random.Random(1))
-    deep = Deep(capacity, 20)
+    fake_service = FakeService(capacity, 20)
     admitted = dict.fromkeys(demand, 0)
-    asked = dict.fromkeys(demand, 0)
+    requested = dict.fromkeys(demand, 0)
     visits = {"front": 1.0, "deep": 4.0}
     for step in range(steps):
         now = step * STEP_SECONDS
@@ -58,45 +59,51 @@
         for rank, count in demand.items():
             for _ in range(count):
                 admission.record_demand(visits, rank, now)
-                passed = admission.admits(visits, rank)
-                calls += 4.0 * passed
+                is_admitted = admission.admits(visits, rank)
+                calls += 4.0 * is_admitted
                 if step > steps // 2:
-                    asked[rank] += 1
-                    admitted[rank] += passed
-        told = admission.measure_demand(now)
-        admission.update({"deep": deep.step(calls)}, told, now)
-    return {rank: admitted[rank] / asked[rank] for rank in demand}
+                    requested[rank] += 1
+                    admitted[rank] += is_admitted
+        measured_demand = admission.measure_demand(now)
+        admission.update({"deep": fake_service.step(calls)}, measured_demand, now)
+    return {rank: admitted[rank] / requested[rank] for rank in demand}
 
 
-def test_nothing_is_refused_while_there_is_room():
-    """Demand of 0.8 of what the service can do passes whole."""
-    passed = play({URGENT: 20, USUAL: 20, LEAST: 40}, 400.0, 80)
-    assert passed == {URGENT: 1.0, USUAL: 1.0, LEAST: 1.0}
+def test_everything_is_admitted_below_capacity():
+    """Demand of 0.8 of the capacity is admitted whole."""
+    admitted_fractions = simulate_overload(
+        {URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}, 400.0, 80
+    )
+    assert admitted_fractions == {URGENT: 1.0, NORMAL: 1.0, LEAST_URGENT: 1.0}
 
 
-def test_the_least_urgent_are_refused_first():
-    """Demand of 1.6 of the capacity: the urgent half passes whole."""
-    passed = play({URGENT: 20, USUAL: 20, LEAST: 40}, 200.0, 160)
-    assert passed[URGENT] > 0.98
-    assert passed[USUAL] > 0.75
-    assert passed[LEAST] < 0.5
+def test_least_urgent_requests_are_refused_first():
+    """At a demand of 1.6 times the capacity the urgent ranks are admitted."""
+    admitted_fractions = simulate_overload(
+        {URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}, 200.0, 160
+    )
+    assert admitted_fractions[URGENT] > 0.98
+    assert admitted_fractions[NORMAL] > 0.75
+    assert admitted_fractions[LEAST_URGENT] < 0.5
 
 
-def test_what_a_service_can_do_is_used():
+def test_capacity_is_used_during_an_overload():
     """Requests were refused for ten seconds after a burst although the service was
-    half idle: levels fell by ranks, most of them empty, far below the demand that it
-    could serve, and rose as slowly. The load lags, so that some falls too far; on
-    average at least three quarters of the capacity is used.
+    half idle: levels moved rank by rank, most of them empty, fell far below the demand
+    that it could serve, and rose as slowly. As the load lags, levels may fall too far
+    for a while; on average at least three quarters of the capacity must be used.
     """
-    demand = {0: 1, 1: 1, 2: 1, URGENT: 20, USUAL: 20, LEAST: 40}
-    passed = play(demand, 200.0, 160)
-    calls = sum(4.0 * count * passed[rank] for rank, count in demand.items())
+    demand = {0: 1, 1: 1, 2: 1, URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}
+    admitted_fractions = simulate_overload(demand, 200.0, 160)
+    calls = sum(
+        4.0 * count * admitted_fractions[rank] for rank, count in demand.items()
+    )
     assert 0.75 * 200.0 < calls < 1.15 * 200.0
 
 
-def test_a_call_that_did_not_run_costs_no_token():
-    """Workspaces were refused as over their rate at half of it: each call that an
-    overloaded service had refused was counted against them.
+def test_refunded_token_is_available_again():
+    """Workspaces were refused at half of their rate: each call that an overloaded
+    service had refused still cost them a token.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 10.0, 10.0)
@@ -106,112 +113,116 @@
         holder.quotas.refund(tenant)
 
 
-def test_the_rate_holds_over_nodes_that_share_it():
-    """Three nodes with five times the rate between them let through the rate."""
-    play = play_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
-    assert play.find_worst_window() <= count_allowed(100.0, 100.0)
-    assert len(play.admitted) >= 100.0 * 10 * 0.95
+def test_rate_holds_across_nodes_that_share_it():
+    """Three nodes that together receive five times the rate admit just the rate."""
+    simulation = play_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
+    assert simulation.find_worst_window() <= count_allowed(100.0, 100.0)
+    assert len(simulation.admitted) >= 100.0 * 10 * 0.95
 
 
-def test_an_overload_that_has_ended_is_soon_over_for_callers():
-    """A slow service became fast again, and for eight more seconds half of all
-    callers were refused while its slots stood two thirds empty: the level rose by a
-    fixed step whatever the room.
+def test_admission_level_recovers_soon_after_an_overload():
+    """After a slow service became fast again, half of all callers were refused for
+    eight more seconds while two thirds of its slots were idle: the level rose by a
+    fixed step, however low the utilization.
     """
     admission = Admission(random.Random(1))
     visits = {"front": 1.0, "deep": 4.0}
-    slow, fast = 500.0, 15.0
+    slow_ms, fast_ms = 500.0, 15.0
 
     def step(number: int, load: ServiceLoad) -> float:
         now = number * STEP_SECONDS
         for _ in range(50):
-            admission.record_demand(visits, USUAL, now)
+            admission.record_demand(visits, NORMAL, now)
         admission.update({"deep": load}, admission.measure_demand(now), now)
         return admission.admission_levels.get("deep", 1.0)
 
     for number in range(40):
-        level = step(number, build_load(80.0, 20.0, slow))
+        level = step(number, build_load(80.0, 20.0, slow_ms))
     assert level < 0.1
-    # From now on the demand takes six tenths of the slots.
-    admission_levels = [level] * (LAG_STEPS + 1)
+    # From now on the whole demand uses six tenths of the slots.
+    admission_levels = [level] * (REPORT_LAG_STEPS + 1)
     for number in range(40, 40 + int(3.0 / STEP_SECONDS)):
-        load = build_load(20.0 * 0.6 * admission_levels[-LAG_STEPS], 20.0, fast)
+        load = build_load(
+            20.0 * 0.6 * admission_levels[-REPORT_LAG_STEPS], 20.0, fast_ms
+        )
         admission_levels.append(step(number, load))
     assert admission_levels[-1] == 1.0
 
 
-class Pipe:
-    """A deep service behind others: what is let through comes 0.3 s later, and what it
-    tells is half a second old.
+class DelayedService:
+    """A service deep in the graph: admitted calls arrive 0.3 s later, and the reported
+    load is half a second old.
 
     Args:
-        capacity: Calls a second.
-        slots: Of its backend servers together.
+        capacity: Calls per second.
+        slots: Slots of all its backend servers.
     """
 
-    STEP = 0.05
-    WAY = 6
-    LAG = 10
+    SIMULATED_STEP_SECONDS = 0.05
+    TRANSIT_STEPS = 6
+    LOAD_LAG_STEPS = 10
 
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
         self.slots = slots
-        self.waiting = 0.0
+        self.queued = 0.0
         self.done = 0.0
-        self.coming = [0.0] * self.WAY
-        self.told = [0.0] * self.LAG
+        self.in_transit = [0.0] * self.TRANSIT_STEPS
+        self.reported = [0.0] * self.LOAD_LAG_STEPS
 
     def step(self, calls: float) -> None:
-        """Let a twentieth of a second pass."""
-        self.coming.append(calls)
-        most = self.capacity * self.STEP
-        there = self.waiting + self.coming.pop(0)
-        done = min(there, most)
+        """Simulate 0.05 s."""
+        self.in_transit.append(calls)
+        max_done = self.capacity * self.SIMULATED_STEP_SECONDS
+        arrived = self.queued + self.in_transit.pop(0)
+        done = min(arrived, max_done)
         self.done += done
-        # Who waits for too long gives up.
-        self.waiting = min(there - done, 8 * self.slots)
-        self.told.append(self.slots * done / most + self.waiting)
+        # Callers that wait too long give up.
+        self.queued = min(arrived - done, 8 * self.slots)
+        self.reported.append(self.slots * done / max_done + self.queued)
 
     @property
     def load(self) -> ServiceLoad:
-        """What others know of it now."""
-        service_ms = 1000 * self.slots / self.capacity
-        return build_load(self.told[-self.LAG], self.slots, service_ms)
+        """The load that other nodes know now."""
+        slot_ms = 1000 * self.slots / self.capacity
+        return build_load(self.reported[-self.LOAD_LAG_STEPS], self.slots, slot_ms)
 
 
-def test_a_level_does_not_swing_with_what_is_seen_late():
-    """In a burst of 1.6 times what the deepest service can do, it stood idle and was
-    flooded by turns, each for a second: what was let through came down the graph, its
-    queue was told, and was answered when it was gone. A third of its work was lost.
+def test_admission_level_does_not_oscillate_when_reports_lag():
+    """In a burst of 1.6 times the capacity of the deepest service, it alternated
+    between idle and flooded every second: the levels followed its queue, which was
+    reported only after it had gone. A third of its throughput was lost.
     """
     admission = Admission(random.Random(1))
-    deep = Pipe(4900.0, 92.0)
+    delayed_service = DelayedService(4900.0, 92.0)
     rng = random.Random(2)
     visits = {"front": 1.0, "deep": 5.0}
-    pressures = []
-    steps = int(25.0 / Pipe.STEP)
+    utilizations = []
+    steps = int(25.0 / DelayedService.SIMULATED_STEP_SECONDS)
     for number in range(steps):
-        now = number * Pipe.STEP
+        now = number * DelayedService.SIMULATED_STEP_SECONDS
         calls = 0.0
         for _ in range(80):
-            rank = rng.choice((URGENT, USUAL, USUAL))
+            rank = rng.choice((URGENT, NORMAL, NORMAL))
             admission.record_demand(visits, rank, now)
             calls += 5.0 * admission.admits(visits, rank)
-        deep.step(calls)
+        delayed_service.step(calls)
         if number % 5 == 0:
-            asked = admission.measure_demand(now)
-            admission.update({"deep": deep.load}, asked, now)
+            demand = admission.measure_demand(now)
+            admission.update({"deep": delayed_service.load}, demand, now)
         if now > 5.0:
-            pressures.append(deep.told[-1] / deep.slots)
-    assert deep.done > 0.9 * deep.capacity * 25.0
-    assert max(pressures) < 6.0
-    assert sum(utilization < 0.6 for utilization in pressures) < 0.02 * len(pressures)
-
-
-def test_one_slow_backend_server_of_three_does_not_close_the_service():
-    """One of three backend servers became twelve times slower and gathered a queue.
-    Callers of the service were refused for seconds, while the two others had room for
-    everything.
+            utilizations.append(delayed_service.reported[-1] / delayed_service.slots)
+    assert delayed_service.done > 0.9 * delayed_service.capacity * 25.0
+    assert max(utilizations) < 6.0
+    assert sum(utilization < 0.6 for utilization in utilizations) < 0.02 * len(
+        utilizations
+    )
+
+
+def test_one_slow_backend_server_of_three_does_not_overload_the_service():
+    """One of three backend servers became twelve times slower and built up a queue.
+    Callers of the service were refused for seconds, although the two others had the
+    capacity for all calls.
     """
     load = ServiceLoad()
     load.add(180.0, 46.0, 360.0)
--- a/tests/test_call_graph.py
+++ b/tests/test_call_graph.py
@@ -1,4 +1,4 @@
-"""What requests lead to."""
+"""Calls to each service that requests cause."""
 
 import itertools
 import time
@@ -6,9 +6,9 @@
 from primroseglade.sidecar.call_graph import CallGraph
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
 
-# Walking the paths of the graph below took hours, adding up levels takes
-# milliseconds; this is far from both.
-SECONDS = 2.0
+# Traversing all paths of the dense graph below takes hours, summing it level by level
+# takes milliseconds; the limit is far from both.
+MAX_SECONDS = 2.0
 
 
 def build_routes(**services: str) -> dict[str, Route]:
@@ -30,24 +30,24 @@
     }
 
 
-def test_a_dense_graph_is_added_up_in_no_time():
-    """Callers saw answers take seconds although no service was busy: a configuration
-    had moved routes, and for some seconds each service had called most others. Nodes
-    walked every path through that graph four times a second, and did little else.
+def test_dense_graph_is_summed_quickly():
+    """Answers took seconds although no service was busy: after a configuration had
+    moved routes, each service called most others for some seconds. Nodes traversed
+    every path through that graph four times a second, and did little else.
     """
     names = [f"service-{number}" for number in range(9)]
     graph = CallGraph()
-    below = dict.fromkeys(names, 0.1)
+    ratios = dict.fromkeys(names, 0.1)
     routes = build_routes(**{name: name for name in names})
-    graph.rebuild([(name, {"": below, name: below}) for name in names], routes)
+    graph.rebuild([(name, {"": ratios, name: ratios}) for name in names], routes)
     started = time.monotonic()
     for name in names:
         graph.get_visits(name, name)
-    assert time.monotonic() - started < SECONDS
+    assert time.monotonic() - started < MAX_SECONDS
 
 
 def test_visits_add_up_over_all_paths():
-    """A service that is reached on two ways is visited by both."""
+    """A service that is called on two paths gets the calls of both."""
     graph = CallGraph()
     graph.rebuild(
         [
@@ -66,8 +66,8 @@
     }
 
 
-def test_services_that_call_each_other_end():
-    """A cycle is followed for as long as calls remain, and not for ever."""
+def test_cycle_of_services_terminates():
+    """The traversal of a cycle ends at the maximum depth."""
     graph = CallGraph()
     graph.rebuild(
         [("a", {"a": {"b": 1.0}}), ("b", {"b": {"a": 1.0}})],
@@ -78,27 +78,27 @@
     assert all(count < 100 for count in itertools.chain(visits.values()))
 
 
-def test_routes_of_one_service_lead_to_different_places():
-    """An upload was refused since look-ups at the same service lead to one that was
-    overloaded. Each route has a tree of its own.
+def test_routes_of_one_service_have_separate_call_trees():
+    """An upload was refused because look-ups at the same service called an overloaded
+    one. Each route must have a call tree of its own.
     """
     graph = CallGraph()
-    told = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
-    graph.rebuild([("images", told)], build_routes(lookup="deep"))
+    reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
+    graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
     assert graph.get_visits("upload", "images") == {"images": 1.0}
     assert graph.get_visits("index", "images")["deep"] == 4.0
 
 
-def test_a_route_that_is_new_at_its_service_counts_as_the_average():
-    """Before any run of it was seen, what others there call is the best guess."""
+def test_new_route_gets_the_average_of_its_service():
+    """Before its first run, the average of its service is the best estimate."""
     graph = CallGraph()
-    told = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
-    graph.rebuild([("images", told)], build_routes(lookup="deep"))
+    reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
+    graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
     assert graph.get_visits("moved", "images")["deep"] == 3.2
 
 
-def test_calls_of_a_split_route_are_shared_out_by_weight():
-    """A quarter of the calls goes to the service with a quarter of the weight."""
+def test_calls_of_a_split_route_are_divided_by_weight():
+    """A service with a quarter of the weight gets a quarter of the calls."""
     graph = CallGraph()
     routes = build_routes(lookup="old")
     routes["lookup"].services = [
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -1,32 +1,32 @@
-"""Repeats over the fleet."""
+"""Retry budgets of the nodes of a fleet."""
 
 from primroseglade.sidecar.retry_budget import RetryBudget
 
 
-def test_calls_made_again_below_count_as_repeats():
-    """A deep service got more repeats than the operator allows, though no call to it
-    was repeated: requests above it were, and each made its four calls once more.
+def test_downstream_calls_of_a_retry_count_as_retries():
+    """A service deep in the graph got more retries than the operator allows, although
+    no call to it was retried: each retried request made its four calls to it again.
     """
     budget = RetryBudget(ratio=0.2, fixed=50, window=10.0)
     for number in range(100):
         budget.record_first_attempt("front", number * 0.01)
         budget.record_first_attempt("deep", number * 0.01)
-    repeats = sum(
+    retries = sum(
         budget.try_spend({"front": 1.0, "deep": 4.0}, nodes=10, now=1.0)
         for _ in range(100)
     )
-    assert 0 < repeats * 4 <= 0.2 * 100 + 50 / 10
+    assert 0 < retries * 4 <= 0.2 * 100 + 50 / 10
 
 
-def test_the_sum_over_nodes_keeps_the_bound():
-    """Each node keeps to its part, so that all together keep the operator's."""
+def test_retries_of_all_nodes_stay_within_the_budget():
+    """Each node stays within its share, so that the fleet stays within the limit."""
     nodes = [RetryBudget(ratio=0.2, fixed=50, window=10.0) for _ in range(10)]
     for node in nodes:
         for _ in range(30):
             node.record_first_attempt("front", 1.0)
-    repeats = sum(
+    retries = sum(
         node.try_spend({"front": 1.0}, nodes=10, now=2.0)
         for node in nodes
         for _ in range(50)
     )
-    assert 0 < repeats <= 0.2 * 300 + 50
+    assert 0 < retries <= 0.2 * 300 + 50
