--- a/bench/members.py
+++ b/bench/members.py
@@ -9,7 +9,7 @@
 from primroseglade.document.document import digest_key
 from primroseglade.document.records import Edit, SectionEdit
 from primroseglade.fleet.members import Member, Members
-from primroseglade.platform.log import CONFIGURATION
+from primroseglade.platform.log import CONFIGURATION_TOPIC
 
 from .overhead import choose_first_port
 from .processes import Process, run_processes, wait_page
@@ -59,7 +59,7 @@
 async def measure_size(size: int) -> dict[str, Any]:
     """Start a fleet of this size and measure a node's share of its control."""
     async with run_processes(log={"level": "error"}) as processes:
-        await processes.log.append(CONFIGURATION, build_edit().to_value())
+        await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
         nodes, operators = await start_nodes(processes, size)
         await wait_members(operators, size)
         await asyncio.sleep(5)
@@ -114,7 +114,7 @@
         edit = Edit(
             [SectionEdit(f"recalls/r{number}", None, {"keys": [f"k{number}"]})], "bench"
         )
-        await processes.log.append(CONFIGURATION, edit.to_value())
+        await processes.log.append(CONFIGURATION_TOPIC, edit.to_value())
         await asyncio.sleep(EDIT_PAUSE_SECONDS)
     await wait_page(f"http://{operators[-1]}/status")
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -12,7 +12,7 @@
 from primroseglade.calls.connections import build_head, Connection
 from primroseglade.document.document import digest_key
 from primroseglade.document.records import Edit, SectionEdit
-from primroseglade.platform.log import CONFIGURATION
+from primroseglade.platform.log import CONFIGURATION_TOPIC
 
 from .processes import Process, run_processes
 from .registry import bench
@@ -121,7 +121,7 @@
     """Measure the same call on all ways, in turn."""
     figures: dict[str, Any] = {}
     async with run_processes(fleet={"lease": 0.5, "grant": 0.5}) as processes:
-        await processes.log.append(CONFIGURATION, build_edit().to_value())
+        await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
         backend_port, relay_port = find_ports(2)
         first = choose_first_port()
         one, near = await processes.start_node("one", "a", first)
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -15,11 +15,11 @@
     STATE_UNREACHABLE,
 )
 from ..platform.log import (
-    CONFIGURATION,
+    CONFIGURATION_TOPIC,
     LogClient,
     LogRecord,
     LogUnavailableError,
-    OffsetGoneError,
+    OffsetOutOfRangeError,
 )
 from .configuration import Configuration
 from .hashing import ZoneRanking
@@ -100,7 +100,7 @@
         Raises:
             LogUnavailableError: The log does not answer.
         """
-        first, end = await self._log.get_range(CONFIGURATION)
+        first, end = await self._log.get_range(CONFIGURATION_TOPIC)
         if end == 0:
             self._configuration.confirm_empty()
         elif first > self._configuration.next_offset:
@@ -119,9 +119,9 @@
         offset = self._configuration.next_offset
         asked_at = time.monotonic()
         try:
-            records = await self._log.read(CONFIGURATION, offset, POLL_SECONDS)
-        except OffsetGoneError:
-            first, end = await self._log.get_range(CONFIGURATION)
+            records = await self._log.read(CONFIGURATION_TOPIC, offset, POLL_SECONDS)
+        except OffsetOutOfRangeError:
+            first, end = await self._log.get_range(CONFIGURATION_TOPIC)
             if end < offset:
                 # The log is behind what this node folded: another log, or one that
                 # lost its end. What was accepted never reverts.
@@ -136,7 +136,7 @@
     async def _read_up_to(self, end: int) -> None:
         while self._configuration.next_offset < end:
             offset = self._configuration.next_offset
-            records = await self._log.read(CONFIGURATION, offset, 0.0)
+            records = await self._log.read(CONFIGURATION_TOPIC, offset, 0.0)
             if not records:
                 return
             self._configuration.apply(records)
@@ -146,7 +146,7 @@
         records: list[LogRecord] = []
         offset = first
         while offset < end:
-            batch = await self._log.read(CONFIGURATION, offset, 0.0)
+            batch = await self._log.read(CONFIGURATION_TOPIC, offset, 0.0)
             if not batch:
                 break
             records.extend(batch)
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -5,7 +5,7 @@
 import time
 
 from ..observe.events import Journal, SNAPSHOT_WRITTEN
-from ..platform.log import CONFIGURATION, LogClient, LogUnavailableError
+from ..platform.log import CONFIGURATION_TOPIC, LogClient, LogUnavailableError
 from .configuration import Configuration
 from .log_reader import LogReader
 
@@ -64,7 +64,7 @@
         next_offset = self._configuration.next_offset
         try:
             for value in self._configuration.build_snapshot():
-                await self._log.append(CONFIGURATION, value)
+                await self._log.append(CONFIGURATION_TOPIC, value)
         except LogUnavailableError:
             return
         self._journal.emit(SNAPSHOT_WRITTEN, next_offset=next_offset)
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -14,8 +14,8 @@
 from ..platform.log import (
     LogClient,
     LogUnavailableError,
-    MEMBERSHIP,
-    OffsetGoneError,
+    MEMBERSHIP_TOPIC,
+    OffsetOutOfRangeError,
 )
 from .members import Member
 
@@ -52,12 +52,12 @@
             LogUnavailableError: The log does not answer.
         """
         try:
-            first, end = await self._log.get_range(MEMBERSHIP)
+            first, end = await self._log.get_range(MEMBERSHIP_TOPIC)
             start = max(first, end - RECORDS_READ)
             if start >= end:
                 return []
-            records = await self._log.read(MEMBERSHIP, start, 0.0)
-        except OffsetGoneError:
+            records = await self._log.read(MEMBERSHIP_TOPIC, start, 0.0)
+        except OffsetOutOfRangeError:
             return []
         contacts: dict[str, str] = {}
         for record in records:
@@ -96,7 +96,7 @@
     async def leave(self, own: Member) -> None:
         """Tell of a planned stop; a stop does not wait for a log that is away."""
         try:
-            await self._log.append(MEMBERSHIP, _build_entry(own, "leave"))
+            await self._log.append(MEMBERSHIP_TOPIC, _build_entry(own, "leave"))
         except LogUnavailableError:
             return
 
@@ -104,7 +104,7 @@
         delay = FIRST_RETRY_SECONDS
         while True:
             try:
-                await self._log.append(MEMBERSHIP, entry)
+                await self._log.append(MEMBERSHIP_TOPIC, entry)
                 return
             except LogUnavailableError:
                 await asyncio.sleep(random.uniform(delay / 2, delay))
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -4,7 +4,7 @@
 
 from ..sidecar.backend import BackendAnswer
 from ..sidecar.frames import Call
-from ..sidecar.http_client import Answer
+from ..sidecar.http_client import Response
 from ..sidecar.http_messages import render_status_line, Reply, Request
 from ..sidecar.request_handler import CallerFields
 from ..verdicts import Reason, Refusal, Verdict
@@ -119,7 +119,7 @@
             call.body,
         )
 
-    def read_answer(self, answer: Answer) -> BackendAnswer:
+    def read_answer(self, answer: Response) -> BackendAnswer:
         """Return the fields of a backend server's response, and the head to forward."""
         request_id = b""
         signed = not_executed = False
--- a/primroseglade/platform/log.py
+++ b/primroseglade/platform/log.py
@@ -17,8 +17,8 @@
 PARTITION = 0
 MAX_READ_BYTES = 1 << 20
 
-CONFIGURATION = "primroseglade.configuration"
-MEMBERSHIP = "primroseglade.membership"
+CONFIGURATION_TOPIC = "primroseglade.configuration"
+MEMBERSHIP_TOPIC = "primroseglade.membership"
 
 
 class LogUnavailableError(UnreachableError):
@@ -28,7 +28,7 @@
     """
 
 
-class OffsetGoneError(PrimrosegladeError):
+class OffsetOutOfRangeError(PrimrosegladeError):
     """The log has no record at this offset: it is deleted, or not yet written."""
 
 
@@ -138,5 +138,5 @@
             return payload
         if isinstance(payload, dict):
             if payload.get("error_code") == OFFSET_OUT_OF_RANGE:
-                raise OffsetGoneError("offset out of the log's range")
+                raise OffsetOutOfRangeError("offset out of the log's range")
         raise LogUnavailableError(f"log responded with status {status}")
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -10,7 +10,7 @@
 import msgspec
 
 from ..observe.events import ENTRY_UNREADABLE, Journal
-from ..sidecar.http_client import Answer, ConnectionPool, ExchangeError
+from ..sidecar.http_client import ConnectionPool, ExchangeError, Response
 from ..sidecar.model import NodeEntry, Policy
 from ..sidecar.policy_tracker import OffsetExpiredError, PolicyRecord, StoreError
 from .operator_config import decode_policy
@@ -207,7 +207,7 @@
 
     async def _call(
         self, method: str, path: str, query: dict[str, Any], body: bytes, timeout: float
-    ) -> Answer:
+    ) -> Response:
         head = (
             f"{method} {path}?{urlencode(query)} HTTP/1.1\r\n"
             f"Host: {self._address}\r\n"
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -6,7 +6,7 @@
 from .document.records import Edit, SectionEdit
 from .errors import RefusedError, UnreachableError
 from .operator_client import OperatorClient
-from .platform.log import CONFIGURATION, LogClient, LogUnavailableError
+from .platform.log import CONFIGURATION_TOPIC, LogClient, LogUnavailableError
 
 POLL_INTERVAL_SECONDS = 0.05
 APPEND_RETRY_SECONDS = 0.5
@@ -108,7 +108,7 @@
     deadline = clock() + wait
     while clock() < deadline:
         try:
-            await log.append(CONFIGURATION, edit.to_value())
+            await log.append(CONFIGURATION_TOPIC, edit.to_value())
             outcome_timeout = deadline - clock()
         except LogUnavailableError:
             outcome_timeout = min(APPEND_RETRY_SECONDS, deadline - clock())
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -16,7 +16,7 @@
 from .backend_queue import BackendQueue
 from .call_ratios import CallRatioEstimator
 from .frames import Call
-from .http_client import Answer, ConnectionPool, ExchangeError
+from .http_client import ConnectionPool, ExchangeError, Response
 from .load_balancing import Candidate
 from .model import BackendState, StatusReport
 
@@ -67,7 +67,7 @@
             remaining: Seconds until its deadline.
         """
 
-    def read_answer(self, answer: Answer) -> BackendAnswer:
+    def read_answer(self, answer: Response) -> BackendAnswer:
         """Parse a backend server's answer."""
 
 
@@ -356,7 +356,7 @@
     async def _exchange(self, call: Call, deadline: float) -> ServedAnswer:
         parsed: BackendAnswer | None = None
 
-        def is_answer_to_call(answer: Answer) -> bool:
+        def is_answer_to_call(answer: Response) -> bool:
             nonlocal parsed
             parsed = self._dialect.read_answer(answer)
             return parsed.request_id == call.request_id or (
@@ -364,7 +364,7 @@
             )
 
         try:
-            connection = await self._pool.acquire(once=not call.idempotent)
+            connection = await self._pool.acquire(non_idempotent=not call.idempotent)
         except ExchangeError as error:
             self._record_outcome(failed=True)
             if error.refused:
@@ -387,7 +387,7 @@
         assert parsed is not None
         return self._classify_answer(answer, parsed)
 
-    def _classify_answer(self, answer: Answer, parsed: BackendAnswer) -> ServedAnswer:
+    def _classify_answer(self, answer: Response, parsed: BackendAnswer) -> ServedAnswer:
         """Return the answer, or raise if it is a refusal or carries no signature."""
         if parsed.not_executed or answer.status == 421:
             self._record_outcome(failed=True)
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -49,7 +49,7 @@
         self.refused = refused
 
 
-class Answer:
+class Response:
     """A complete response of a server."""
 
     __slots__ = ("body", "headers", "status")
@@ -60,7 +60,7 @@
         self.body = b""
 
 
-ResponseFilter = Callable[[Answer], bool]
+ResponseFilter = Callable[[Response], bool]
 
 
 class ClientConnection(asyncio.Protocol):
@@ -91,10 +91,10 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
-        self._response: Answer | None = None
+        self._response: Response | None = None
         self._chunks: list[bytes] = []
         self._body_bytes = 0
-        self._pending: asyncio.Future[Answer] | None = None
+        self._pending: asyncio.Future[Response] | None = None
         self._accept: ResponseFilter | None = None
         self._reusable = True
         self._head_only = False
@@ -153,7 +153,7 @@
         if self._pending is None:
             # A second response to one request.
             self._reusable = False
-        self._response = Answer(0, [])
+        self._response = Response(0, [])
         self._chunks = []
         self._body_bytes = 0
         self._delimited_by_close = False
@@ -204,7 +204,7 @@
         request: bytes,
         accept: ResponseFilter | None = None,
         head_only: bool = False,
-    ) -> Answer:
+    ) -> Response:
         """Send a request and return its complete response.
 
         Args:
@@ -280,7 +280,7 @@
         self._connect_timeout = connect_timeout
         self._idle: list[ClientConnection] = []
 
-    async def acquire(self, once: bool = False) -> ClientConnection:
+    async def acquire(self, non_idempotent: bool = False) -> ClientConnection:
         """Return an idle connection, or open one.
 
         Args:
@@ -298,7 +298,7 @@
             if not connection.reusable or idle > connection.idle_timeout:
                 connection.close()
                 continue
-            if once and idle > NON_IDEMPOTENT_MAX_IDLE_SECONDS:
+            if non_idempotent and idle > NON_IDEMPOTENT_MAX_IDLE_SECONDS:
                 self._idle.append(connection)
                 break
             return connection
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -7,7 +7,7 @@
 from ..document.records import Edit, SectionEdit
 from ..network import PartitionableNetwork
 from ..node import Node
-from ..platform.log import CONFIGURATION
+from ..platform.log import CONFIGURATION_TOPIC
 from ..settings.node import build_node_settings
 from .backend import BackendStandIn, Behaviour
 from .log import LogStandIn
@@ -96,7 +96,9 @@
                 section = f"{kind}/{name}"
                 base = known[section].version if section in known else None
                 edits.append(SectionEdit(section, base, value))
-        return await self.log.append(CONFIGURATION, Edit(edits, author).to_value())
+        return await self.log.append(
+            CONFIGURATION_TOPIC, Edit(edits, author).to_value()
+        )
 
     async def add(
         self,
--- a/tests/mesh.py
+++ b/tests/mesh.py
@@ -11,7 +11,7 @@
 from primroseglade.platform.dialect import PlatformDialect
 from primroseglade.platform.reports import build_control, build_ready
 from primroseglade.platform.store import StoreClient
-from primroseglade.sidecar.http_client import Answer, ConnectionPool
+from primroseglade.sidecar.http_client import ConnectionPool, Response
 from primroseglade.sidecar.node import SidecarNode
 from primroseglade.sidecar.node_settings import NodeSettings
 from primroseglade.stand_ins.mesh_backend import MeshBackend
@@ -238,7 +238,7 @@
     method: str = "GET",
     body: bytes = b"",
     headers: str = "",
-) -> Answer:
+) -> Response:
     """Send one request to a node as a caller does, on a new connection."""
     pool = ConnectionPool(place.settings.outbound, 1.0)
     authorization = f"Authorization: Token {key}\r\n" if key else ""
@@ -255,7 +255,7 @@
         connection.close()
 
 
-def get_header(answer: Answer, name: str) -> str:
+def get_header(answer: Response, name: str) -> str:
     """Return a header's value, empty where it is absent."""
     for header, value in answer.headers:
         if header.lower() == name.lower().encode():
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,7 +8,7 @@
 from primroseglade.client import Client
 from primroseglade.document.records import Edit, SectionEdit
 from primroseglade.operator_client import OperatorClient
-from primroseglade.platform.log import CONFIGURATION, LogClient
+from primroseglade.platform.log import CONFIGURATION_TOPIC, LogClient
 from primroseglade.publishing import build_edit, publish
 from primroseglade.stand_ins.backend import Behaviour
 from primroseglade.stand_ins.fleet import EmbeddedFleet
@@ -176,7 +176,7 @@
         await fleet.wait_ready()
         for number in range(3):
             await fleet.publish(recalls={f"r{number}": {"keys": [f"k{number}"]}})
-        topic = fleet.log.get_topic(CONFIGURATION)
+        topic = fleet.log.get_topic(CONFIGURATION_TOPIC)
         await fleet.wait(lambda: topic.first > 0)
         place = await fleet.add("a", "archive")
         await fleet.wait(lambda: place.node.configuration.ready)
@@ -191,7 +191,7 @@
         await fleet.publish(**build_document(("a",)))
         body = {"id": "x", "next_offset": 1, "part": 0, "parts": 1, "sections": {}}
         forged = {"format": 1, "snapshot": body, "mac": "0" * 64}
-        await fleet.log.append(CONFIGURATION, forged)
+        await fleet.log.append(CONFIGURATION_TOPIC, forged)
         place = await fleet.add("a")
         assert not place.node.configuration.ready
         numbers = [entry["event"] for entry in place.node.journal.recent]
@@ -210,7 +210,7 @@
             published = await publish(log, client, edit, wait=5.0)
         await log.close()
         assert published.accepted
-        records = fleet.log.get_topic(CONFIGURATION).records
+        records = fleet.log.get_topic(CONFIGURATION_TOPIC).records
         assert [r.get("id") for r in records].count(edit.id) == 1
 
 
@@ -262,9 +262,9 @@
     async with run_fleet("a") as fleet:
         offset = await fleet.publish(recalls=RECALL)
         await fleet.wait_offset(offset + 1)
-        del fleet.log.get_topic(CONFIGURATION).records[1:]
+        del fleet.log.get_topic(CONFIGURATION_TOPIC).records[1:]
         stale = Edit([SectionEdit("recalls/lost-tablet", None, None)], "old")
-        await fleet.log.append(CONFIGURATION, stale.to_value())
+        await fleet.log.append(CONFIGURATION_TOPIC, stale.to_value())
         refusal = await expect_refusal(fleet.places[0].callers)
         assert refusal.reason is Reason.KEY_WITHDRAWN
         assert fleet.nodes[0].configuration.next_offset == offset + 1
