--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that a caller or the own backend server sends here."""
+"""Checks and forwards requests from callers and from the local backend server."""
 
 import asyncio
 import math
@@ -20,27 +20,27 @@
 from .quota import Quotas, TokenDecision
 from .retry_budget import RetryBudget
 
-# What refusals say at the least, in seconds.
+# Shortest Retry-After of a refusal.
 MIN_RETRY_AFTER_SECONDS = 0.05
-# A configuration reaches all nodes within this time, but for those that are cut off;
-# users allow two seconds.
+# A new configuration reaches every connected node within this time; users allow two
+# seconds.
 CONFIGURATION_PROPAGATION_SECONDS = 1.5
-# When to come back to a node that stops: its process is started again after a second.
+# Retry-After of a node that is stopping: its process is restarted after a second.
 DRAINING_RETRY_AFTER_SECONDS = 1.0
-# A request with this little time left cannot be answered any more.
+# A request with less time left cannot be answered before its deadline.
 MIN_REMAINING_SECONDS = 0.002
-# Seconds that a request may take where its caller does not say.
+# Timeout of a request whose caller sets none.
 DEFAULT_TIMEOUT_SECONDS = 10.0
 
 
 class CallerFields:
-    """What the adapter reads in a caller's request.
+    """The fields that the platform's adapter reads from a caller's request.
 
     Args:
-        request_id: Names this request.
-        host: Host that it is for.
-        key: What the caller shows; empty if nothing.
-        seconds: How long it will wait; None if it does not say.
+        request_id: Identifies this request.
+        host: Host that the request is for.
+        key: API key of the caller; empty if it sent none.
+        timeout: Seconds that the caller waits for an answer; None if not given.
     """
 
     __slots__ = ("host", "key", "request_id", "timeout")
@@ -55,35 +55,35 @@
 
 
 class CallerDialect(Protocol):
-    """How to speak to callers; the platform's adapter knows."""
+    """Protocol between callers and the node, implemented by the platform's adapter."""
 
     def read_request(self, request: Request) -> CallerFields:
-        """Return what a request says."""
+        """Return the fields of a request."""
 
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
-        """Return the head to hand on, but for what the last node sets."""
+        """Return the head to forward, without the headers that the last node sets."""
 
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
-        """Return the answer that tells a refusal."""
+        """Return the answer that reports a refusal to the caller."""
 
 
 class RequestHandler:
-    """Takes requests at the address that callers and the backend server use.
+    """Handles requests at the address that callers and the backend server share.
 
     Args:
-        service: What the backend server beside this node serves.
-        dialect: How to speak to callers.
+        service: Service of the backend server beside this node.
+        dialect: Reads requests of callers and renders answers to them.
         policies: The configuration in force.
-        quotas: Of workspaces.
-        admission: Refuses what overloaded services below cannot serve.
+        quotas: Rate limits of workspaces.
+        admission: Refuses requests that depend on overloaded services.
         graph: Which services a request leads to.
-        call_ratios: Counts the backend server's calls.
+        call_ratios: Counts the calls that the backend server makes.
         retry_budget: Counts first attempts.
-        dispatcher: Gets calls answered.
-        deadlines: Ends calls whose time is up.
-        journal: Where decisions are told.
+        dispatcher: Sends calls to backend servers.
+        deadlines: Cancels calls at their deadline.
+        journal: Logs refusals and failures.
         node_metrics: Counts outcomes.
-        rng: Spreads times to come back.
+        rng: Draws Retry-After times.
     """
 
     def __init__(
@@ -138,7 +138,7 @@
                 request=fields.request_id.decode("latin-1"),
                 error=f"{type(error).__name__}: {error}",
             )
-            refusal = may_have_run(Reason.ANSWER_BROKEN, "the node failed")
+            refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error in the node")
             return self._refuse(request, fields, route.name, refusal)
         seconds = time.monotonic() - request.arrived_at
         failed = outcome.status >= 500
@@ -164,9 +164,9 @@
         deadline = request.arrived_at + min(timeout, route.timeout)
         self._check_draining(request.arrived_at, deadline)
         if deadline - time.monotonic() < MIN_REMAINING_SECONDS:
-            raise not_run(Reason.OVERLOADED, "no time is left")
+            raise not_run(Reason.OVERLOADED, "too little time before the deadline")
         if tenant is not None:
-            # Before admission: calls beyond the rate must not count as demand.
+            # Before admission, so that requests over the rate do not count as demand.
             await self._take_token(tenant, deadline)
         try:
             call = self._admit_call(request, fields, route, tenant, deadline)
@@ -184,13 +184,13 @@
         tenant: Tenant | None,
         deadline: float,
     ) -> OutgoingCall:
-        """Return the call to send.
+        """Return the call to send, if admission lets it pass.
 
         Raises:
-            Refusal: What it leads to is overloaded; not run.
+            Refusal: A service that the request depends on is overloaded; not run.
         """
-        # Callers and the backend server use the same address of this machine; but
-        # only what the backend server calls is open to those without a key.
+        # Callers and the backend server use the same address, but only the routes
+        # that backend servers call are open to requests without a key.
         nested = tenant is None and route.public
         now = time.monotonic()
         service = self._policies.routes.choose_service(route)
@@ -217,14 +217,14 @@
     async def _dispatch_call(
         self, call: OutgoingCall, tenant: Tenant | None
     ) -> Outcome:
-        """Send a call, and end it when its time is up."""
+        """Send a call and return its outcome; cancel it at its deadline."""
         timer = self._deadlines.start(call.deadline)
         try:
             return await self._dispatcher.dispatch(call)
         except asyncio.CancelledError as error:
             if not timer.caused_cancellation():
                 raise
-            detail = f"its time was up before {call.node or 'anybody'} answered"
+            detail = f"deadline exceeded before {call.node or 'any node'} answered"
             if not call.sent:
                 raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
@@ -239,21 +239,21 @@
             self._deadlines.end(timer)
 
     def stop(self, deadline_check_after: float, stops_at: float) -> None:
-        """Get ready for this node's end.
+        """Schedule the refusal of requests that might outlast this node.
 
         Args:
-            deadline_check_after: From then on, on the loop's clock, only requests are
-                taken whose time is up before the end. Callers are gone by then, unless
-                too few other nodes are ready; what would be cut they had better ask
-                again.
-            end: When this node ends.
+            deadline_check_after: Time on the loop's clock. Requests that arrive later
+                are refused if their deadline is after `stops_at`: it is better for a
+                caller to retry than to be cut off. By then callers use other nodes,
+                unless too few of those are ready.
+            stops_at: Time on the loop's clock at which this node stops.
         """
         self._deadline_check_after = deadline_check_after
         self._stops_at = stops_at
 
     def _check_draining(self, arrived_at: float, deadline: float) -> None:
         if arrived_at > self._deadline_check_after and deadline > self._stops_at:
-            detail = "this node stops before the request must have ended"
+            detail = "this node stops before the request's deadline"
             raise not_run(Reason.DRAINING, detail, DRAINING_RETRY_AFTER_SECONDS)
 
     def _find_route(self, request: Request, fields: CallerFields) -> Route:
@@ -272,10 +272,10 @@
         assert policy is not None
         if policy.tenants is None or route.public:
             return None
-        # A key that was withdrawn must not be used some seconds later, wherever.
+        # With a stale configuration, a key that was withdrawn would still be accepted.
         self._check_configuration_fresh()
         if not fields.key:
-            raise not_run(Reason.KEY_MISSING, "no key")
+            raise not_run(Reason.KEY_MISSING, "the request has no key")
         tenant = policy.tenants.get(fields.key)
         if tenant is None:
             raise not_run(Reason.KEY_UNKNOWN, "no workspace has this key")
@@ -288,10 +288,10 @@
             raise not_run(Reason.CONFIGURATION_STALE, detail, 0.5)
 
     async def _take_token(self, tenant: Tenant, deadline: float) -> None:
-        """Get a token of a workspace.
+        """Take a rate-limit token of a workspace.
 
         Raises:
-            Refusal: It is over its rate; not run.
+            Refusal: The workspace is over its rate; not run.
         """
         decision = await self._request_token(tenant)
         if decision.granted:
@@ -327,7 +327,7 @@
         self._admission.record_demand(visits, rank, now)
         if not self._admission.admits(visits, rank):
             retry_after = draw_retry_after(remaining, self._rng)
-            detail = "a service that it leads to is overloaded"
+            detail = "a service that the request depends on is overloaded"
             raise not_run(Reason.OVERLOADED, detail, retry_after)
 
     def _refuse(
