--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -1,4 +1,4 @@
-"""Gets a call answered: where it goes, and where next if that fails."""
+"""Chooses a node for a call, sends it there, and retries it elsewhere on failure."""
 
 import asyncio
 import random
@@ -22,24 +22,33 @@
 from .retry_budget import RetryBudget
 from .zone_costs import ZoneCosts
 
-# Nodes asked for one call, where each says that it did not run. Such refusals reach
-# no backend server, but under overload all nodes say the same, and asking them all
-# would cost more than the calls themselves.
+# Maximum number of nodes tried for a call that reaches no backend server. Under
+# overload all nodes refuse, and trying them all would cost more than the calls
+# themselves.
 MAX_NODES_TRIED = 3
-# Where more of a service's calls fail, those of backend servers are not repeated: a
-# request makes several of them, and one that fails again ends it all the same. The
-# budget of repeats is left to callers' own requests.
+# Above this failure ratio of a service, calls made by backend servers are not retried:
+# a request makes several of them, and fails anyway if one of them fails again. This
+# leaves the retry budget to callers' own requests.
 NESTED_RETRY_MAX_FAILURE_RATIO = 0.2
-# A call that a backend server makes is worth waiting for: to refuse it throws away
-# the work above it. So long it waits before it looks again who serves it, in seconds,
-# and twice as long each time.
+# Refusing a call that a backend server makes wastes the work already done for its
+# request. If no node takes such a call, it is tried again after this time, which
+# doubles with each attempt.
 NESTED_INITIAL_BACKOFF_SECONDS = 0.05
-# And so long it waits at the most; restarts of a node take about a second.
+# No further attempt follows once it has waited this long; a node restarts in about a
+# second.
 NESTED_MAX_WAIT_SECONDS = 1.5
 
 
 class OutgoingCall:
-    """A call that begins at this node, on its way."""
+    """A call that this node sends, with its state.
+
+    Attributes:
+        nested: Whether the local backend server makes the call.
+        deadline: Time on the loop's clock at which the call is cancelled.
+        latency_target_at: Time on the loop's clock after which the answer is late.
+        sent: Whether the call was sent to a node, this one included.
+        node: Name of the node that it was sent to last; empty before.
+    """
 
     __slots__ = (
         "body",
@@ -78,7 +87,11 @@
 
 
 class Outcome:
-    """An answer, and how it was had."""
+    """An answer, and the node that sent it.
+
+    Attributes:
+        signed: Whether the answer carries the backend server's signature.
+    """
 
     __slots__ = ("attempts", "body", "head", "node", "signed", "status")
 
@@ -92,13 +105,13 @@
 
 
 class Attempts:
-    """What became of a call so far.
+    """The failed attempts of a call.
 
     Attributes:
-        tried: Names of the nodes that were asked.
-        arrivals: Backend servers that the call reached.
-        last_arrived: Whether the last attempt reached one.
-        reason: Why the last attempt was not the end.
+        tried: Names of the nodes that the call was sent to.
+        backends_reached: Attempts that reached a backend server.
+        last_reached_backend: Whether the last attempt reached one.
+        reason: Why the last attempt failed.
         verdict: Whether the call may have run, over all attempts.
     """
 
@@ -122,7 +135,7 @@
         self.verdict = Verdict.NOT_RUN
 
     def record_failure(self, outcome: Outcome) -> None:
-        """Note that a backend server answered with a failure of its own."""
+        """Record an answer of a backend server that reports a failure."""
         self._failure = outcome
         self.verdict = Verdict.RAN
         self.reason = f"status {outcome.status}"
@@ -130,7 +143,7 @@
         self.last_reached_backend = True
 
     def record_refusal(self, refusal: Refusal) -> None:
-        """Note that there was no answer."""
+        """Record an attempt that got no answer of a backend server."""
         self._refusal = refusal
         self.reason = refusal.reason.code
         may_have_run = refusal.verdict is not Verdict.NOT_RUN
@@ -140,11 +153,14 @@
         self.backends_reached += self.last_reached_backend
 
     def get_final_outcome(self, default: Refusal | None = None) -> Outcome:
-        """Return the answer that there is, if only a failure.
+        """Return the last failure that a backend server answered with.
+
+        Args:
+            default: Raised if no attempt was made.
 
         Raises:
-            Refusal: There is none; with the verdict that holds for all attempts, as
-                the last one alone may not have run where an earlier one has.
+            Refusal: No backend server answered. It is the last refusal, with a verdict
+                over all attempts: an earlier one may have run, though the last did not.
         """
         if self._failure is not None:
             return self._failure
@@ -155,18 +171,18 @@
 
 
 class Dispatcher:
-    """Sends calls to nodes beside backend servers.
+    """Sends calls to the nodes of backend servers, with retries.
 
     Args:
         node: This node's name.
-        backend: The own backend server.
-        fleet: The others.
-        retry_budget: Of repeats.
-        graph: Which calls a repeat makes again.
-        zone_costs: What the calls below a call cost.
-        answer_sizes: Learnt from answers.
-        journal: Where repeats are told.
-        node_metrics: Counts repeats.
+        backend: The local backend server.
+        fleet: The other nodes.
+        retry_budget: Limits retries.
+        graph: Which downstream calls a retry makes again.
+        zone_costs: Costs of a call's downstream calls, by zone.
+        answer_sizes: Average answer size of each route.
+        journal: Logs retries.
+        node_metrics: Counts retries.
     """
 
     def __init__(
@@ -192,10 +208,10 @@
         self._answer_sizes = answer_sizes
 
     async def dispatch(self, call: OutgoingCall) -> Outcome:
-        """Get a call answered.
+        """Send a call, retry it where that is allowed, and return its outcome.
 
         Raises:
-            Refusal: The last one, with a verdict that holds for all attempts.
+            Refusal: The last one, with a verdict that covers all attempts.
         """
         attempts = Attempts()
         while True:
@@ -216,7 +232,10 @@
     async def _find_candidate(
         self, call: OutgoingCall, attempts: "Attempts"
     ) -> Candidate | None:
-        """Return where to send the call next; a nested one waits for a place."""
+        """Return where to send the call next, or None if no node takes it.
+
+        Before its first attempt, a nested call waits for a node that takes it.
+        """
         backoff = NESTED_INITIAL_BACKOFF_SECONDS
         remaining = NESTED_MAX_WAIT_SECONDS
         while True:
@@ -232,7 +251,7 @@
     async def _attempt(
         self, call: OutgoingCall, candidate: Candidate, attempts: "Attempts"
     ) -> Outcome | None:
-        """Send the call once and return its answer, None if another may be better."""
+        """Send the call once; return its outcome, or None if a retry may succeed."""
         attempts.tried.add(candidate.name)
         try:
             outcome = await self._send(call, candidate)
@@ -308,20 +327,20 @@
         now = time.monotonic()
         remaining = call.deadline - now
         if remaining <= 0:
-            raise not_run(Reason.DEADLINE_EXCEEDED, "no time is left to send it")
+            raise not_run(Reason.DEADLINE_EXCEEDED, "deadline exceeded before sending")
         peer = None
         instance = self._backend.instance
         if candidate.name != self._node:
             peer = self._fleet.get(candidate.name)
             if peer is None:
-                raise not_run(Reason.CONNECTION_LOST, "the node is gone")
+                raise not_run(Reason.CONNECTION_LOST, "the node has left the fleet")
             instance = peer.state.instance
         message = Call(
             0,
             instance,
             call.route.name,
             call.request_id,
-            # Whole milliseconds, which take three bytes and not nine.
+            # Whole milliseconds are encoded in three bytes, fractions in nine.
             int(remaining * 1000),
             int((call.latency_target_at - now) * 1000),
             call.route.idempotent,
@@ -346,27 +365,27 @@
         )
 
     async def serve(self, message: Call) -> ServedAnswer:
-        """Run a call on the own backend server, for this node or another.
+        """Run a call on the local backend server, for this node or another.
 
         Raises:
-            Refusal: With the verdict that holds for it.
+            Refusal: There is no answer; the verdict says whether the call may have run.
         """
         remaining = message.remaining_ms / 1000
-        # Whoever sent it cancels it when its time is up; a timer of its own for each
-        # call would cost as much as half of the work on it.
+        # No timer here: the sender cancels the call at its deadline, and a timer for
+        # each call would cost half as much as the work on it.
         return await self._backend.serve(message, remaining)
 
 
 def draw_retry_after(remaining: float, rng: random.Random) -> float:
-    """Return seconds after which a refused caller should come back.
+    """Return the seconds after which a refused caller should retry.
 
-    Callers wait as told for up to a third of what they have left, and are served in
-    time if they come back in the first part of it. Spread, so that those refused
-    together do not come back together.
+    Callers follow a Retry-After of up to a third of their remaining time, and are
+    served in time if they retry early in it. The time is random, so that callers
+    refused together do not retry together.
 
     Args:
-        remaining: Seconds that the caller has left.
-        rng: Draws.
+        remaining: Seconds left until the caller's deadline.
+        rng: Draws the time.
     """
     max_retry_after = remaining / 3
     return rng.uniform(0.25, 0.9) * max_retry_after
