--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -55,7 +55,7 @@
 
 
 class CallerDialect(Protocol):
-    """Protocol between callers and the node, implemented by the platform's adapter."""
+    """Reads requests and renders answers; implemented by the platform's adapter."""
 
     def read_request(self, request: Request) -> CallerFields:
         """Return the fields of a request."""
