--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -1,48 +1,48 @@
-"""Where a call goes: the least expected time, with the own availability zone first."""
+"""Chooses the node for a call by expected cost, preferring its availability zone."""
 
 import random
 from collections.abc import Callable
 
-# What a call to another availability zone has to be better by: the way there and back,
-# and a part of the time in which its answer has its full use. Bytes between zones are
-# dear, and a caller does not see a small part of its target, not even for several
-# calls one after the other.
+# Cost added to a call to another availability zone: the round trip there, and a part of
+# the latency target. Bytes between zones are expensive, and callers do not notice a
+# small part of their target, even for several calls in sequence.
 CROSS_ZONE_BASE_COST_MS = 2.0
 CROSS_ZONE_TARGET_RATIO = 0.1
-# And for each kilobyte, of the call and of its answer: where a zone is short of backend
-# servers, its small calls go elsewhere and make room for the large ones. A part of the
-# target, too: a caller with much time loses nothing by waiting for a part of it.
+# Cost added for each kilobyte of the call and its answer, so that a zone short of
+# backend servers sends its small calls elsewhere and keeps the large ones. It too is a
+# part of the target: a caller with a long target loses nothing by such a wait.
 CROSS_ZONE_TARGET_RATIO_PER_KB = 0.05
-# A failed call costs as much as an answer that is late by so many targets: its caller
-# gets nothing, or begins anew.
+# A failed call costs as much as this many latency targets: its caller gets no answer,
+# or has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
-# Among the calls below a call, a failure counts as so many calls' time.
+# In the penalty of downstream calls, a failed call costs as much as this many calls.
 DOWNSTREAM_FAILURE_COST_RATIO = 6.0
-# Nodes with the same view would all choose the same place: each sees the others'
-# calls only with its next answer.
+# Without jitter, nodes that see the same load would all choose the same backend server:
+# a node learns of the calls of others only from the load in the next answer.
 COST_JITTER_RATIO = 0.1
-# So much more or less does another zone cost for a single call: where a zone fills up,
-# nodes send a growing part of its calls away, and not all of them at one moment.
+# The cross-zone cost varies by this ratio from call to call. As a zone fills up, nodes
+# then send a growing part of its calls elsewhere, and not all of them at once.
 CROSS_ZONE_COST_JITTER_RATIO = 0.15
-# This part of calls is sent wherever there is room. A backend server that has been slow
-# or failing gets no others, and would never be seen to have recovered.
+# Ratio of calls sent to a random backend server with room. One that was slow or failing
+# gets no other calls, and its recovery would go unnoticed.
 EXPLORATION_RATIO = 0.02
-# Part of its slots in use up to which a backend server has room for such a call.
+# Utilization below which a backend server has room for such a call.
 EXPLORATION_MAX_UTILIZATION = 0.7
 
 
 class Candidate:
-    """A node whose backend server serves a service, as seen from here.
+    """A node whose backend server can take a call, as seen from this node.
 
     Args:
-        name: The node's.
+        name: Name of the node.
         same_zone: Whether it is in this node's availability zone.
         slots: Calls that its backend server works on at once.
-        in_flight: Calls at work and waiting there.
-        service_ms: Usual milliseconds of work; 0 before the first call, which makes
-            a new backend server be tried until its first answer.
+        in_flight: Calls that run or are queued there.
+        service_ms: Usual milliseconds of work on a call. It is 0 before the first
+            call, so that a new backend server is tried until its first answer.
         failure_ratio: Share of failed calls.
-        downstream_ms: What the calls below a call cost from there (`zone_costs.py`).
+        downstream_ms: Milliseconds that downstream calls from there cost
+            (`zone_costs.py`).
     """
 
     __slots__ = (
@@ -75,11 +75,14 @@
 
 
 def compute_cross_zone_cost_ms(latency_target: float, size_bytes: float) -> float:
-    """Return by how many milliseconds another availability zone has to be better.
+    """Return the cost of a cross-zone call in milliseconds.
+
+    A backend server in another availability zone is chosen only if it is better by
+    more than this.
 
     Args:
-        target: Seconds within which the answer has its full use.
-        size: Bytes of the call and of its answer.
+        latency_target: Seconds after which the answer is late.
+        size_bytes: Size of the call and its answer.
     """
     target_ratio = (
         CROSS_ZONE_TARGET_RATIO + size_bytes / 1000 * CROSS_ZONE_TARGET_RATIO_PER_KB
@@ -88,16 +91,16 @@
 
 
 def compute_failure_cost_ms(latency_target: float) -> float:
-    """Return how many milliseconds a failed call costs.
+    """Return the cost of a failed call in milliseconds.
 
     Args:
-        target: Seconds within which the answer has its full use.
+        latency_target: Seconds after which the answer is late.
     """
     return FAILURE_COST_TARGET_RATIO * latency_target * 1000
 
 
 def estimate_cost_ms(candidate: Candidate) -> float:
-    """Return the expected milliseconds of a call at a backend server.
+    """Return the milliseconds that a call is expected to take at a backend server.
 
     >>> idle = Candidate("a", True, 20, 10, 15.0, 0.0)
     >>> full = Candidate("b", True, 20, 90, 15.0, 0.0)
@@ -112,10 +115,10 @@
 
 
 def estimate_penalty_ms(candidate: Candidate) -> float:
-    """Return the milliseconds that a call costs there beyond its work.
+    """Return the cost in milliseconds of waiting and failures at a backend server.
 
-    Waiting and failures: callers see nothing of a backend server that is slower than
-    others, as long as their answers come within the target.
+    The work itself is left out: callers do not notice that a backend server is slower
+    than others as long as its answers come within the latency target.
 
     >>> estimate_penalty_ms(Candidate("slow", True, 20, 10, 40.0, 0.0))
     0.0
@@ -139,20 +142,19 @@
     failure_cost_ms: float,
     rng: random.Random,
 ) -> Candidate | None:
-    """Return where the next attempt goes, or None if nothing is left to try.
+    """Return the node for the next attempt, or None if there is no candidate.
 
     Args:
-        same_zone_candidates: Nodes in the own availability zone that may be asked.
-        list_cross_zone_candidates: Returns those in others; not called where none
-            can be better.
-        cross_zone_cost_ms: Of `compute_cross_zone_cost_ms`.
-        min_cross_zone_downstream_ms: What the calls below the call cost elsewhere, at
-            the least.
-        failure_cost_ms: Of `compute_failure_cost_ms`.
-        rng: Breaks ties.
+        same_zone_candidates: Candidates in this node's availability zone.
+        list_cross_zone_candidates: Returns the candidates in other zones. It is called
+            only if one of them could be better.
+        cross_zone_cost_ms: Result of `compute_cross_zone_cost_ms`.
+        min_cross_zone_downstream_ms: Lowest cost of the downstream calls in any zone.
+        failure_cost_ms: Result of `compute_failure_cost_ms`.
+        rng: Draws the jitter and the calls that explore.
     """
     if len(same_zone_candidates) > 1 and rng.random() < EXPLORATION_RATIO:
-        # Nodes of other zones hear what becomes of it.
+        # Only in this zone: nodes of other zones learn the result from broadcasts.
         available = [
             i
             for i in same_zone_candidates
@@ -179,7 +181,7 @@
 def _find_cheapest(
     candidates: list[Candidate], failure_cost_ms: float, rng: random.Random
 ) -> tuple[Candidate | None, float]:
-    """Return the cheapest place for a call, and what the call costs there."""
+    """Return the candidate with the lowest cost and that cost in milliseconds."""
     best: Candidate | None = None
     min_cost_ms = 0.0
     for candidate in candidates:
