--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -1,37 +1,39 @@
-"""Which calls the own backend server makes for which of the requests that it serves.
-
-Its calls name no parent, and requests of several routes are at work at once: uploads
-that call nobody beside look-ups that call four times. But the numbers of both vary by
-chance from moment to moment, and the calls vary with those that make them. Fitting
-calls to runs over many short steps tells them apart (ridge regression with forgetting,
-bounded below by zero). Where steps tell nothing yet, each run counts as the average.
+"""Estimates how many calls the local backend server makes for a request of each route.
+
+Its calls do not name the request that causes them, and requests of several routes run
+at once: for example, uploads that make no calls beside look-ups that make four. But the
+number of runs (executions of a request) of each route varies from moment to moment, and
+calls vary with the runs that make them. So a regression of calls on runs over many
+short intervals separates the routes (non-negative ridge regression with exponential
+forgetting). Without enough data, each route gets the average over all routes.
 """
 
 import math
 from collections.abc import Sequence
 
-# Long against a run and its calls, so that both mostly fall into one step.
+# Long compared to a run, so that a run and its calls mostly fall into one interval.
 INTERVAL_SECONDS = 0.5
-# Steps lose half of their weight in so many seconds: some ten requests a second of a
-# route are told apart in about that time, and a configuration that moves routes is
-# followed.
+# Age at which an interval has half its weight. At about ten requests per second of each
+# route, this is enough to separate them, and short enough for estimates to follow a
+# configuration that moves routes.
 HALF_LIFE_SECONDS = 8.0
 INTERVAL_DECAY_RATIO = math.exp(-math.log(2) * INTERVAL_SECONDS / HALF_LIFE_SECONDS)
-# Routes told apart, those with most runs. The rest counts as the average.
+# Routes that are estimated separately, those with the most runs. The rest get the
+# average.
 MAX_FITTED_ROUTES = 10
-# Runs of a route below which nothing is told of it alone.
+# A route with fewer runs is not estimated separately.
 MIN_RUNS = 5.0
-# Fewer calls for each run than this are not told: strays of a moved route.
+# Lower ratios of calls per run are dropped, as stray calls of a route that was moved.
 MIN_CALL_RATIO = 0.02
-# Calls of a step that belong to runs of the step before or after, for each call.
+# Share of the calls of an interval that belong to runs of the previous or next one.
 STRAY_CALL_RATIO = 0.4
 
-# Calls for each run, by the route of the calls.
+# Calls per run, by the route of the calls.
 CallRatios = dict[str, float]
 
 
 class _Interval:
-    """What was counted since the last step."""
+    """Runs and calls counted in one interval, by route."""
 
     __slots__ = ("calls", "runs", "started")
 
@@ -42,35 +44,36 @@
 
 
 class CallRatioEstimator:
-    """Runs at the own backend server and the calls that began there, by route."""
+    """Counts runs and calls of the local backend server, and estimates their ratios."""
 
     def __init__(self) -> None:
         self._interval: _Interval | None = None
         self._total_weight = 0.0
         self._runs: dict[str, float] = {}
         self._calls: dict[str, float] = {}
-        # Sums over steps, each pair of routes: runs times runs, and runs times calls.
+        # For each pair of routes, decayed sums over all intervals of runs times runs
+        # and of runs times calls.
         self._runs_runs: dict[tuple[str, str], float] = {}
         self._runs_calls: dict[tuple[str, str], float] = {}
         self._estimates: dict[str, CallRatios] = {}
 
     def record_start(self, route: str, now: float) -> None:
-        """Count the start of a run as half of it: its calls lie between both ends."""
+        """Count half a run at its start: its calls lie between its start and end."""
         runs = self._get_interval(now).runs
         runs[route] = runs.get(route, 0.0) + 0.5
 
     def record_end(self, route: str, now: float) -> None:
-        """Count the end of a run as the other half."""
+        """Count the other half of a run at its end."""
         runs = self._get_interval(now).runs
         runs[route] = runs.get(route, 0.0) + 0.5
 
     def record_call(self, route: str, now: float) -> None:
-        """Count a call that the backend server makes."""
+        """Count a call that the local backend server makes."""
         calls = self._get_interval(now).calls
         calls[route] = calls.get(route, 0.0) + 1.0
 
     def get_ratios(self, now: float) -> dict[str, CallRatios]:
-        """Return calls for each run, by the run's route; the average under ``""``.
+        """Return calls per run, by the run's route; the average is under ``""``.
 
         Args:
             now: Seconds on the loop's clock.
@@ -84,7 +87,7 @@
             interval = self._interval = _Interval(now)
         elif now - interval.started >= INTERVAL_SECONDS:
             self._add_interval(interval)
-            # After a pause the steps in between were empty, and tell nothing.
+            # Intervals skipped during a pause had no runs and would not add data.
             interval = self._interval = _Interval(now)
             self._estimates = self._estimate()
         return interval
@@ -127,10 +130,10 @@
     def _fit(
         self, routes: list[str], called: str, average: float, runs: float
     ) -> list[float]:
-        """Return calls for each run of each route, none below zero."""
-        # The variance of a step's stray calls, which stray by whole runs, over that
-        # of the ratios, which differ by about their average: so strong is the pull
-        # towards the average.
+        """Return the calls per run of each route, none below zero."""
+        # The ridge term pulls the ratios towards their average. It is the variance of
+        # an interval's stray calls (all calls of a run stray together) divided by the
+        # variance of the ratios, which differ by about their average.
         stray_variance = (
             STRAY_CALL_RATIO * average * runs / self._total_weight * max(1.0, average)
         )
@@ -161,10 +164,10 @@
 def solve(
     matrix: Sequence[Sequence[float]], right_side: Sequence[float]
 ) -> list[float]:
-    """Return the solution of a positive definite system of equations.
+    """Return the solution of a positive definite system of linear equations.
 
-    Written out as it is at most ten equations, and the usual library would double a
-    node's memory.
+    This avoids a numerical library, which would double a node's memory, for at most ten
+    equations.
 
     >>> solve([[2.0, 1.0], [1.0, 3.0]], [5.0, 10.0])
     [1.0, 3.0]
