--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -1,30 +1,30 @@
-"""What the calls below a call cost, by the availability zone in which it runs.
+"""Costs of a call's downstream calls, by the availability zone in which the call runs.
 
-Where a zone has no backend server of a service left, or too few, its calls cross to
-another zone. One call that crosses high up in the graph takes all calls below it
-along; left at home it would make each of them cross. So whoever chooses where a call
-goes adds what the calls below it will cost there. It needs no network.
+If a zone has no backend server of a service, or too few, calls to it go cross-zone. If
+the call that causes them goes cross-zone instead, its downstream calls stay in the
+other zone, and only one call crosses. So the choice of a node for a call includes the
+costs of its downstream calls there. Computing them needs no network calls.
 """
 
 from collections.abc import Callable, Mapping
 
 from .call_graph import CallGraph, ServiceRoute
 
-# Weight of a new look at a zone's costs. Nodes look at the same moment at the same
-# states: with all of the weight they would all move to one zone, and all back again.
+# Weight of a new cost in the moving average. Nodes update at the same time from the
+# same states: without smoothing, all would move their calls to one zone and back again.
 NEW_COST_WEIGHT = 0.4
 
-# Milliseconds by zone; of the cheapest call to a service, or of all below a call.
+# Milliseconds by zone: of the cheapest call to a service, or of all downstream calls.
 ZoneCostsMs = dict[str, float]
 
 
 class ZoneCosts:
-    """Milliseconds, with the price of crossing, of all that lies below a call.
+    """Computes the costs of a call's downstream calls, cross-zone costs included.
 
     Args:
-        graph: Which calls a run makes.
-        get_cross_zone_cost_ms: Returns by how many milliseconds another zone has to be
-            better for a route's calls.
+        graph: Which calls a run of each route makes.
+        get_cross_zone_cost_ms: Returns the cross-zone cost of a call, in milliseconds,
+            for a route's name.
     """
 
     def __init__(
@@ -36,11 +36,11 @@
         self._downstream_costs: dict[ServiceRoute, ZoneCostsMs] = {}
 
     def refresh(self, min_costs: Mapping[str, ZoneCostsMs]) -> None:
-        """Take in what a call costs now where its backend server is.
+        """Update the costs of calls from the current state of backend servers.
 
         Args:
-            min_costs: Beyond its work, by service and zone; zones without a usable
-                backend server are left out.
+            min_costs: Lowest cost of a call beyond its work, by service and zone. Zones
+                without a usable backend server are left out.
         """
         self._min_costs = {
             service: self._smooth(service, zones)
@@ -49,9 +49,9 @@
         self._downstream_costs = {}
 
     def get_downstream_costs(self, route: str, service: str) -> ZoneCostsMs:
-        """Return what the calls below a call cost, by the zone in which it runs.
+        """Return the cost of a call's downstream calls, by the zone in which it runs.
 
-        Zones that are left out have no backend server of the service.
+        Zones without a backend server of the service are left out.
         """
         return self._sum_downstream_costs((route, service), ())
 
@@ -71,7 +71,7 @@
         downstream_costs = dict.fromkeys(self._min_costs.get(service_route[1], {}), 0.0)
         for called, ratio in self._graph.list_downstream_calls(service_route):
             if called in path:
-                # Routes that moved leave a few calls in circles for a while.
+                # For a while after routes are moved, stale ratios can form a cycle.
                 continue
             for zone in downstream_costs:
                 cost = self._compute_call_cost(called, zone, (*path, service_route))
@@ -82,14 +82,14 @@
     def _compute_call_cost(
         self, service_route: ServiceRoute, zone: str, path: tuple[ServiceRoute, ...]
     ) -> float:
-        """Return what a call costs that begins in a zone, and all below it."""
+        """Return the cost of a call made in a zone, its downstream calls included."""
         downstream_costs = self._sum_downstream_costs(service_route, path)
         totals = {
             other_zone: cost + downstream_costs.get(other_zone, 0.0)
             for other_zone, cost in self._min_costs.get(service_route[1], {}).items()
         }
         if not totals:
-            # Nobody serves it anywhere: no zone is better than another.
+            # No zone has a backend server of the service, so none is better.
             return 0.0
         cross_zone_cost = min(totals.values()) + self._get_cross_zone_cost_ms(
             service_route[0]
