--- a/primroseglade/sidecar/__init__.py
+++ b/primroseglade/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The node beside one backend server: the lean path of calls, and what nodes share."""
+"""The node beside a backend server: calls between nodes and the state nodes share."""
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -1,19 +1,19 @@
-"""What this node sent to other availability zones, where bytes are dear."""
+"""Counts bytes sent to other availability zones, because they are expensive."""
 
 import collections
 
 from ..observe.events import Journal, ZONE_BYTES
 
-# Routes that are counted by name; the rest is counted together.
+# Routes that are counted by name; all others are counted together.
 MAX_NAMED_ROUTES = 200
 OTHER_ROUTES = "other"
-# How often the log has what crossed, in seconds, and how many lines of it.
+# Interval between log lines, and the number of largest counts in each.
 BYTES_LOG_SECONDS = 10.0
 MAX_LOGGED_ENTRIES = 12
 
 
 class CrossZoneBytes:
-    """Bytes by kind of frame and by route.
+    """Cross-zone bytes, by kind of frame and by route.
 
     >>> cross_zone_bytes = CrossZoneBytes()
     >>> cross_zone_bytes.record("Call", "photos", 300)
@@ -29,7 +29,13 @@
         self._routes: set[str] = set()
 
     def record(self, frame: str, route: str, size: int) -> None:
-        """Count a frame that was sent."""
+        """Count a frame that was sent cross-zone.
+
+        Args:
+            frame: Kind of the frame.
+            route: Name of the route that it belongs to; empty if it has none.
+            size: Bytes of the frame.
+        """
         if route not in self._routes:
             if len(self._routes) >= MAX_NAMED_ROUTES:
                 route = OTHER_ROUTES
@@ -38,12 +44,12 @@
         self._counts[frame, route] += size
 
     def list_all(self) -> list[tuple[str, str, int]]:
-        """Return kind, route and bytes, the most bytes first."""
+        """Return kind of frame, route and bytes, with the most bytes first."""
         return [(frame, route, n) for (frame, route), n in self._counts.most_common()]
 
 
 def log_cross_zone_bytes(cross_zone_bytes: CrossZoneBytes, journal: Journal) -> None:
-    """Log what crossed to other zones."""
+    """Log the largest counts of cross-zone bytes."""
     largest = cross_zone_bytes.list_all()[:MAX_LOGGED_ENTRIES]
     if largest:
         journal.emit(ZONE_BYTES, most=largest)
--- a/primroseglade/sidecar/route_table.py
+++ b/primroseglade/sidecar/route_table.py
@@ -1,13 +1,13 @@
-"""Which route a request takes, and which service serves it."""
+"""Finds the route of a request and chooses the service that serves it."""
 
 from .model import Route, WeightedService
 
 
 class RouteTable:
-    """Routes by host, the longest prefix first.
+    """Routes by host, with the longest prefix first.
 
     Args:
-        routes: Of one version of the configuration.
+        routes: All routes of one version of the configuration.
     """
 
     def __init__(self, routes: list[Route]):
@@ -21,7 +21,7 @@
             entries.sort(key=lambda entry: len(entry[0]), reverse=True)
 
     def find(self, host: bytes, target: bytes) -> Route | None:
-        """Return the route with the longest prefix of the path, if there is one.
+        """Return the route with the longest matching path prefix, or None.
 
         >>> from .model import RouteKind
         >>> def build(prefix):
@@ -45,10 +45,10 @@
         return None
 
     def choose_service(self, route: Route) -> str:
-        """Return who serves the next call of a route, in proportion to the weights.
+        """Return the service for a route's next call, in proportion to the weights.
 
-        Smooth weighted round-robin: over any few hundred calls each service has its
-        share to within a call, where drawing at random would stray by 3 in 100.
+        With smooth weighted round-robin, each service gets its share of any few hundred
+        calls to within one call. A random choice would be off by 3 in 100.
         """
         if len(route.services) == 1:
             return route.services[0].name
