--- a/tests/test_call_ratios.py
+++ b/tests/test_call_ratios.py
@@ -1,4 +1,4 @@
-"""Which of a backend server's runs make its calls."""
+"""Estimates of the calls that a backend server makes for each route."""
 
 import random
 
@@ -14,14 +14,14 @@
     seed: int,
     mean_run_seconds: float = 0.08,
 ) -> CallRatioEstimator:
-    """Let runs of routes start at random; each makes its calls while it works.
+    """Return an estimator after runs with random starts, each with evenly spaced calls.
 
     Args:
-        rates: Runs a second, by route.
-        calls: Route and number of calls that a run makes, by the run's route.
-        seconds: For which they are seen.
-        seed: Of the arrivals.
-        work: Seconds of a run.
+        rates: Runs per second, by route.
+        calls: Route and number of the calls that a run makes, by the run's route.
+        duration: Seconds in which runs start.
+        seed: Seed of the random starts and lengths of runs.
+        mean_run_seconds: Mean length of a run.
     """
     rng = random.Random(seed)
     events: list[tuple[float, str, str]] = []
@@ -49,9 +49,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_calls_are_attributed_to_the_route_that_makes_them(seed: int):
-    """Uploads were refused although nothing that they use was short of room: the
-    look-ups at the same service lead to one that was overloaded, and what each run
-    leads to was reckoned as the average over both. One node, fifteen seconds.
+    """Guards against refusing uploads that use no overloaded service. Look-ups at the
+    same service called one that was overloaded, and the calls per run were estimated as
+    the average over both routes. One node, 15 seconds.
     """
     rates = {"upload": 15.0, "index": 120.0}
     estimator = simulate_runs(rates, {"index": ("lookup", 4)}, 15.0, seed)
@@ -62,8 +62,8 @@
 
 
 def test_mean_over_nodes_separates_routes():
-    """The mean over the nodes of a service is what admission goes by: there a run
-    that makes two calls and one that makes one are clearly apart.
+    """Admission uses the mean over the nodes of a service, which clearly separates runs
+    that make two calls from runs that make one.
     """
     rates = {"issue": 50.0, "ledger": 110.0}
     calls = {"issue": ("index", 2), "ledger": ("index", 1)}
@@ -77,13 +77,13 @@
 
 
 def test_early_estimate_is_the_average():
-    """Two seconds after its start a node knows next to nothing of single routes."""
+    """Two seconds after its start, a node has too little data on single routes."""
     rates = {"upload": 3.0, "index": 40.0}
     ratios = simulate_runs(rates, {"index": ("lookup", 4)}, 2.0, 1).get_ratios(2.0)
     assert ratios["upload"].get("lookup", 0.0) > 1.0
 
 
 def test_routes_never_called_are_left_out():
-    """A backend server that calls nobody leads nowhere."""
+    """A backend server that makes no calls has no downstream routes."""
     ratios = simulate_runs({"lookup": 100.0}, {}, 5.0, 1).get_ratios(5.0)
     assert ratios == {"": {}, "lookup": {}}
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -1,4 +1,4 @@
-"""Where calls go, by the availability zone and load of those that serve them."""
+"""Choice of a backend server by availability zone, load and failures."""
 
 import random
 
@@ -20,7 +20,7 @@
     size_bytes: float = 0.0,
     latency_target: float = 0.3,
 ) -> float:
-    """Return which part of many calls goes to the other availability zone."""
+    """Return the share of 1000 calls that goes to the other availability zone."""
     rng = random.Random(1)
     cross_zone_cost_ms = compute_cross_zone_cost_ms(latency_target, size_bytes)
     cross_zone_calls = 0
@@ -43,26 +43,26 @@
 
 
 def test_light_load_stays_in_zone_although_another_is_faster():
-    """Half of all look-ups went to other availability zones on quiet days, for ten
-    milliseconds of a target of three hundred: one backend server there was twice as
-    fast. Callers saw nothing of it, but the bytes were the dearest part of the bill.
+    """Guards against cross-zone calls that gain nothing for callers. Half of all
+    look-ups crossed under light load, as a backend server there was twice as fast. That
+    saved 10 ms of a 300 ms target, but cross-zone bytes were the largest cost.
     """
     assert measure_cross_zone_share(10.0, same_zone_ms=21.0, cross_zone_ms=9.4) < 0.05
 
 
 def test_queue_in_own_zone_sends_calls_to_another_zone():
-    """With two waiting for each slot the other zone serves sooner."""
+    """With two calls queued for each slot, the other zone answers sooner."""
     assert (
         measure_cross_zone_share(3 * SLOTS, same_zone_ms=21.0, cross_zone_ms=9.4) > 0.95
     )
 
 
 def test_slow_zone_keeps_large_answers_and_sends_small_ones_cross_zone():
-    """One zone's backend servers had little more than half of the others' speed, and
-    their room was used up. Payments with answers of six kilobytes went to other zones
-    as readily as look-ups of two hundred bytes, at thirty times the bytes for each
-    millisecond won; three in five of all payments crossed, most of them from zones with
-    room.
+    """Guards against a cross-zone cost that ignores the size of calls. One zone's
+    backend servers had little more than half the speed of others and no free slots.
+    Payments with answers of 6 kB went cross-zone as readily as look-ups of 200 bytes,
+    at 30 times the bytes for each millisecond saved. Three in five payments crossed,
+    most of them from zones with free slots.
     """
     in_flight = 0.3 * SLOTS
     assert (
@@ -87,10 +87,11 @@
 
 
 def test_calls_that_meet_their_target_stay_in_zone():
-    """One zone's only backend server of bookings was slower than the others. Bookings
-    of nine kilobytes both ways crossed for a tenth of a second, of which callers with a
-    target of over a second saw nothing; a quarter of the bytes between zones were
-    theirs. Where they would be late at home, they still go elsewhere.
+    """Guards against large cross-zone calls that would be in time anyway. One zone's
+    only backend server of bookings was slower than the others. Bookings of 9 kB in both
+    directions crossed to save a tenth of a second, which callers with a target of over
+    a second did not notice; they made up a quarter of the cross-zone bytes. Bookings
+    that would be late in their own zone still go elsewhere.
     """
     in_flight = 0.8 * SLOTS
     on_time_share = measure_cross_zone_share(
@@ -112,7 +113,7 @@
 
 
 def test_latency_tolerance_is_at_most_half_of_timeout():
-    """A booking has a target of a second and a half, and is ended after 0.8 s."""
+    """A booking with a target of 1.5 s and a timeout of 0.8 s has 0.4 s."""
     services = [WeightedService("bookings", 1.0)]
     route = Route("book", "h", "/", RouteKind.UNSAFE, services, 0.8, 1.5, 0, 1, False)
     assert route.latency_tolerance == 0.4
@@ -125,8 +126,9 @@
 
 
 def test_exploration_stays_in_zone():
-    """A fiftieth of all calls tries whoever has room. With one of three backend servers
-    near, most of those crossed to another zone, on the quietest days too.
+    """Guards against cross-zone calls made only to explore. One call in 50 goes to any
+    backend server with room. With one of three backend servers in the same zone, most
+    of these calls crossed, even under the lightest load.
     """
     rng = random.Random(2)
     chosen = []
@@ -152,9 +154,9 @@
 
 
 def test_calls_leave_zone_with_failing_backend_server():
-    """A third of a backend server's answers got lost. It was the only one of its zone,
-    and look-ups stayed there to save bytes, though each that failed threw away the
-    page above it.
+    """Guards against saving cross-zone bytes at the cost of failures. The only backend
+    server of a zone lost a third of its answers. Look-ups stayed there, though each
+    failure also failed the page request that had made the look-up.
     """
     rng = random.Random(3)
     same_zone = Candidate("near", True, SLOTS, 5.0, 22.0, 0.3)
--- a/tests/test_zone_costs.py
+++ b/tests/test_zone_costs.py
@@ -1,4 +1,4 @@
-"""Where a tree of calls crosses to another availability zone."""
+"""Where the calls of a call graph go to another availability zone."""
 
 from primroseglade.sidecar.call_graph import CallGraph
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
@@ -14,8 +14,8 @@
 
 
 def build_costs(min_costs: dict[str, ZoneCostsMs]) -> ZoneCosts:
-    """Return the costs of a page that asks for a seat, which asks for one status, which
-    looks four times into a timetable.
+    """Return the costs for a call graph in which a page makes one seat call, a seat one
+    status call, and a status four look calls to the timetable service.
     """
     names = {"page": "pages", "seat": "seats", "status": "desk", "look": "timetable"}
     routes = {name: build_route(name, service) for name, service in names.items()}
@@ -34,7 +34,7 @@
 def list_cross_zone_calls(
     costs: ZoneCosts, min_costs: dict[str, ZoneCostsMs]
 ) -> list[str]:
-    """Return which of a page's calls leave zone ``a`` for another."""
+    """Return which calls of a page leave zone ``a`` for another zone."""
     names = {"page": "pages", "seat": "seats", "status": "desk"}
     cross_zone_calls = []
     for name, service in names.items():
@@ -51,9 +51,10 @@
 
 
 def test_one_call_goes_cross_zone_instead_of_its_four_downstream_calls():
-    """One zone had lost its only backend server of the timetable. Each status that was
-    asked for there sent four look-ups to another zone, a thousand a second; the status
-    itself could have gone there, once.
+    """Guards against sending four downstream calls cross-zone instead of their caller.
+    A zone had lost its only backend server of the timetable. Each status call there
+    sent four look-ups to another zone, 1000 per second in all, where one status call
+    could have gone there instead.
     """
     equal_costs = {"a": 20.0, "b": 20.0, "c": 20.0}
     min_costs = {
@@ -73,8 +74,8 @@
 
 
 def test_queue_at_downstream_service_moves_its_caller():
-    """The same where the zone's timetable has a queue: look-ups wait there, but not so
-    long that one of them would cross by itself.
+    """The timetable of the zone has a queue, which is too short for a single look-up to
+    go cross-zone, but four look-ups make the status call do so.
     """
     equal_costs = {"a": 0.0, "b": 0.0}
     min_costs = {
@@ -87,7 +88,7 @@
 
 
 def test_calls_stay_in_zone_if_costs_are_similar():
-    """On a quiet day a tenth more time elsewhere is no reason to go there."""
+    """A cost lower by a tenth in another zone is no reason to go there."""
     min_costs = {
         service: {"a": 22.0, "b": 20.0}
         for service in ("pages", "seats", "desk", "timetable")
@@ -96,7 +97,7 @@
 
 
 def test_service_without_backend_servers_adds_no_cost():
-    """With no timetable left anywhere, no zone is better than another."""
+    """Without any backend server of the timetable, no zone is better than another."""
     equal_costs = {"a": 20.0, "b": 20.0}
     costs = build_costs(
         {"pages": equal_costs, "seats": equal_costs, "desk": equal_costs}
@@ -105,7 +106,7 @@
 
 
 def test_call_cycles_terminate():
-    """Routes that move leave a few calls in circles for some seconds."""
+    """After routes are moved, stale call ratios can form a cycle for some seconds."""
     routes = {"x": build_route("x", "one"), "y": build_route("y", "two")}
     graph = CallGraph()
     graph.rebuild(
@@ -118,8 +119,9 @@
 
 
 def test_cost_changes_are_smoothed():
-    """All nodes of a zone saw a queue elsewhere end at the same moment; they moved
-    their calls there at once, and back half a second later.
+    """Guards against nodes moving back and forth together. All nodes of a zone saw a
+    queue in another zone end at the same time, moved their calls there at once, and
+    moved them back half a second later.
     """
     equal_costs = {"a": 20.0, "b": 20.0}
     costs = build_costs({"desk": equal_costs, "timetable": {"a": 20.0, "b": 50.0}})
