--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -1,4 +1,4 @@
-"""Requests through two nodes to a backend server, and what may go wrong there."""
+"""Requests through two nodes to a backend server, and failures on the way."""
 
 import asyncio
 
@@ -20,12 +20,12 @@
 
 
 def count_executions(mesh: Mesh, request_id: str) -> int:
-    """Return on how many backend servers a request ran."""
+    """Return how many times backend servers ran a request."""
     return sum(place.backend.ran.count(request_id) for place in mesh.places)
 
 
 async def test_a_request_reaches_the_service_of_its_route(mesh: Mesh):
-    """The answer is the backend server's, and it sees who called and for whom."""
+    """The backend server answers, and receives the calling service and workspace."""
     front = mesh.places[0]
     spoofed = "X-Primroseglade-Tenant: south\r\nX-Primroseglade-Caller-Service: x\r\n"
     answer = await ask(front, "/deep/a?b=c", headers=spoofed)
@@ -40,7 +40,7 @@
 
 
 async def test_requests_that_are_not_allowed_do_not_run(mesh: Mesh):
-    """Unknown keys and paths are told apart; calls of backend servers need no key."""
+    """Unknown keys and paths get different statuses; public routes need no key."""
     front = mesh.places[0]
     assert (await ask(front, "/deep/a", key="stranger")).status == 401
     assert (await ask(front, "/deep/a", key=None)).status == 401
@@ -50,8 +50,8 @@
 
 
 async def test_duplicate_answer_is_not_used_for_next_request(mesh: Mesh):
-    """A caller got the answer to somebody else's request: a faulty backend server
-    had answered one request twice, the second time after the next request had been
+    """Guards against answering a caller with another request's answer. A faulty backend
+    server answered one request twice, the second time after the next request had been
     sent on the same connection.
     """
     deep = mesh.places[1]
@@ -78,9 +78,9 @@
 
 
 async def test_truncated_answer_is_not_forwarded(mesh: Mesh):
-    """A caller got half a page that looked whole. A backend server broke off in the
-    middle of its answer; what may run twice is then answered by another one, and
-    what may not gets a failure that promises nothing.
+    """Guards against forwarding a truncated answer as if it were complete. A backend
+    server closed the connection in the middle of its answer. An idempotent request is
+    then retried on another one; any other gets a failure that may have run.
     """
     breaking = mesh.places[1].backend
     healthy = mesh.places[2].backend
@@ -107,7 +107,7 @@
 
 
 async def test_a_success_without_signature_is_a_failure(mesh: Mesh):
-    """Bytes that only look like an answer are not the backend server's."""
+    """A successful answer without the backend server's signature is not forwarded."""
 
     def forge(request: Request, headers: dict[str, str]) -> Reply:
         request_id = headers["x-primroseglade-request-id"].encode()
@@ -121,7 +121,7 @@
 
 
 async def test_answer_delimited_by_connection_close_is_complete(mesh: Mesh):
-    """HTTP allows answers without a length; the caller gets them with one."""
+    """HTTP allows answers without a length; they are forwarded with one."""
 
     def answer_unframed(request: Request, headers: dict[str, str]) -> Reply:
         request_id = headers["x-primroseglade-request-id"].encode()
@@ -140,8 +140,8 @@
 
 
 async def test_caller_disconnect_cancels_backend_work(mesh: Mesh):
-    """Backend servers were busy for callers that had long gone: the node beside them
-    did not hear that the connection at the other node was closed.
+    """Guards against backend servers working for callers that have disconnected: the
+    node beside them was not notified that the connection to the other node was closed.
     """
     for place in mesh.places[1:]:
         place.backend.work = 5.0
@@ -155,7 +155,7 @@
 
 
 async def test_route_timeout_ends_request(mesh: Mesh):
-    """A route's timeout ends a request whose caller would wait for longer."""
+    """A route's timeout ends a request whose caller would wait longer."""
     paths = [build_path("short", "deep", timeout="300ms"), *PATHS]
     mesh.store.publish(build_configuration(2, *paths))
     await asyncio.sleep(0.3)
@@ -168,7 +168,7 @@
 
 
 async def test_not_run_refusal_has_retry_after(mesh: Mesh):
-    """All backend servers refuse; the caller learns that it may come back."""
+    """All backend servers refuse; the caller gets a Retry-After."""
 
     def refuse(request: Request, headers: dict[str, str]) -> Reply:
         head = render_status_line(503) + b"X-Primroseglade-Not-Executed: 1\r\n"
@@ -182,9 +182,9 @@
 
 
 async def test_failure_is_forwarded_if_no_other_server_takes_the_call(mesh: Mesh):
-    """A caller was told that its request had not run, though it had: one backend
-    server had failed it, the other was leaving and refused the second attempt, and
-    the answer spoke of the second attempt only.
+    """Guards against reporting a request as not run although it ran. One backend server
+    had answered with a failure, the other was draining and refused the retry, and the
+    refusal covered the retry only.
     """
     failing, draining = mesh.places[1:]
 
@@ -202,7 +202,7 @@
 
 
 async def test_large_body_arrives_complete(mesh: Mesh):
-    """A large body reaches the backend server as it was sent."""
+    """A large body reaches the backend server unchanged."""
     received: list[bytes] = []
 
     def record_body(request: Request, headers: dict[str, str]) -> Reply:
@@ -219,7 +219,7 @@
 
 
 async def test_a_connection_carries_many_requests(mesh: Mesh):
-    """Bytes of one request never become part of the next one's answer."""
+    """Each of many requests on one connection gets its own answer."""
     pool = ConnectionPool(mesh.places[0].settings.outbound, 1.0)
     connection = await pool.acquire()
     for number in range(20):
@@ -244,7 +244,7 @@
     ],
 )
 async def test_malformed_requests_are_refused(mesh: Mesh, text: bytes):
-    """A request inside a request never reaches a backend server."""
+    """A malformed or smuggled request never reaches a backend server."""
     host, port = mesh.places[0].settings.outbound.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(text)
@@ -255,14 +255,15 @@
 
 
 def test_free_addresses_differ():
-    """The helper of these tests does not hand out one address twice in a row."""
+    """The test helper does not return the same address twice in a row."""
     assert find_address() != find_address()
 
 
 async def test_requests_over_rate_do_not_count_as_demand(mesh: Mesh):
-    """One workspace sent seven times its rate. Its refused calls counted as demand for
-    the services below, whose levels fell, and all other workspaces were refused while
-    those services stood half empty.
+    """Guards against counting requests over the rate as demand. One workspace sent
+    seven times its rate. Its refused requests counted as demand for the downstream
+    services and lowered their admission levels. All other workspaces were refused,
+    while those services were half idle.
     """
     tenant = {
         "name": "north",
