--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -1,4 +1,4 @@
-"""Gets a call answered: where it goes, and where next if that fails."""
+"""Chooses a node for a call, sends it there, and retries it elsewhere on failure."""
 
 import asyncio
 import random
@@ -22,36 +22,45 @@
 from .retry_budget import RetryBudget
 from .zone_costs import ZoneCosts
 
-# Nodes asked for one call, where each says that it did not run. Such refusals reach
-# no backend server, but under overload all nodes say the same, and asking them all
-# would cost more than the calls themselves.
-NODES_ASKED = 3
-# Where more of a service's calls fail, those of backend servers are not repeated: a
-# request makes several of them, and one that fails again ends it all the same. The
-# budget of repeats is left to callers' own requests.
-MOST_FAILING = 0.2
-# A call that a backend server makes is worth waiting for: to refuse it throws away
-# the work above it. So long it waits before it looks again who serves it, in seconds,
-# and twice as long each time.
-NESTED_PAUSE_SECONDS = 0.05
-# And so long it waits at the most; restarts of a node take about a second.
-NESTED_PATIENCE_SECONDS = 1.5
+# Maximum number of nodes tried for a call that reaches no backend server. Under
+# overload all nodes refuse, and trying them all would cost more than the calls
+# themselves.
+MAX_NODES_TRIED = 3
+# Above this failure ratio of a service, calls made by backend servers are not retried:
+# a request makes several of them, and fails anyway if one of them fails again. This
+# leaves the retry budget to callers' own requests.
+NESTED_RETRY_MAX_FAILURE_RATIO = 0.2
+# Refusing a call that a backend server makes wastes the work already done for its
+# request. If no node takes such a call, it is tried again after this time, which
+# doubles with each attempt.
+NESTED_INITIAL_BACKOFF_SECONDS = 0.05
+# No further attempt follows once it has waited this long; a node restarts in about a
+# second.
+NESTED_MAX_WAIT_SECONDS = 1.5
 
 
 class OutgoingCall:
-    """A call that begins at this node, on its way."""
+    """A call that this node sends, with its state.
+
+    Attributes:
+        nested: Whether the local backend server makes the call.
+        deadline: Time on the loop's clock at which the call is cancelled.
+        latency_target_at: Time on the loop's clock after which the answer is late.
+        sent: Whether the call was sent to a node, this one included.
+        node: Name of the node that it was sent to last; empty before.
+    """
 
     __slots__ = (
         "body",
         "deadline",
         "head",
+        "latency_target_at",
         "nested",
         "node",
         "request_id",
         "route",
         "sent",
         "service",
-        "target",
     )
 
     def __init__(
@@ -63,7 +72,7 @@
         body: bytes,
         nested: bool,
         deadline: float,
-        target: float,
+        latency_target_at: float,
     ):
         self.route = route
         self.service = service
@@ -72,13 +81,17 @@
         self.body = body
         self.nested = nested
         self.deadline = deadline
-        self.target = target
+        self.latency_target_at = latency_target_at
         self.sent = False
         self.node = ""
 
 
 class Outcome:
-    """An answer, and how it was had."""
+    """An answer, and the node that sent it.
+
+    Attributes:
+        signed: Whether the answer carries the backend server's signature.
+    """
 
     __slots__ = ("attempts", "body", "head", "node", "signed", "status")
 
@@ -92,21 +105,21 @@
 
 
 class Attempts:
-    """What became of a call so far.
+    """The failed attempts of a call.
 
     Attributes:
-        tried: Names of the nodes that were asked.
-        arrivals: Backend servers that the call reached.
-        last_arrived: Whether the last attempt reached one.
-        reason: Why the last attempt was not the end.
+        tried: Names of the nodes that the call was sent to.
+        backends_reached: Attempts that reached a backend server.
+        last_reached_backend: Whether the last attempt reached one.
+        reason: Why the last attempt failed.
         verdict: Whether the call may have run, over all attempts.
     """
 
     __slots__ = (
         "_failure",
         "_refusal",
-        "arrivals",
-        "last_arrived",
+        "backends_reached",
+        "last_reached_backend",
         "reason",
         "tried",
         "verdict",
@@ -116,57 +129,60 @@
         self._failure: Outcome | None = None
         self._refusal: Refusal | None = None
         self.tried: set[str] = set()
-        self.arrivals = 0
-        self.last_arrived = False
+        self.backends_reached = 0
+        self.last_reached_backend = False
         self.reason = ""
         self.verdict = Verdict.NOT_RUN
 
     def record_failure(self, outcome: Outcome) -> None:
-        """Note that a backend server answered with a failure of its own."""
+        """Record an answer of a backend server that reports a failure."""
         self._failure = outcome
         self.verdict = Verdict.RAN
         self.reason = f"status {outcome.status}"
-        self.arrivals += 1
-        self.last_arrived = True
+        self.backends_reached += 1
+        self.last_reached_backend = True
 
     def record_refusal(self, refusal: Refusal) -> None:
-        """Note that there was no answer."""
+        """Record an attempt that got no answer of a backend server."""
         self._refusal = refusal
         self.reason = refusal.reason.code
         may_have_run = refusal.verdict is not Verdict.NOT_RUN
         if may_have_run and self.verdict is Verdict.NOT_RUN:
             self.verdict = refusal.verdict
-        self.last_arrived = may_have_run or isinstance(refusal, BackendRefusal)
-        self.arrivals += self.last_arrived
+        self.last_reached_backend = may_have_run or isinstance(refusal, BackendRefusal)
+        self.backends_reached += self.last_reached_backend
+
+    def get_final_outcome(self, default: Refusal | None = None) -> Outcome:
+        """Return the last failure that a backend server answered with.
 
-    def conclude(self, otherwise: Refusal | None = None) -> Outcome:
-        """Return the answer that there is, if only a failure.
+        Args:
+            default: Raised if no attempt was made.
 
         Raises:
-            Refusal: There is none; with the verdict that holds for all attempts, as
-                the last one alone may not have run where an earlier one has.
+            Refusal: No backend server answered. It is the last refusal, with a verdict
+                over all attempts: an earlier one may have run, though the last did not.
         """
         if self._failure is not None:
             return self._failure
-        refusal = self._refusal or otherwise
+        refusal = self._refusal or default
         assert refusal is not None
         refusal.verdict = self.verdict
         raise refusal
 
 
 class Dispatcher:
-    """Sends calls to nodes beside backend servers.
+    """Sends calls to the nodes of backend servers, with retries.
 
     Args:
         node: This node's name.
-        backend: The own backend server.
-        fleet: The others.
-        retry_budget: Of repeats.
-        graph: Which calls a repeat makes again.
-        zone_costs: What the calls below a call cost.
-        answer_sizes: Learnt from answers.
-        journal: Where repeats are told.
-        node_metrics: Counts repeats.
+        backend: The local backend server.
+        fleet: The other nodes.
+        retry_budget: Limits retries.
+        graph: Which downstream calls a retry makes again.
+        zone_costs: Costs of a call's downstream calls, by zone.
+        answer_sizes: Average answer size of each route.
+        journal: Logs retries.
+        node_metrics: Counts retries.
     """
 
     def __init__(
@@ -192,47 +208,50 @@
         self._answer_sizes = answer_sizes
 
     async def dispatch(self, call: OutgoingCall) -> Outcome:
-        """Get a call answered.
+        """Send a call, retry it where that is allowed, and return its outcome.
 
         Raises:
-            Refusal: The last one, with a verdict that holds for all attempts.
+            Refusal: The last one, with a verdict that covers all attempts.
         """
         attempts = Attempts()
         while True:
             candidate = await self._find_candidate(call, attempts)
             if candidate is None:
                 detail = f"no backend server of {call.service} takes calls"
-                return attempts.conclude(
+                return attempts.get_final_outcome(
                     Refusal(Reason.NO_BACKEND_SERVER, detail=detail)
                 )
             outcome = await self._attempt(call, candidate, attempts)
             if outcome is not None:
                 return outcome
-            if not self._may_go_on(call, attempts):
-                return attempts.conclude()
-            if attempts.last_arrived:
-                self._tell_repeat(call, candidate, attempts)
+            if not self._may_attempt_again(call, attempts):
+                return attempts.get_final_outcome()
+            if attempts.last_reached_backend:
+                self._log_retry(call, candidate, attempts)
 
     async def _find_candidate(
         self, call: OutgoingCall, attempts: "Attempts"
     ) -> Candidate | None:
-        """Return where to send the call next; a nested one waits for a place."""
-        pause = NESTED_PAUSE_SECONDS
-        left = NESTED_PATIENCE_SECONDS
+        """Return where to send the call next, or None if no node takes it.
+
+        Before its first attempt, a nested call waits for a node that takes it.
+        """
+        backoff = NESTED_INITIAL_BACKOFF_SECONDS
+        remaining = NESTED_MAX_WAIT_SECONDS
         while True:
             candidate = self._choose(call, attempts.tried)
             if candidate is not None or not call.nested or attempts.tried:
                 return candidate
-            if left <= 0:
+            if remaining <= 0:
                 return None
-            await asyncio.sleep(pause)
-            left -= pause
-            pause *= 2
+            await asyncio.sleep(backoff)
+            remaining -= backoff
+            backoff *= 2
 
     async def _attempt(
         self, call: OutgoingCall, candidate: Candidate, attempts: "Attempts"
     ) -> Outcome | None:
-        """Send the call once and return its answer, None if another may be better."""
+        """Send the call once; return its outcome, or None if a retry may succeed."""
         attempts.tried.add(candidate.name)
         try:
             outcome = await self._send(call, candidate)
@@ -246,14 +265,14 @@
         attempts.record_failure(outcome)
         return None
 
-    def _may_go_on(self, call: OutgoingCall, attempts: "Attempts") -> bool:
-        if not attempts.last_arrived:
-            return len(attempts.tried) < NODES_ASKED
+    def _may_attempt_again(self, call: OutgoingCall, attempts: "Attempts") -> bool:
+        if not attempts.last_reached_backend:
+            return len(attempts.tried) < MAX_NODES_TRIED
         if attempts.verdict is not Verdict.NOT_RUN and not call.route.idempotent:
             return False
-        return self._may_repeat(call, attempts.arrivals)
+        return self._may_retry(call, attempts.backends_reached)
 
-    def _tell_repeat(
+    def _log_retry(
         self, call: OutgoingCall, candidate: Candidate, attempts: "Attempts"
     ) -> None:
         self._node_metrics.record_retry(attempts.reason)
@@ -263,15 +282,19 @@
             service=call.service,
             node=candidate.name,
             reason=attempts.reason,
-            arrivals=attempts.arrivals,
+            arrivals=attempts.backends_reached,
         )
 
-    def _may_repeat(self, call: OutgoingCall, arrivals: int) -> bool:
-        if arrivals >= call.route.max_attempts:
+    def _may_retry(self, call: OutgoingCall, backends_reached: int) -> bool:
+        if backends_reached >= call.route.max_attempts:
             return False
         if call.deadline - time.monotonic() < self._backend.queue.service_seconds / 4:
             return False
-        if call.nested and self._fleet.get_failure_ratio(call.service) > MOST_FAILING:
+        if (
+            call.nested
+            and self._fleet.get_failure_ratio(call.service)
+            > NESTED_RETRY_MAX_FAILURE_RATIO
+        ):
             return False
         visits = self._graph.get_visits(call.route.name, call.service)
         return self._retry_budget.try_spend(visits, len(self._fleet), time.monotonic())
@@ -280,21 +303,23 @@
         downstream_costs = self._zone_costs.get_downstream_costs(
             call.route.name, call.service
         )
-        own: Candidate | None = None
+        local_candidate: Candidate | None = None
         if self._backend.service == call.service:
-            own = self._backend.build_candidate(self._node)
-            if own is not None:
-                own.downstream_ms = downstream_costs.get(self._fleet.zone, 0.0)
+            local_candidate = self._backend.build_candidate(self._node)
+            if local_candidate is not None:
+                local_candidate.downstream_ms = downstream_costs.get(
+                    self._fleet.zone, 0.0
+                )
         size = len(call.head) + len(call.body)
         size += self._answer_sizes.estimate(call.route.name)
-        target = call.route.target_latency
+        latency_target = call.route.target_latency
         latency_tolerance = call.route.latency_tolerance
         return self._fleet.choose(
             call.service,
-            own,
+            local_candidate,
             tried,
             compute_cross_zone_cost_ms(latency_tolerance, size),
-            compute_failure_cost_ms(target),
+            compute_failure_cost_ms(latency_target),
             downstream_costs,
         )
 
@@ -302,22 +327,22 @@
         now = time.monotonic()
         remaining = call.deadline - now
         if remaining <= 0:
-            raise not_run(Reason.DEADLINE_EXCEEDED, "no time is left to send it")
+            raise not_run(Reason.DEADLINE_EXCEEDED, "deadline exceeded before sending")
         peer = None
         instance = self._backend.instance
         if candidate.name != self._node:
             peer = self._fleet.get(candidate.name)
             if peer is None:
-                raise not_run(Reason.CONNECTION_LOST, "the node is gone")
+                raise not_run(Reason.CONNECTION_LOST, "the node has left the fleet")
             instance = peer.state.instance
         message = Call(
             0,
             instance,
             call.route.name,
             call.request_id,
-            # Whole milliseconds, which take three bytes and not nine.
+            # Whole milliseconds are encoded in three bytes, fractions in nine.
             int(remaining * 1000),
-            int((call.target - now) * 1000),
+            int((call.latency_target_at - now) * 1000),
             call.route.idempotent,
             call.nested,
             call.head,
@@ -340,27 +365,27 @@
         )
 
     async def serve(self, message: Call) -> ServedAnswer:
-        """Run a call on the own backend server, for this node or another.
+        """Run a call on the local backend server, for this node or another.
 
         Raises:
-            Refusal: With the verdict that holds for it.
+            Refusal: There is no answer; the verdict says whether the call may have run.
         """
         remaining = message.remaining_ms / 1000
-        # Whoever sent it cancels it when its time is up; a timer of its own for each
-        # call would cost as much as half of the work on it.
+        # No timer here: the sender cancels the call at its deadline, and a timer for
+        # each call would cost half as much as the work on it.
         return await self._backend.serve(message, remaining)
 
 
 def draw_retry_after(remaining: float, rng: random.Random) -> float:
-    """Return seconds after which a refused caller should come back.
+    """Return the seconds after which a refused caller should retry.
 
-    Callers wait as told for up to a third of what they have left, and are served in
-    time if they come back in the first part of it. Spread, so that those refused
-    together do not come back together.
+    Callers follow a Retry-After of up to a third of their remaining time, and are
+    served in time if they retry early in it. The time is random, so that callers
+    refused together do not retry together.
 
     Args:
-        remaining: Seconds that the caller has left.
-        rng: Draws.
+        remaining: Seconds left until the caller's deadline.
+        rng: Draws the time.
     """
-    longest = remaining / 3
-    return rng.uniform(0.25, 0.9) * longest
+    max_retry_after = remaining / 3
+    return rng.uniform(0.25, 0.9) * max_retry_after
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -1,4 +1,4 @@
-"""What becomes of a request that a caller or the own backend server sends here."""
+"""Checks and forwards requests from callers and from the local backend server."""
 
 import asyncio
 import math
@@ -20,70 +20,70 @@
 from .quota import Quotas, TokenDecision
 from .retry_budget import RetryBudget
 
-# What refusals say at the least, in seconds.
-LEAST_RETRY_SECONDS = 0.05
-# A configuration reaches all nodes within this time, but for those that are cut off;
-# users allow two seconds.
-SETTLED_SECONDS = 1.5
-# When to come back to a node that stops: its process is started again after a second.
-RETRY_STOPPED_SECONDS = 1.0
-# A request with this little time left cannot be answered any more.
-LEAST_REMAINING_SECONDS = 0.002
-# Seconds that a request may take where its caller does not say.
-DEFAULT_SECONDS = 10.0
+# Shortest Retry-After of a refusal.
+MIN_RETRY_AFTER_SECONDS = 0.05
+# A new configuration reaches every connected node within this time; users allow two
+# seconds.
+CONFIGURATION_PROPAGATION_SECONDS = 1.5
+# Retry-After of a node that is stopping: its process is restarted after a second.
+DRAINING_RETRY_AFTER_SECONDS = 1.0
+# A request with less time left cannot be answered before its deadline.
+MIN_REMAINING_SECONDS = 0.002
+# Timeout of a request whose caller sets none.
+DEFAULT_TIMEOUT_SECONDS = 10.0
 
 
 class CallerFields:
-    """What the adapter reads in a caller's request.
+    """The fields that the platform's adapter reads from a caller's request.
 
     Args:
-        request_id: Names this request.
-        host: Host that it is for.
-        key: What the caller shows; empty if nothing.
-        seconds: How long it will wait; None if it does not say.
+        request_id: Identifies this request.
+        host: Host that the request is for.
+        key: API key of the caller; empty if it sent none.
+        timeout: Seconds that the caller waits for an answer; None if not given.
     """
 
-    __slots__ = ("host", "key", "request_id", "seconds")
+    __slots__ = ("host", "key", "request_id", "timeout")
 
     def __init__(
-        self, request_id: bytes, host: bytes, key: bytes, seconds: float | None
+        self, request_id: bytes, host: bytes, key: bytes, timeout: float | None
     ):
         self.request_id = request_id
         self.host = host
         self.key = key
-        self.seconds = seconds
+        self.timeout = timeout
 
 
 class CallerDialect(Protocol):
-    """How to speak to callers; the platform's adapter knows."""
+    """Reads requests and renders answers; implemented by the platform's adapter."""
 
     def read_request(self, request: Request) -> CallerFields:
-        """Return what a request says."""
+        """Return the fields of a request."""
 
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
-        """Return the head to hand on, but for what the last node sets."""
+        """Return the head to forward, without the headers that the last node sets."""
 
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
-        """Return the answer that tells a refusal."""
+        """Return the answer that reports a refusal to the caller."""
 
 
 class RequestHandler:
-    """Takes requests at the address that callers and the backend server use.
+    """Handles requests at the address that callers and the backend server share.
 
     Args:
-        service: What the backend server beside this node serves.
-        dialect: How to speak to callers.
+        service: Service of the backend server beside this node.
+        dialect: Reads requests of callers and renders answers to them.
         policies: The configuration in force.
-        quotas: Of workspaces.
-        admission: Refuses what overloaded services below cannot serve.
+        quotas: Rate limits of workspaces.
+        admission: Refuses requests that depend on overloaded services.
         graph: Which services a request leads to.
-        call_ratios: Counts the backend server's calls.
+        call_ratios: Counts the calls that the backend server makes.
         retry_budget: Counts first attempts.
-        dispatcher: Gets calls answered.
-        deadlines: Ends calls whose time is up.
-        journal: Where decisions are told.
+        dispatcher: Sends calls to backend servers.
+        deadlines: Cancels calls at their deadline.
+        journal: Logs refusals and failures.
         node_metrics: Counts outcomes.
-        rng: Spreads times to come back.
+        rng: Draws Retry-After times.
     """
 
     def __init__(
@@ -117,7 +117,7 @@
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._deadline_check_after = math.inf
-        self._end = math.inf
+        self._stops_at = math.inf
 
     async def handle(self, request: Request) -> Reply:
         """Answer one request."""
@@ -138,12 +138,12 @@
                 request=fields.request_id.decode("latin-1"),
                 error=f"{type(error).__name__}: {error}",
             )
-            refusal = may_have_run(Reason.ANSWER_BROKEN, "the node failed")
+            refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error in the node")
             return self._refuse(request, fields, route.name, refusal)
         seconds = time.monotonic() - request.arrived_at
         failed = outcome.status >= 500
-        text = f"status-{outcome.status}" if failed else "served"
-        self._node_metrics.record_request(route.name, text, seconds)
+        outcome_label = f"status-{outcome.status}" if failed else "served"
+        self._node_metrics.record_request(route.name, outcome_label, seconds)
         if failed:
             self._journal.emit(
                 CALL_ANSWERED,
@@ -158,23 +158,25 @@
         self, request: Request, fields: CallerFields, route: Route
     ) -> Outcome:
         tenant = self._find_tenant(route, fields)
-        seconds = fields.seconds if fields.seconds is not None else DEFAULT_SECONDS
-        deadline = request.arrived_at + min(seconds, route.timeout)
-        self._check_stop(request.arrived_at, deadline)
-        if deadline - time.monotonic() < LEAST_REMAINING_SECONDS:
-            raise not_run(Reason.OVERLOADED, "no time is left")
+        timeout = (
+            fields.timeout if fields.timeout is not None else DEFAULT_TIMEOUT_SECONDS
+        )
+        deadline = request.arrived_at + min(timeout, route.timeout)
+        self._check_draining(request.arrived_at, deadline)
+        if deadline - time.monotonic() < MIN_REMAINING_SECONDS:
+            raise not_run(Reason.OVERLOADED, "too little time before the deadline")
         if tenant is not None:
-            # Before admission: calls beyond the rate must not count as demand.
+            # Before admission, so that requests over the rate do not count as demand.
             await self._take_token(tenant, deadline)
         try:
-            call = self._let_in(request, fields, route, tenant, deadline)
+            call = self._admit_call(request, fields, route, tenant, deadline)
         except Refusal:
             if tenant is not None:
                 self._quotas.refund_refused(tenant)
             raise
-        return await self._get_answered(call, tenant)
+        return await self._dispatch_call(call, tenant)
 
-    def _let_in(
+    def _admit_call(
         self,
         request: Request,
         fields: CallerFields,
@@ -182,13 +184,13 @@
         tenant: Tenant | None,
         deadline: float,
     ) -> OutgoingCall:
-        """Return the call to send.
+        """Return the call to send, if admission lets it pass.
 
         Raises:
-            Refusal: What it leads to is overloaded; not run.
+            Refusal: A service that the request depends on is overloaded; not run.
         """
-        # Callers and the backend server use the same address of this machine; but
-        # only what the backend server calls is open to those without a key.
+        # Callers and the backend server use the same address, but only the routes
+        # that backend servers call are open to requests without a key.
         nested = tenant is None and route.public
         now = time.monotonic()
         service = self._policies.routes.choose_service(route)
@@ -196,7 +198,7 @@
             self._call_ratios.record_call(route.name, now)
         else:
             rank = rank_request(route, tenant)
-            self._admit(route, service, rank, deadline - now, now)
+            self._check_admission(route, service, rank, deadline - now, now)
             self._retry_budget.record_first_attempt(service, now)
         head = self._dialect.render_request(
             request, self._service, tenant.name if tenant is not None else ""
@@ -212,15 +214,17 @@
             request.arrived_at + route.target_latency,
         )
 
-    async def _get_answered(self, call: OutgoingCall, tenant: Tenant | None) -> Outcome:
-        """Send a call, and end it when its time is up."""
+    async def _dispatch_call(
+        self, call: OutgoingCall, tenant: Tenant | None
+    ) -> Outcome:
+        """Send a call and return its outcome; cancel it at its deadline."""
         timer = self._deadlines.start(call.deadline)
         try:
             return await self._dispatcher.dispatch(call)
         except asyncio.CancelledError as error:
             if not timer.caused_cancellation():
                 raise
-            detail = f"its time was up before {call.node or 'anybody'} answered"
+            detail = f"deadline exceeded before {call.node or 'any node'} answered"
             if not call.sent:
                 raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
@@ -228,29 +232,29 @@
             if refusal.verdict is Verdict.NOT_RUN and tenant is not None:
                 self._quotas.refund(tenant)
             if refusal.verdict is Verdict.NOT_RUN and refusal.retry_after is None:
-                left = call.deadline - time.monotonic()
-                refusal.retry_after = draw_retry_after(left, self._rng)
+                remaining = call.deadline - time.monotonic()
+                refusal.retry_after = draw_retry_after(remaining, self._rng)
             raise
         finally:
             self._deadlines.end(timer)
 
-    def stop(self, deadline_check_after: float, end: float) -> None:
-        """Get ready for this node's end.
+    def stop(self, deadline_check_after: float, stops_at: float) -> None:
+        """Schedule the refusal of requests that might outlast this node.
 
         Args:
-            deadline_check_after: From then on, on the loop's clock, only requests are
-                taken whose time is up before the end. Callers are gone by then, unless
-                too few other nodes are ready; what would be cut they had better ask
-                again.
-            end: When this node ends.
+            deadline_check_after: Time on the loop's clock. Requests that arrive later
+                are refused if their deadline is after `stops_at`: it is better for a
+                caller to retry than to be cut off. By then callers use other nodes,
+                unless too few of those are ready.
+            stops_at: Time on the loop's clock at which this node stops.
         """
         self._deadline_check_after = deadline_check_after
-        self._end = end
+        self._stops_at = stops_at
 
-    def _check_stop(self, arrived_at: float, deadline: float) -> None:
-        if arrived_at > self._deadline_check_after and deadline > self._end:
-            detail = "this node stops before the request must have ended"
-            raise not_run(Reason.DRAINING, detail, RETRY_STOPPED_SECONDS)
+    def _check_draining(self, arrived_at: float, deadline: float) -> None:
+        if arrived_at > self._deadline_check_after and deadline > self._stops_at:
+            detail = "this node stops before the request's deadline"
+            raise not_run(Reason.DRAINING, detail, DRAINING_RETRY_AFTER_SECONDS)
 
     def _find_route(self, request: Request, fields: CallerFields) -> Route:
         policies = self._policies
@@ -259,7 +263,7 @@
             raise not_run(Reason.CONFIGURATION_MISSING, detail, 0.5)
         route = policies.routes.find(fields.host, request.target)
         if route is None:
-            self._check_fresh()
+            self._check_configuration_fresh()
             raise not_run(Reason.SERVICE_UNKNOWN, "no route for this host and path")
         return route
 
@@ -268,28 +272,28 @@
         assert policy is not None
         if policy.tenants is None or route.public:
             return None
-        # A key that was withdrawn must not be used some seconds later, wherever.
-        self._check_fresh()
+        # With a stale configuration, a key that was withdrawn would still be accepted.
+        self._check_configuration_fresh()
         if not fields.key:
-            raise not_run(Reason.KEY_MISSING, "no key")
+            raise not_run(Reason.KEY_MISSING, "the request has no key")
         tenant = policy.tenants.get(fields.key)
         if tenant is None:
             raise not_run(Reason.KEY_UNKNOWN, "no workspace has this key")
         return tenant
 
-    def _check_fresh(self) -> None:
+    def _check_configuration_fresh(self) -> None:
         if not self._policies.fresh:
             age = self._policies.age
             detail = f"the configuration may be out of date by {age:.1f} s"
             raise not_run(Reason.CONFIGURATION_STALE, detail, 0.5)
 
     async def _take_token(self, tenant: Tenant, deadline: float) -> None:
-        """Get a token of a workspace.
+        """Take a rate-limit token of a workspace.
 
         Raises:
-            Refusal: It is over its rate; not run.
+            Refusal: The workspace is over its rate; not run.
         """
-        decision = await self._acquire(tenant)
+        decision = await self._request_token(tenant)
         if decision.granted:
             return
         detail = f"{tenant.name} is over its rate"
@@ -297,32 +301,34 @@
             detail += (
                 f": {decision.holder} had {decision.remaining_tokens:g} tokens left"
             )
-        retry = draw_retry_after(deadline - time.monotonic(), self._rng)
-        raise not_run(Reason.RATE_EXCEEDED, detail, retry)
+        retry_after = draw_retry_after(deadline - time.monotonic(), self._rng)
+        raise not_run(Reason.RATE_EXCEEDED, detail, retry_after)
 
-    async def _acquire(self, tenant: Tenant) -> TokenDecision:
+    async def _request_token(self, tenant: Tenant) -> TokenDecision:
         now = time.monotonic()
-        settled = now - self._policies.in_force_since > SETTLED_SECONDS
-        decided: asyncio.Future[TokenDecision] = self._loop.create_future()
+        propagated = (
+            now - self._policies.in_force_since > CONFIGURATION_PROPAGATION_SECONDS
+        )
+        future: asyncio.Future[TokenDecision] = self._loop.create_future()
 
         def decide(decision: TokenDecision) -> bool:
-            if decided.done():
+            if future.done():
                 return False
-            decided.set_result(decision)
+            future.set_result(decision)
             return True
 
-        self._quotas.acquire(tenant, self._policies.version, settled, decide)
-        return decided.result() if decided.done() else await decided
+        self._quotas.acquire(tenant, self._policies.version, propagated, decide)
+        return future.result() if future.done() else await future
 
-    def _admit(
+    def _check_admission(
         self, route: Route, service: str, rank: int, remaining: float, now: float
     ) -> None:
         visits = self._graph.get_visits(route.name, service)
         self._admission.record_demand(visits, rank, now)
         if not self._admission.admits(visits, rank):
-            retry = draw_retry_after(remaining, self._rng)
-            detail = "a service that it leads to is overloaded"
-            raise not_run(Reason.OVERLOADED, detail, retry)
+            retry_after = draw_retry_after(remaining, self._rng)
+            detail = "a service that the request depends on is overloaded"
+            raise not_run(Reason.OVERLOADED, detail, retry_after)
 
     def _refuse(
         self, request: Request, fields: CallerFields, route: str, refusal: Refusal
--- a/primroseglade/sidecar/route_table.py
+++ b/primroseglade/sidecar/route_table.py
@@ -1,18 +1,18 @@
-"""Which route a request takes, and which service serves it."""
+"""Finds the route of a request and chooses the service that serves it."""
 
 from .model import Route, WeightedService
 
 
 class RouteTable:
-    """Routes by host, the longest prefix first.
+    """Routes by host, with the longest prefix first.
 
     Args:
-        routes: Of one version of the configuration.
+        routes: All routes of one version of the configuration.
     """
 
     def __init__(self, routes: list[Route]):
         self._hosts: dict[bytes, list[tuple[bytes, Route]]] = {}
-        self._credits: dict[str, dict[str, float]] = {}
+        self._current_weights: dict[str, dict[str, float]] = {}
         self.by_name = {route.name: route for route in routes}
         for route in routes:
             entries = self._hosts.setdefault(route.host.lower().encode(), [])
@@ -21,7 +21,7 @@
             entries.sort(key=lambda entry: len(entry[0]), reverse=True)
 
     def find(self, host: bytes, target: bytes) -> Route | None:
-        """Return the route with the longest prefix of the path, if there is one.
+        """Return the route with the longest matching path prefix, or None.
 
         >>> from .model import RouteKind
         >>> def build(prefix):
@@ -45,21 +45,21 @@
         return None
 
     def choose_service(self, route: Route) -> str:
-        """Return who serves the next call of a route, in proportion to the weights.
+        """Return the service for a route's next call, in proportion to the weights.
 
-        Smooth weighted round-robin: over any few hundred calls each service has its
-        share to within a call, where drawing at random would stray by 3 in 100.
+        With smooth weighted round-robin, each service gets its share of any few hundred
+        calls to within one call. A random choice would be off by 3 in 100.
         """
         if len(route.services) == 1:
             return route.services[0].name
-        credits = self._credits.setdefault(route.name, {})
+        weights = self._current_weights.setdefault(route.name, {})
         total = 0.0
         best: WeightedService | None = None
         for service in route.services:
             total += service.weight
-            credits[service.name] = credits.get(service.name, 0.0) + service.weight
-            if best is None or credits[service.name] > credits[best.name]:
+            weights[service.name] = weights.get(service.name, 0.0) + service.weight
+            if best is None or weights[service.name] > weights[best.name]:
                 best = service
         assert best is not None
-        credits[best.name] -= total
+        weights[best.name] -= total
         return best.name
