--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -13,12 +13,12 @@
 # What went before is remembered for some heads, as raw deflate; each end of a stream
 # keeps memory for it.
 WINDOW_BITS = -11
-MEMORY_LEVEL = 4
-LEVEL = 3
+ZLIB_MEMORY_LEVEL = 4
+COMPRESSION_LEVEL = 3
 # Ends each piece in the same way, and is not sent (RFC 7692, section 7.2.1).
-SYNC_MARK = b"\x00\x00\xff\xff"
+SYNC_FLUSH_MARKER = b"\x00\x00\xff\xff"
 # The largest head of a frame that is unpacked: a configuration's, many times over.
-HEAD_BYTES = 16 * 1024 * 1024
+MAX_HEAD_BYTES = 16 * 1024 * 1024
 
 
 class DecompressionError(Exception):
@@ -28,18 +28,20 @@
 class FrameCompressor:
     """The sending end of a stream."""
 
-    __slots__ = ("_deflate",)
+    __slots__ = ("_compressor",)
 
     def __init__(self) -> None:
-        self._deflate = zlib.compressobj(
-            LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL
+        self._compressor = zlib.compressobj(
+            COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS, ZLIB_MEMORY_LEVEL
         )
 
     def compress_frame(self, head: bytes, body: bytes = b"") -> bytes:
         """Return a frame's bytes, but for its length."""
-        packed = self._deflate.compress(head) + self._deflate.flush(zlib.Z_SYNC_FLUSH)
-        packed = packed[: -len(SYNC_MARK)]
-        return LENGTH_PREFIX.pack(len(packed)) + packed + body
+        compressed = self._compressor.compress(head) + self._compressor.flush(
+            zlib.Z_SYNC_FLUSH
+        )
+        compressed = compressed[: -len(SYNC_FLUSH_MARKER)]
+        return LENGTH_PREFIX.pack(len(compressed)) + compressed + body
 
 
 class FrameDecompressor:
@@ -51,10 +53,10 @@
     (b'head', b'body')
     """
 
-    __slots__ = ("_inflate",)
+    __slots__ = ("_decompressor",)
 
     def __init__(self) -> None:
-        self._inflate = zlib.decompressobj(WINDOW_BITS)
+        self._decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def decompress_frame(self, payload: bytes) -> tuple[bytes, bytes]:
         """Return a frame's head and body.
@@ -69,11 +71,11 @@
         if end > len(payload):
             raise DecompressionError("a packed frame that is cut short")
         try:
-            packed = payload[LENGTH_PREFIX.size : end] + SYNC_MARK
-            head = self._inflate.decompress(packed, HEAD_BYTES)
+            compressed = payload[LENGTH_PREFIX.size : end] + SYNC_FLUSH_MARKER
+            head = self._decompressor.decompress(compressed, MAX_HEAD_BYTES)
         except zlib.error as error:
             raise DecompressionError(str(error)) from error
-        if self._inflate.unconsumed_tail or self._inflate.eof:
+        if self._decompressor.unconsumed_tail or self._decompressor.eof:
             raise DecompressionError(
                 "a packed frame that is too large, or ends the stream"
             )
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -53,11 +53,11 @@
 STORE_TIMEOUT_SECONDS = 1.5
 # Callers are told of a stop by two readiness checks, a second apart; some more come on
 # connections that they are opening.
-LAME_DUCK_SECONDS = 3.2
+MIN_LAME_DUCK_SECONDS = 3.2
 # Part of the grace after which callers that still come are served only if they must be
 # answered before the end. Users excuse what is cut off only of those that came early.
-CHOOSY_PART = 0.45
-IDLE_POLL_SECONDS = 0.05
+DEADLINE_CHECK_GRACE_RATIO = 0.45
+DRAIN_POLL_SECONDS = 0.05
 # Kept of the time that the platform gives, for the end of the process itself on a
 # starved machine; more would cut calls that are about to be answered.
 STOP_MARGIN_SECONDS = 0.85
@@ -96,7 +96,7 @@
         self._journal = journal
         self._rng = random.Random()
         self._stopping = False
-        self._introduced = False
+        self._nodes_listed = False
         self._entry = NodeEntry(
             settings.name,
             settings.peers,
@@ -198,18 +198,18 @@
             self._entry,
             self.fleet,
             self._peer_server,
-            self._build_load,
+            self._build_load_state,
             self.call_ratios,
         )
         self._scheduler = self._build_scheduler()
-        self._outbound = HttpServer(
+        self._outbound_server = HttpServer(
             settings.outbound,
             self.request_handler.handle,
             lambda: self.policies.limits,
         )
-        self._ready = build_local_server(settings.ready, build_ready(self))
-        self._control = build_local_server(settings.control, build_control(self))
-        self._metrics = build_local_server(settings.metrics, build_metrics(self))
+        self._readiness_server = build_local_server(settings.ready, build_ready(self))
+        self._control_server = build_local_server(settings.control, build_control(self))
+        self._metrics_server = build_local_server(settings.metrics, build_metrics(self))
 
     @property
     def entry(self) -> NodeEntry:
@@ -238,11 +238,11 @@
             ExceptionGroup: A part failed too often.
         """
         self._start()
-        waits = [
+        waiters = [
             asyncio.create_task(stopping.wait()),
             asyncio.create_task(self._supervisor.wait_failed()),
         ]
-        done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+        done, pending = await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         await self._stop()
@@ -252,7 +252,12 @@
     async def abort(self) -> None:
         """End without notice, as a killed process does; for tests."""
         self._peer_server.abort()
-        servers = (self._outbound, self._ready, self._control, self._metrics)
+        servers = (
+            self._outbound_server,
+            self._readiness_server,
+            self._control_server,
+            self._metrics_server,
+        )
         for server in servers:
             server.abort()
         await self._supervisor.close()
@@ -297,7 +302,7 @@
 
     def count_in_flight(self) -> int:
         """Return the requests under way here, of callers and of other nodes."""
-        return self._outbound.busy + self._peer_server.busy
+        return self._outbound_server.busy + self._peer_server.busy
 
     def apply_drains(self, drains: dict[str, int]) -> None:
         """Take in which backend servers leave, as a peer remembers."""
@@ -323,20 +328,20 @@
         self.fleet.update_node(entry)
 
     def _start(self) -> None:
-        parts: tuple[tuple[str, Callable[[], Awaitable[None]]], ...] = (
+        tasks: tuple[tuple[str, Callable[[], Awaitable[None]]], ...] = (
             ("peer server", self._peer_server.run),
-            ("outbound", self._outbound.run),
-            ("ready", self._ready.run),
-            ("control", self._control.run),
-            ("metrics", self._metrics.run),
-            ("policy", self.policies.follow),
-            ("policy age", self.policies.confirm),
-            ("introduction", self._introduce),
+            ("outbound", self._outbound_server.run),
+            ("ready", self._readiness_server.run),
+            ("control", self._control_server.run),
+            ("metrics", self._metrics_server.run),
+            ("policy", self.policies.run_long_polls),
+            ("policy age", self.policies.run_periodic_reads),
+            ("introduction", self._register_and_discover),
             ("ticker", self._scheduler.run),
             ("silence", self._peer_monitor.run_silence_checks),
         )
-        for name, work in parts:
-            self._supervisor.start(name, work)
+        for name, run_task in tasks:
+            self._supervisor.start(name, run_task)
         self._journal.emit(
             NODE_STARTED,
             zone=self._settings.zone,
@@ -370,17 +375,19 @@
         self._journal.emit(NODE_STOPPING, in_flight=self.count_in_flight())
         self.backend.stop()
         self._broadcast_state()
-        self._outbound.request_connection_close()
-        latest = started + self._settings.grace - STOP_MARGIN_SECONDS
-        earliest = min(started + LAME_DUCK_SECONDS, latest)
-        deadline_check_after = started + CHOOSY_PART * self._settings.grace
-        self.request_handler.stop(deadline_check_after, latest)
-        while time.monotonic() < latest:
-            if time.monotonic() >= earliest and not self.count_in_flight():
+        self._outbound_server.request_connection_close()
+        stop_deadline = started + self._settings.grace - STOP_MARGIN_SECONDS
+        earliest_stop = min(started + MIN_LAME_DUCK_SECONDS, stop_deadline)
+        deadline_check_after = (
+            started + DEADLINE_CHECK_GRACE_RATIO * self._settings.grace
+        )
+        self.request_handler.stop(deadline_check_after, stop_deadline)
+        while time.monotonic() < stop_deadline:
+            if time.monotonic() >= earliest_stop and not self.count_in_flight():
                 break
-            await asyncio.sleep(IDLE_POLL_SECONDS)
-        self._outbound.close_idle()
-        await asyncio.sleep(IDLE_POLL_SECONDS)
+            await asyncio.sleep(DRAIN_POLL_SECONDS)
+        self._outbound_server.close_idle()
+        await asyncio.sleep(DRAIN_POLL_SECONDS)
         self._peer_server.finish()
         self._journal.emit(
             NODE_STOPPED,
@@ -391,27 +398,29 @@
         self._deadlines.close()
         await self._store.close()
 
-    async def _introduce(self) -> None:
+    async def _register_and_discover(self) -> None:
         """Make this node known in the store, then find the others there.
 
         In this order: of two nodes that start at once, at least one finds the other,
         and introduces itself on the stream that it opens. A restarted node is known:
         the others learn from its stream that its process is a new one.
         """
-        written = False
+        registered = False
         while True:
             try:
-                if self._settings.first_start and not written:
+                if self._settings.first_start and not registered:
                     await self._store.write_node(self._entry, STORE_TIMEOUT_SECONDS)
-                    written = True
+                    registered = True
                 entries = await self._store.list_nodes(STORE_TIMEOUT_SECONDS)
-                if not written and not any(map(self._entry.has_same_location, entries)):
+                if not registered and not any(
+                    map(self._entry.has_same_location, entries)
+                ):
                     await self._store.write_node(self._entry, STORE_TIMEOUT_SECONDS)
-                    written = True
+                    registered = True
                     continue
                 for entry in entries:
                     self.fleet.update_node(entry)
-                self._introduced = True
+                self._nodes_listed = True
                 self.rates.renew_lease(time.monotonic())
                 return
             except StoreError as error:
@@ -420,9 +429,9 @@
 
     def _count_nodes(self) -> int:
         """Return the number of nodes; 0 before the list of nodes was read."""
-        return len(self.fleet) if self._introduced else 0
+        return len(self.fleet) if self._nodes_listed else 0
 
-    def _build_load(self) -> NodeState:
+    def _build_load_state(self) -> NodeState:
         backend = self.backend
         return NodeState(
             backend.instance,
@@ -443,7 +452,7 @@
         )
 
     def _report_stall(self, stalled: bool) -> None:
-        self._outbound.stalled = stalled
+        self._outbound_server.stalled = stalled
 
     def _broadcast_state(self) -> None:
         self._state_broadcaster.broadcast_now()
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -17,7 +17,7 @@
     from .node import SidecarNode
 
 # Upper bounds in seconds: targets of usual routes lie between 0.1 and 1.5 s.
-BUCKETS = (
+LATENCY_BUCKETS_SECONDS = (
     0.005,
     0.01,
     0.025,
@@ -34,29 +34,29 @@
 )
 # Routes that are counted by name; the rest is counted together, so that a
 # configuration of thousands of routes does not fill the memory.
-ROUTES_NAMED = 200
-OTHER_ROUTES = "other"
+MAX_ROUTE_LABELS = 200
+OTHER_ROUTES_LABEL = "other"
 # Limits the number of time series that workspaces add to the metrics.
-WORKSPACES_NAMED = 200
+MAX_WORKSPACE_LABELS = 200
 # An age that is not known is told as this one, some days: neither a metric nor a
 # message holds an infinity.
 MAX_REPORTED_AGE_SECONDS = 1e6
-PREFIX = "primroseglade_"
+METRIC_PREFIX = "primroseglade_"
 
 
-class Latencies:
+class LatencyHistogram:
     """A histogram of one route."""
 
-    __slots__ = ("counts", "total")
+    __slots__ = ("counts", "total_seconds")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BUCKETS) + 1)
-        self.total = 0.0
+        self.counts = [0] * (len(LATENCY_BUCKETS_SECONDS) + 1)
+        self.total_seconds = 0.0
 
     def observe(self, seconds: float) -> None:
         """Count one request."""
-        self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
-        self.total += seconds
+        self.counts[bisect.bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
+        self.total_seconds += seconds
 
 
 class NodeMetrics:
@@ -64,8 +64,8 @@
 
     def __init__(self) -> None:
         self._outcomes: collections.Counter[tuple[str, str]] = collections.Counter()
-        self._repeats: collections.Counter[str] = collections.Counter()
-        self._latencies: dict[str, Latencies] = {}
+        self._retries: collections.Counter[str] = collections.Counter()
+        self._histograms: dict[str, LatencyHistogram] = {}
 
     def record_request(self, route: str, outcome: str, seconds: float) -> None:
         """Count a request of a caller or of the own backend server.
@@ -75,17 +75,17 @@
             outcome: ``served``, a status of the backend server, or a refusal's reason.
             seconds: From its arrival to its answer.
         """
-        if route not in self._latencies and len(self._latencies) >= ROUTES_NAMED:
-            route = OTHER_ROUTES
-        latencies = self._latencies.get(route)
-        if latencies is None:
-            latencies = self._latencies[route] = Latencies()
-        latencies.observe(seconds)
+        if route not in self._histograms and len(self._histograms) >= MAX_ROUTE_LABELS:
+            route = OTHER_ROUTES_LABEL
+        histogram = self._histograms.get(route)
+        if histogram is None:
+            histogram = self._histograms[route] = LatencyHistogram()
+        histogram.observe(seconds)
         self._outcomes[route, outcome] += 1
 
     def record_retry(self, reason: str) -> None:
         """Count a further attempt."""
-        self._repeats[reason] += 1
+        self._retries[reason] += 1
 
     def render(self, node: "SidecarNode") -> bytes:
         """Return all metrics as text."""
@@ -100,27 +100,31 @@
         from prometheus_client import core
 
         requests = core.CounterMetricFamily(
-            PREFIX + "requests", "Requests by outcome.", labels=["route", "outcome"]
+            METRIC_PREFIX + "requests",
+            "Requests by outcome.",
+            labels=["route", "outcome"],
         )
         for (route, outcome), count in self._outcomes.items():
             requests.add_metric([route, outcome], count)
         yield requests
-        repeats = core.CounterMetricFamily(
-            PREFIX + "repeats", "Further attempts, by why.", labels=["reason"]
+        retries = core.CounterMetricFamily(
+            METRIC_PREFIX + "repeats", "Further attempts, by why.", labels=["reason"]
         )
-        for reason, count in self._repeats.items():
-            repeats.add_metric([reason], count)
-        yield repeats
-        seconds = core.HistogramMetricFamily(
-            PREFIX + "request_seconds",
+        for reason, count in self._retries.items():
+            retries.add_metric([reason], count)
+        yield retries
+        latency = core.HistogramMetricFamily(
+            METRIC_PREFIX + "request_seconds",
             "Time from arrival to answer.",
             labels=["route"],
         )
-        for route, latencies in self._latencies.items():
-            seconds.add_metric([route], _cumulate(latencies), latencies.total)
-        yield seconds
+        for route, histogram in self._histograms.items():
+            latency.add_metric(
+                [route], _build_cumulative_buckets(histogram), histogram.total_seconds
+            )
+        yield latency
         cross_zone_bytes = core.CounterMetricFamily(
-            PREFIX + "zone_bytes",
+            METRIC_PREFIX + "zone_bytes",
             "Bytes sent to other availability zones.",
             labels=["frame", "route"],
         )
@@ -129,7 +133,7 @@
         yield cross_zone_bytes
         yield from _collect_workspaces(node)
         for name, text, value in _list_gauges(node):
-            yield core.GaugeMetricFamily(PREFIX + name, text, value=value)
+            yield core.GaugeMetricFamily(METRIC_PREFIX + name, text, value=value)
 
 
 class _Collector:
@@ -149,20 +153,20 @@
     from prometheus_client import core
 
     calls = core.CounterMetricFamily(
-        PREFIX + "workspace_calls",
+        METRIC_PREFIX + "workspace_calls",
         "Calls of a workspace let through within its rate.",
         labels=["workspace"],
     )
     tokens = core.GaugeMetricFamily(
-        PREFIX + "workspace_tokens",
+        METRIC_PREFIX + "workspace_tokens",
         "Left in a workspace's bucket at this node, if it holds tokens.",
         labels=["workspace"],
     )
     admitted = sorted(node.rates.quotas.list_admitted(), key=lambda item: -item[1])
-    for name, count in admitted[:WORKSPACES_NAMED]:
+    for name, count in admitted[:MAX_WORKSPACE_LABELS]:
         calls.add_metric([name], count)
     snapshots = build_snapshots(node.rates.pool, time.monotonic())
-    for name, snapshot in list(snapshots.items())[:WORKSPACES_NAMED]:
+    for name, snapshot in list(snapshots.items())[:MAX_WORKSPACE_LABELS]:
         tokens.add_metric([name], snapshot.tokens)
     yield calls
     yield tokens
@@ -173,25 +177,27 @@
     backend = node.backend
     queue = backend.queue
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
-    streams = len(node.fleet.list_connected())
+    connected_peers = len(node.fleet.list_connected())
     return [
         ("occupied", "Calls at work and waiting there.", node.in_flight),
         ("slots", "Calls that it is given at once.", queue.concurrency_limit),
         ("service_seconds", "Usual time of work there.", queue.service_seconds),
         ("failing_ratio", "Share of calls that failed there.", backend.failure_ratio),
-        ("peers", "Nodes to which a stream is open.", streams),
+        ("peers", "Nodes to which a stream is open.", connected_peers),
         ("policy_version", "Configuration in force.", node.policies.version),
         ("policy_age_seconds", "For which a newer one may exist unseen.", age),
         ("in_flight", "Requests under way at this node.", node.count_in_flight()),
     ]
 
 
-def _cumulate(latencies: Latencies) -> list[tuple[str, float]]:
+def _build_cumulative_buckets(histogram: LatencyHistogram) -> list[tuple[str, float]]:
     count = 0
     buckets = []
-    for bound, own in zip((*map(str, BUCKETS), "+Inf"), latencies.counts, strict=True):
-        count += own
-        buckets.append((bound, float(count)))
+    for upper_bound, bucket_count in zip(
+        (*map(str, LATENCY_BUCKETS_SECONDS), "+Inf"), histogram.counts, strict=True
+    ):
+        count += bucket_count
+        buckets.append((upper_bound, float(count)))
     return buckets
 
 
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -13,37 +13,37 @@
 # by less than a millisecond in that time.
 MIN_DELAY_WINDOW_SECONDS = 10.0
 # Waits below this are the usual unevenness of links and loops.
-LEAST_SECONDS = 0.02
+MIN_REPORTED_SECONDS = 0.02
 
 
 class OneWayDelay:
     """The calls that come on one stream.
 
     >>> delay = OneWayDelay()
-    >>> delay.measure_excess(sent=100.0, now=7.0)
+    >>> delay.measure_excess(sent_at=100.0, now=7.0)
     0.0
-    >>> round(delay.measure_excess(sent=101.0, now=9.5), 3)
+    >>> round(delay.measure_excess(sent_at=101.0, now=9.5), 3)
     1.5
     """
 
-    __slots__ = ("_before", "_least", "_since")
+    __slots__ = ("_previous_window_min", "_window_min", "_window_start")
 
     def __init__(self) -> None:
-        self._least = math.inf
-        self._before = math.inf
-        self._since = 0.0
+        self._window_min = math.inf
+        self._previous_window_min = math.inf
+        self._window_start = 0.0
 
-    def measure_excess(self, sent: float, now: float) -> float:
+    def measure_excess(self, sent_at: float, now: float) -> float:
         """Return for how many seconds a call waited on its way.
 
         Args:
             sent: Seconds on the sender's clock.
             now: Seconds on the own one; both count while a machine is suspended.
         """
-        if now - self._since > MIN_DELAY_WINDOW_SECONDS:
-            self._before, self._least = self._least, math.inf
-            self._since = now
-        apart = now - sent
-        self._least = min(self._least, apart)
-        waited = apart - min(self._least, self._before)
-        return waited if waited >= LEAST_SECONDS else 0.0
+        if now - self._window_start > MIN_DELAY_WINDOW_SECONDS:
+            self._previous_window_min, self._window_min = self._window_min, math.inf
+            self._window_start = now
+        apparent_delay = now - sent_at
+        self._window_min = min(self._window_min, apparent_delay)
+        excess = apparent_delay - min(self._window_min, self._previous_window_min)
+        return excess if excess >= MIN_REPORTED_SECONDS else 0.0
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -10,12 +10,12 @@
 from collections.abc import Callable
 
 # Seconds from one step to the next; as often as levels of admission are set.
-STEP_SECONDS = 0.25
+TICK_SECONDS = 0.25
 # So much more or less, so that nodes started together do not wake together.
-STEP_JITTER_RATIO = 0.05
+TICK_JITTER_RATIO = 0.05
 
 # Called with seconds on the loop's clock.
-Duty = Callable[[float], None]
+PeriodicTask = Callable[[float], None]
 
 
 class PeriodicScheduler:
@@ -27,12 +27,12 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
-        self._duties: list[tuple[int, Duty]] = []
-        self._steps = 0
+        self._tasks: list[tuple[int, PeriodicTask]] = []
+        self._ticks = 0
 
-    def add(self, duty: Duty, seconds: float = STEP_SECONDS) -> None:
+    def add(self, task: PeriodicTask, interval_seconds: float = TICK_SECONDS) -> None:
         """Have a duty run every so many seconds, a multiple of the steps."""
-        self._duties.append((max(1, round(seconds / STEP_SECONDS)), duty))
+        self._tasks.append((max(1, round(interval_seconds / TICK_SECONDS)), task))
 
     async def run(self) -> None:
         """Run the duties until cancelled.
@@ -42,21 +42,21 @@
                 others of the step.
         """
         while True:
-            spread = self._rng.uniform(1.0 - STEP_JITTER_RATIO, 1.0 + STEP_JITTER_RATIO)
-            await asyncio.sleep(STEP_SECONDS * spread)
-            self.step(time.monotonic())
+            jitter = self._rng.uniform(1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO)
+            await asyncio.sleep(TICK_SECONDS * jitter)
+            self.tick(time.monotonic())
 
-    def step(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Run what is due."""
-        self._steps += 1
-        failure: Exception | None = None
-        for every, duty in self._duties:
-            if self._steps % every:
+        self._ticks += 1
+        first_error: Exception | None = None
+        for tick_interval, task in self._tasks:
+            if self._ticks % tick_interval:
                 continue
             try:
-                duty(now)
+                task(now)
             except Exception as error:
-                failure = failure or error
-        if failure is not None:
+                first_error = first_error or error
+        if first_error is not None:
             # The supervisor tells it and starts the ticker again.
-            raise failure
+            raise first_error
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -22,21 +22,21 @@
 from .route_table import RouteTable
 
 # A node asks the store no more often than this.
-CHECK_SECONDS = 0.2
+MIN_READ_INTERVAL_SECONDS = 0.2
 # How long a read waits in the store for news. Long waits cost few calls.
-NEWS_WAIT_SECONDS = 20.0
+LONG_POLL_SECONDS = 20.0
 # Past the wait, after which a read is given up: an open connection may be silent.
-NEWS_GRACE_SECONDS = 2.0
+LONG_POLL_TIMEOUT_MARGIN_SECONDS = 2.0
 READ_TIMEOUT_SECONDS = 1.5
-FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 1.0
-FIRST_POLL_SECONDS = 0.02
+INITIAL_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 1.0
+INITIAL_WAIT_POLL_SECONDS = 0.02
 PEER_TIMEOUT_SECONDS = 1.0
 # Where a version came from, if not from another node.
-STORE = "store"
+STORE_SOURCE = "store"
 # Of the time within which a withdrawn key must stop working, what is used. The rest
 # is for a request's way here and for a pause of this process.
-USED_AGE = 0.9
+MAX_AGE_RATIO = 0.9
 
 
 class StoreError(Exception):
@@ -104,20 +104,20 @@
         broadcast_state: Callable[[], None],
     ):
         self._store = store
-        self._oldest = revoke_seconds * USED_AGE
+        self._max_age_seconds = revoke_seconds * MAX_AGE_RATIO
         self._first_start = first_start
         self._journal = journal
         self._broadcast_state = broadcast_state
         self._freshness = Freshness()
         self._policy: Policy | None = None
-        self._in_force_since = 0.0
+        self._active_since = 0.0
         self._record = b""
         self._next_offset: int | None = None
         self._routes = RouteTable([])
         self._fetching = False
-        self._lost = False
+        self._store_unavailable = False
         self._schedule = ReadSchedule(apply_seconds, random.Random())
-        self._long_polls = asyncio.Event()
+        self._long_polling_enabled = asyncio.Event()
 
     @property
     def policy(self) -> Policy | None:
@@ -132,7 +132,7 @@
     @property
     def in_force_since(self) -> float:
         """When it came into force here, on the loop's clock."""
-        return self._in_force_since
+        return self._active_since
 
     @property
     def record(self) -> bytes:
@@ -157,74 +157,80 @@
     @property
     def fresh(self) -> bool:
         """Whether keys may be used, by what is known of withdrawals."""
-        return self._freshness.age < self._oldest
+        return self._freshness.age < self._max_age_seconds
 
     @property
     def is_overdue(self) -> bool:
         """Whether those who are usually asked do not tell often enough."""
         return self._freshness.age > self._schedule.overdue_age
 
-    async def follow(self) -> None:
+    async def run_long_polls(self) -> None:
         """Wait in the store for news, without end.
 
         Only the first readers wait there: if all nodes did, each version would cost the
         store a call for each of them.
         """
-        delay = FIRST_RETRY_SECONDS
+        delay = INITIAL_RETRY_SECONDS
         while True:
-            await self._long_polls.wait()
+            await self._long_polling_enabled.wait()
             try:
-                await self._follow_once()
-                self._note_store(lost=False)
-                delay = FIRST_RETRY_SECONDS
+                await self._long_poll_once()
+                self._record_store_status(unavailable=False)
+                delay = INITIAL_RETRY_SECONDS
             except StoreError as error:
-                self._note_store(lost=True, error=str(error))
+                self._record_store_status(unavailable=True, error=str(error))
                 await asyncio.sleep(random.uniform(delay / 2, delay))
-                delay = min(LONGEST_RETRY_SECONDS, delay * 2)
+                delay = min(MAX_RETRY_SECONDS, delay * 2)
 
-    async def confirm(self) -> None:
+    async def run_periodic_reads(self) -> None:
         """Ask the store whether there is news when nobody else has lately."""
-        await self._wait_for_first()
+        await self._wait_for_peer_policy()
         schedule = self._schedule
         while True:
             if self._policy is not None:
                 # What is known grows old by a second a second at the most.
-                due = min(schedule.age - self.age, schedule.max_sleep)
-                await asyncio.sleep(max(CHECK_SECONDS, due))
-                if self.age < schedule.age:
+                until_due = min(
+                    schedule.read_age - self.age, schedule.max_sleep_seconds
+                )
+                await asyncio.sleep(max(MIN_READ_INTERVAL_SECONDS, until_due))
+                if self.age < schedule.read_age:
                     continue
             try:
-                await self._check()
+                await self._read_store()
             except StoreError as error:
-                self._note_store(lost=True, error=str(error))
+                self._record_store_status(unavailable=True, error=str(error))
                 await asyncio.sleep(schedule.record_failure())
             else:
-                self._note_store(lost=False)
+                self._record_store_status(unavailable=False)
                 schedule.record_success()
                 if self._policy is None:
-                    await asyncio.sleep(CHECK_SECONDS)
+                    await asyncio.sleep(MIN_READ_INTERVAL_SECONDS)
 
-    async def _wait_for_first(self) -> None:
+    async def _wait_for_peer_policy(self) -> None:
         """Give other nodes some time to tell their configuration."""
         wait = self._schedule.draw_initial_wait(self._first_start)
-        while wait > 0 and self._policy is None and not self._long_polls.is_set():
-            step = min(FIRST_POLL_SECONDS, wait)
+        while (
+            wait > 0
+            and self._policy is None
+            and not self._long_polling_enabled.is_set()
+        ):
+            step = min(INITIAL_WAIT_POLL_SECONDS, wait)
             await asyncio.sleep(step)
             wait -= step
 
-    async def _check(self) -> None:
+    async def _read_store(self) -> None:
         """Ask the store whether there is news."""
         asked_at = self._freshness.now
         if self._next_offset is None:
             await self._read_newest(asked_at)
             return
-        news = await self._read_since(0.0, READ_TIMEOUT_SECONDS)
-        self._take(news, asked_at)
+        update = await self._read_since(0.0, READ_TIMEOUT_SECONDS)
+        self._apply_update(update, asked_at)
 
     async def _read_newest(self, asked_at: float) -> None:
         newest = await self._store.read_newest(READ_TIMEOUT_SECONDS)
         self._next_offset = newest.next_offset
-        self._take(newest, asked_at)
+        self._apply_update(newest, asked_at)
 
     async def _read_since(self, wait: float, timeout: float) -> PolicyRecord | None:
         assert self._next_offset is not None
@@ -237,10 +243,10 @@
     def set_reader_rank(self, rank: int | None) -> None:
         """Take in this node's place among those whom others ask; None for none."""
         self._schedule.set_reader_rank(rank)
-        if self._schedule.long_polls:
-            self._long_polls.set()
+        if self._schedule.uses_long_polling:
+            self._long_polling_enabled.set()
         else:
-            self._long_polls.clear()
+            self._long_polling_enabled.clear()
 
     def record_peer_age(self, version: int, age: float, asked_at: float) -> None:
         """Take in how old a peer's knowledge is, in answer to a question sent then."""
@@ -253,11 +259,11 @@
             return
         self._fetching = True
         try:
-            await self._fetch_from(peer)
+            await self._fetch_policy(peer)
         finally:
             self._fetching = False
 
-    async def _fetch_from(self, peer: Peer) -> None:
+    async def _fetch_policy(self, peer: Peer) -> None:
         asked_at = self._freshness.now
         try:
             answer = await peer.fetch_policy(PEER_TIMEOUT_SECONDS)
@@ -271,28 +277,32 @@
             )
             return
         if answer.record and answer.version > self.version:
-            self._apply(answer.record, asked_at, answer.age_ms / 1000, peer.entry.name)
+            self._apply_record(
+                answer.record, asked_at, answer.age_ms / 1000, peer.entry.name
+            )
 
-    async def _follow_once(self) -> None:
+    async def _long_poll_once(self) -> None:
         asked_at = self._freshness.now
         if self._next_offset is None:
             await self._read_newest(asked_at)
             return
-        timeout = NEWS_WAIT_SECONDS + NEWS_GRACE_SECONDS
-        news = await self._read_since(NEWS_WAIT_SECONDS, timeout)
-        if news is not None:
-            self._take(news, asked_at)
-
-    def _take(self, news: PolicyRecord | None, asked_at: float) -> None:
-        if news is not None:
-            self._next_offset = max(self._next_offset or 0, news.next_offset)
-            if news.record is not None:
-                self._apply(news.record, asked_at, 0.0, STORE)
+        timeout = LONG_POLL_SECONDS + LONG_POLL_TIMEOUT_MARGIN_SECONDS
+        update = await self._read_since(LONG_POLL_SECONDS, timeout)
+        if update is not None:
+            self._apply_update(update, asked_at)
+
+    def _apply_update(self, update: PolicyRecord | None, asked_at: float) -> None:
+        if update is not None:
+            self._next_offset = max(self._next_offset or 0, update.next_offset)
+            if update.record is not None:
+                self._apply_record(update.record, asked_at, 0.0, STORE_SOURCE)
                 return
         if self._policy is not None:
             self._freshness.confirm(asked_at)
 
-    def _apply(self, record: bytes, asked_at: float, age: float, source: str) -> None:
+    def _apply_record(
+        self, record: bytes, asked_at: float, age: float, source: str
+    ) -> None:
         try:
             policy = self._store.decode(record)
         except InputError as error:
@@ -303,7 +313,7 @@
                 self._freshness.confirm(asked_at, age)
             return
         self._policy = policy
-        self._in_force_since = time.monotonic()
+        self._active_since = time.monotonic()
         self._record = record
         self._routes = RouteTable(policy.routes)
         self._freshness.confirm(asked_at, age)
@@ -314,13 +324,13 @@
             routes=len(policy.routes),
             keys=len(policy.tenants or ()),
         )
-        if source == STORE:
+        if source == STORE_SOURCE:
             self._broadcast_state()
 
-    def _note_store(self, lost: bool, error: str = "") -> None:
-        if lost != self._lost:
-            self._lost = lost
-            if lost:
+    def _record_store_status(self, unavailable: bool, error: str = "") -> None:
+        if unavailable != self._store_unavailable:
+            self._store_unavailable = unavailable
+            if unavailable:
                 self._journal.emit(LOG_LOST, error=error)
             else:
                 self._journal.emit(LOG_BACK)
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -22,11 +22,11 @@
 
 # Bytes that may wait unsent on a stream; a peer that does not read for as long as
 # they fill is cut off, so that it cannot take this process's memory.
-UNSENT_BYTES = 32 * 1024 * 1024
+MAX_UNSENT_BYTES = 32 * 1024 * 1024
 # Both ends of a packed stream keep memory for it, which is most of what a peer takes.
 # Most streams of a large fleet carry hardly any of the frames that get much smaller.
-MAX_PLAIN_FRAMES = 8
-PACKED_FRAMES = (Call, CallAnswer, State, States)
+MAX_UNCOMPRESSED_FRAMES = 8
+COMPRESSIBLE_FRAMES = (Call, CallAnswer, State, States)
 
 
 class FrameStream(asyncio.Protocol):
@@ -41,29 +41,29 @@
     """
 
     __slots__ = (
-        "_broken",
+        "_compressor",
         "_cross_zone_bytes",
-        "_lost",
-        "_packer",
-        "_plain_frames",
+        "_on_frame",
+        "_on_lost",
+        "_protocol_error",
         "_reader",
-        "_receive",
         "_transport",
+        "_uncompressed_frames",
         "last_received_at",
     )
 
     def __init__(
         self,
-        receive: "Callable[[FrameStream, Frame], None]",
-        lost: "Callable[[FrameStream, str], None]",
+        on_frame: "Callable[[FrameStream, Frame], None]",
+        on_lost: "Callable[[FrameStream, str], None]",
     ):
-        self._receive = receive
-        self._lost = lost
+        self._on_frame = on_frame
+        self._on_lost = on_lost
         self._reader = FrameReader()
         self._transport: asyncio.Transport | None = None
-        self._broken = ""
-        self._packer: FrameCompressor | None = None
-        self._plain_frames = 0
+        self._protocol_error = ""
+        self._compressor: FrameCompressor | None = None
+        self._uncompressed_frames = 0
         self._cross_zone_bytes: CrossZoneBytes | None = None
         self.last_received_at = time.monotonic()
 
@@ -80,8 +80,10 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """Tell that it is gone."""
         self._transport = None
-        reason = self._broken or (str(exc) if exc else "closed by the other end")
-        self._lost(self, reason)
+        reason = self._protocol_error or (
+            str(exc) if exc else "closed by the other end"
+        )
+        self._on_lost(self, reason)
 
     def eof_received(self) -> bool:
         """Close."""
@@ -93,11 +95,11 @@
         try:
             frames = self._reader.feed(data)
         except FrameError as error:
-            self._broken = str(error)
+            self._protocol_error = str(error)
             self.close()
             return
         for frame in frames:
-            self._receive(self, frame)
+            self._on_frame(self, frame)
 
     @property
     def is_cross_zone(self) -> bool:
@@ -118,7 +120,7 @@
         if self._cross_zone_bytes is None:
             self.send_encoded(encode_frame(frame))
             return
-        compressor = self._get_packer(frame)
+        compressor = self._get_compressor(frame)
         data = (
             encode_frame(frame)
             if compressor is None
@@ -127,20 +129,20 @@
         self._cross_zone_bytes.record(type(frame).__name__, route, len(data))
         self.send_encoded(data)
 
-    def _get_packer(self, frame: Frame) -> FrameCompressor | None:
+    def _get_compressor(self, frame: Frame) -> FrameCompressor | None:
         """Return the packer, once there is enough to pack on this stream."""
-        if self._packer is None and isinstance(frame, PACKED_FRAMES):
-            self._plain_frames += 1
-            if self._plain_frames > MAX_PLAIN_FRAMES:
-                self._packer = FrameCompressor()
-        return self._packer
+        if self._compressor is None and isinstance(frame, COMPRESSIBLE_FRAMES):
+            self._uncompressed_frames += 1
+            if self._uncompressed_frames > MAX_UNCOMPRESSED_FRAMES:
+                self._compressor = FrameCompressor()
+        return self._compressor
 
     def send_encoded(self, data: bytes) -> None:
         """Send a frame that is encoded already, as for many streams at once."""
         if self._transport is None:
             return
         self._transport.write(data)
-        if self._transport.get_write_buffer_size() > UNSENT_BYTES:
+        if self._transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             self.close()
 
     def close(self) -> None:
--- a/tests/test_frame_compression.py
+++ b/tests/test_frame_compression.py
@@ -45,25 +45,27 @@
     return State(state, False)
 
 
-def test_small_calls_between_zones_take_a_third_of_their_bytes():
+def test_small_calls_are_compressed_to_a_third():
     """A zone without a backend server of the timetable sent a thousand look-ups a
     second to another. Their heads were most of what crossed: the same words in each.
     """
     compressor = FrameCompressor()
     calls = [build_call(number) for number in range(200)]
-    plain = sum(len(encode_frame(call)) for call in calls)
-    packed = sum(len(encode_compressed_frame(call, compressor)) for call in calls)
-    assert packed < plain / 3
+    uncompressed = sum(len(encode_frame(call)) for call in calls)
+    compressed = sum(len(encode_compressed_frame(call, compressor)) for call in calls)
+    assert compressed < uncompressed / 3
 
 
-def test_states_between_zones_take_half_of_their_bytes():
+def test_states_are_compressed_to_sixty_percent():
     """On a quiet day, what nodes tell each other is a quarter of all that crosses."""
     rng = random.Random(1)
     compressor = FrameCompressor()
     states = [build_full_state(rng) for _ in range(50)]
-    plain = sum(len(encode_frame(state)) for state in states)
-    packed = sum(len(encode_compressed_frame(state, compressor)) for state in states)
-    assert packed < 0.6 * plain
+    uncompressed = sum(len(encode_frame(state)) for state in states)
+    compressed = sum(
+        len(encode_compressed_frame(state, compressor)) for state in states
+    )
+    assert compressed < 0.6 * uncompressed
 
 
 @given(
@@ -85,7 +87,7 @@
     ),
     st.integers(1, 999),
 )
-def test_whatever_is_packed_comes_out_the_same(frames: list, size: int):
+def test_compressed_frames_round_trip(frames: list, size: int):
     """Whole and in order, however the bytes are cut on the way."""
     compressor = FrameCompressor()
     data = b"".join(encode_compressed_frame(frame, compressor) for frame in frames)
@@ -100,13 +102,13 @@
     "payload",
     [b"", b"\x00\x00", b"\x00\x00\xff\x00abc", LENGTH_PREFIX.pack(3) + b"abc"],
 )
-def test_bytes_that_nobody_packed_end_the_stream(payload: bytes):
+def test_invalid_compressed_payload_ends_the_stream(payload: bytes):
     """A broken stream is told from a packed one, and not read any further."""
     with pytest.raises(FrameError):
         FrameReader().feed(LENGTH_PREFIX.pack(len(payload) | COMPRESSED_FLAG) + payload)
 
 
-def test_a_small_packed_frame_cannot_fill_the_memory():
+def test_decompression_bomb_ends_the_stream():
     """Some kilobytes may unpack to gigabytes; they end the stream, and not a node."""
     compressor = FrameCompressor()
     frame = LENGTH_PREFIX.pack(0)
@@ -128,7 +130,7 @@
         return 0
 
 
-def test_streams_that_carry_little_keep_no_memory_for_packing():
+def test_streams_without_compressible_frames_create_no_compressor():
     """Guards against two packers for each node of other zones: at 195 nodes they were a
     third of a node's memory, and nearly all of these streams carried only pings.
     """
@@ -138,12 +140,12 @@
     stream.mark_cross_zone(CrossZoneBytes())
     for number in range(1000):
         stream.send(Ping(number))
-    assert stream._packer is None
+    assert stream._compressor is None
     calls = [build_call(number) for number in range(100)]
     for call in calls:
         stream.send(call)
-    assert stream._packer is not None
+    assert stream._compressor is not None
     frames = FrameReader().feed(transport.written)
     assert frames[1000:] == calls
-    plain = sum(len(encode_frame(call)) for call in calls)
-    assert len(transport.written) < 1000 * 10 + plain / 2
+    uncompressed = sum(len(encode_frame(call)) for call in calls)
+    assert len(transport.written) < 1000 * 10 + uncompressed / 2
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -22,7 +22,7 @@
 """
 
 
-def test_the_loop_opens_no_ring_of_io_uring():
+def test_the_loop_opens_no_io_uring_ring():
     """Instances have no io_uring. A newer version of the loop's library opened a ring
     at its start although it was told not to; nothing showed it but an open descriptor.
     """
--- a/tests/test_one_way_delay.py
+++ b/tests/test_one_way_delay.py
@@ -3,37 +3,37 @@
 from primroseglade.sidecar.one_way_delay import MIN_DELAY_WINDOW_SECONDS, OneWayDelay
 
 
-def test_a_call_that_waited_on_a_full_link_has_less_time_left():
+def test_queueing_on_a_full_link_counts_as_excess_delay():
     """Under three times the usual demand a node took a call from another one 1.8 s
     after it had been sent, and had it worked on with all the time that it had been
     given. Its caller had left a second before.
     """
     one_way_delay = OneWayDelay()
-    offset = 5000.0
+    clock_offset = 5000.0
     for number in range(100):
         sent = number * 0.01
-        assert one_way_delay.measure_excess(sent, sent + offset + 0.0015) == 0.0
-    assert 1.79 < one_way_delay.measure_excess(2.0, 2.0 + offset + 1.8) < 1.81
+        assert one_way_delay.measure_excess(sent, sent + clock_offset + 0.0015) == 0.0
+    assert 1.79 < one_way_delay.measure_excess(2.0, 2.0 + clock_offset + 1.8) < 1.81
 
 
-def test_the_unevenness_of_links_costs_no_time():
+def test_jitter_of_some_milliseconds_is_no_excess_delay():
     """Some milliseconds more or less are no wait."""
     one_way_delay = OneWayDelay()
     for number in range(100):
         sent = number * 0.01
-        late = 0.001 + 0.0001 * (number * 37 % 100)
-        assert one_way_delay.measure_excess(sent, sent + late) == 0.0
+        delay = 0.001 + 0.0001 * (number * 37 % 100)
+        assert one_way_delay.measure_excess(sent, sent + delay) == 0.0
 
 
-def test_a_clock_that_was_set_is_believed_again_after_a_while():
+def test_a_clock_step_is_absorbed_after_two_windows():
     """A machine's clock jumped by three seconds: calls from there look held up, but not
     for ever.
     """
     one_way_delay = OneWayDelay()
     assert one_way_delay.measure_excess(0.0, 10.0) == 0.0
     assert one_way_delay.measure_excess(1.0, 14.0) == 3.0
-    later = 14.0 + MIN_DELAY_WINDOW_SECONDS
-    one_way_delay.measure_excess(later - 13.0, later)
-    later += MIN_DELAY_WINDOW_SECONDS + 1
-    one_way_delay.measure_excess(later - 13.0, later)
-    assert one_way_delay.measure_excess(later - 12.9, later + 0.1) == 0.0
+    now = 14.0 + MIN_DELAY_WINDOW_SECONDS
+    one_way_delay.measure_excess(now - 13.0, now)
+    now += MIN_DELAY_WINDOW_SECONDS + 1
+    one_way_delay.measure_excess(now - 13.0, now)
+    assert one_way_delay.measure_excess(now - 12.9, now + 0.1) == 0.0
--- a/tests/test_periodic_scheduler.py
+++ b/tests/test_periodic_scheduler.py
@@ -4,21 +4,21 @@
 
 import pytest
 
-from primroseglade.sidecar.periodic_scheduler import PeriodicScheduler, STEP_SECONDS
+from primroseglade.sidecar.periodic_scheduler import PeriodicScheduler, TICK_SECONDS
 
 
-def test_duties_run_in_their_order_as_often_as_asked():
+def test_tasks_run_in_order_at_their_intervals():
     """What is told is what was looked at in the same step."""
     scheduler = PeriodicScheduler(random.Random(1))
     done: list[str] = []
     scheduler.add(lambda _: done.append("look"))
-    scheduler.add(lambda _: done.append("tell"), 2 * STEP_SECONDS)
-    for step in range(4):
-        scheduler.step(step * STEP_SECONDS)
+    scheduler.add(lambda _: done.append("tell"), 2 * TICK_SECONDS)
+    for tick in range(4):
+        scheduler.tick(tick * TICK_SECONDS)
     assert done == ["look", "look", "tell", "look", "look", "tell"]
 
 
-def test_a_duty_that_fails_keeps_no_other_from_its_work():
+def test_a_failing_task_does_not_stop_the_others():
     """A fault in what is told of bytes must not stop a node from telling its state,
     after which all others would take it for idle.
     """
@@ -31,7 +31,7 @@
     scheduler.add(fail)
     scheduler.add(done.append)
     with pytest.raises(ValueError, match="broken"):
-        scheduler.step(1.0)
+        scheduler.tick(1.0)
     with pytest.raises(ValueError, match="broken"):
-        scheduler.step(2.0)
+        scheduler.tick(2.0)
     assert done == [1.0, 2.0]
