--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -1,4 +1,4 @@
-"""One node beside a backend server: its parts put together, started and stopped."""
+"""A sidecar node beside a backend server: assembly, start and graceful shutdown."""
 
 import asyncio
 import random
@@ -51,35 +51,35 @@
 
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
-# Callers are told of a stop by two readiness checks, a second apart; some more come on
-# connections that they are opening.
+# Callers stop sending after two failed readiness checks, one second apart; a few more
+# requests arrive on connections that were being opened meanwhile.
 MIN_LAME_DUCK_SECONDS = 3.2
-# Part of the grace after which callers that still come are served only if they must be
-# answered before the end. Users excuse what is cut off only of those that came early.
+# Fraction of the grace period after which a request is accepted only if its deadline
+# lies before the end of the shutdown. Only earlier requests may be cut off.
 DEADLINE_CHECK_GRACE_RATIO = 0.45
 DRAIN_POLL_SECONDS = 0.05
-# Kept of the time that the platform gives, for the end of the process itself on a
-# starved machine; more would cut calls that are about to be answered.
+# Reserved at the end of the grace period for the exit of the process on a machine short
+# of processor time; a larger margin would cut off calls that are about to be answered.
 STOP_MARGIN_SECONDS = 0.85
 
 
 class NodeDialect(CallerDialect, BackendDialect, Protocol):
-    """How to speak to callers and backend servers."""
+    """The protocol spoken with callers and backend servers."""
 
 
 HandlerFactory = Callable[["SidecarNode"], Handler]
 
 
 class SidecarNode:
-    """A node process's parts.
+    """Owns the components of one node process and runs them.
 
     Args:
-        settings: Of this process.
-        dialect: How to speak to callers and backend servers.
-        store: The platform's.
-        journal: Where events are told.
-        build_ready: Builds what answers readiness checks.
-        build_control: Builds what takes the backend server's reports.
+        settings: Settings of this process.
+        dialect: The protocol spoken with callers and backend servers.
+        store: Client of the platform's store.
+        journal: Receives events.
+        build_ready: Builds the handler of readiness checks.
+        build_control: Builds the handler of the backend server's status reports.
     """
 
     def __init__(
@@ -213,29 +213,32 @@
 
     @property
     def entry(self) -> NodeEntry:
-        """How this node is found."""
+        """Address, zone, service and start time of this node."""
         return self._entry
 
     @property
     def drains(self) -> dict[str, int]:
-        """Backend servers beside other nodes that leave, kept for those."""
+        """Draining backend servers of other nodes, with their start times in ms."""
         return self.registration.recorded_drains
 
     @property
     def in_flight(self) -> int:
-        """Calls at work and waiting at the backend server."""
+        """Calls running and queued at the backend server."""
         return self.backend.queue.in_flight
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers should send requests to this node."""
         return self.policies.policy is not None and not self._stopping
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Start, serve until told to stop, and stop.
+        """Serve until asked to stop or until a task fails for good, then shut down.
+
+        Args:
+            stopping: Set to request the shutdown.
 
         Raises:
-            ExceptionGroup: A part failed too often.
+            ExceptionGroup: A supervised task failed too often.
         """
         self._start()
         waiters = [
@@ -250,7 +253,7 @@
             task.result()
 
     async def abort(self) -> None:
-        """End without notice, as a killed process does; for tests."""
+        """Close everything without draining, as a killed process would; for tests."""
         self._peer_server.abort()
         servers = (
             self._outbound_server,
@@ -265,65 +268,76 @@
         await self._store.close()
 
     def build_full_state(self) -> NodeState:
-        """Return all that this node tells of itself."""
+        """Return the full state that this node broadcasts."""
         return self._state_broadcaster.build_full_state()
 
     def handle_state(self, peer: Peer) -> None:
-        """Take in what a peer told of itself."""
+        """Fetch the policy from a peer whose state shows a newer version."""
         if peer.state.policy_version > self.policies.version:
             self._supervisor.start_once(
                 "newer policy", lambda: self.policies.fetch_newer(peer)
             )
 
     def relay_state(self, peer: Peer) -> None:
-        """Tell the neighbours what a peer told."""
+        """Relay a peer's state to the nodes of this availability zone."""
         self._state_broadcaster.relay_state(peer.entry.name, peer.state)
 
     def apply_relayed_state(self, name: str, state: NodeState) -> None:
-        """Take in what a peer told, from one that handed it on."""
+        """Apply a node's state that another peer relayed."""
         peer = self.fleet.get(name)
         if peer is not None:
             peer.apply_state(state)
 
     def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
-        """Take in how old a peer's configuration is, asked at that moment."""
+        """Record the age of a peer's policy.
+
+        Args:
+            version: The peer's policy version.
+            age: Seconds for which a newer version may exist unseen by the peer.
+            asked_at: When the peer was asked, in seconds on the age clock.
+        """
         self.policies.record_peer_age(version, age, asked_at)
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
-        """Return the configuration in force."""
+        """Return the active policy with its version and age."""
         age = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
         return PolicyAnswer(
             request_id, self.policies.version, age, self.policies.record
         )
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
-        """Remember that a backend server beside another node leaves."""
+        """Record the drain of another node's backend server."""
         self.registration.record_drain(instance, start_time_ms)
 
     def count_in_flight(self) -> int:
-        """Return the requests under way here, of callers and of other nodes."""
+        """Return the in-flight requests of callers and of other nodes."""
         return self._outbound_server.busy + self._peer_server.busy
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Take in which backend servers leave, as a peer remembers."""
+        """Apply the drains of backend servers that a peer has recorded."""
         self.registration.apply_drains(drains)
 
     def record_peer_clock(self) -> None:
-        """Take in that a peer's clock is known from now on."""
+        """Renew the share lease, now that a peer's clock can be estimated."""
         self.rates.renew_lease(time.monotonic())
 
     def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Take in that a node lends its share of all rates."""
+        """Record that a node lends its share of all rates to this node.
+
+        Args:
+            lender: The lending node.
+            lease_ms: End of the lease, in milliseconds on this node's clock.
+        """
         self.rates.record_lease(lender, lease_ms)
 
     def answer_token_request(
         self, sender: str, request: TokenRequest, send: Callable[[TokenGrant], None]
     ) -> None:
-        """Answer a node's request for tokens, at once or later."""
+        """Answer a node's token request, now or once tokens are available."""
         self.rates.answer(sender, request, send)
 
     def handle_hello(self, entry: NodeEntry) -> None:
-        """Take in a node that introduces itself."""
+        """Add a node that opened a stream to this one."""
         self.rates.record_node_start(entry)
         self.fleet.update_node(entry)
 
@@ -354,7 +368,8 @@
         scheduler.add(self._load_monitor.update)
         scheduler.add(self._state_broadcaster.relay_pending)
         scheduler.add(self._state_broadcaster.broadcast, BROADCAST_SECONDS)
-        # Before the peers are asked: the question to the reader carries the lease.
+        # Before the policy poll: the lease travels in a ping, and a peer gets no second
+        # ping while one is unanswered.
         scheduler.add(self.rates.renew_lease)
         scheduler.add(self._peer_monitor.poll_policy_age, READER_POLL_SECONDS)
         scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_SECONDS)
@@ -365,10 +380,11 @@
         return scheduler
 
     async def _stop(self) -> None:
-        """Stop without cutting a call off.
+        """Drain in-flight requests, then close all connections.
 
-        Other nodes are told first, so that none sends a call here; what callers and
-        the backend server still ask is served, each answer asking to go elsewhere.
+        Broadcasts the stop to the other nodes first, so that they send no more calls
+        here. Requests that callers and the backend server still send are served, and
+        the responses ask them to close the connection.
         """
         started = time.monotonic()
         self._stopping = True
@@ -399,11 +415,11 @@
         await self._store.close()
 
     async def _register_and_discover(self) -> None:
-        """Make this node known in the store, then find the others there.
+        """Register this node in the store, then connect to the nodes listed there.
 
-        In this order: of two nodes that start at once, at least one finds the other,
-        and introduces itself on the stream that it opens. A restarted node is known:
-        the others learn from its stream that its process is a new one.
+        In this order, so that of two nodes starting at once at least one finds the
+        other and opens a stream to it. A restarted node is registered already; its
+        new stream tells the others that the process is a new one.
         """
         registered = False
         while True:
@@ -428,7 +444,7 @@
             await asyncio.sleep(self._rng.uniform(0.5, 1.0) * STORE_RETRY_SECONDS)
 
     def _count_nodes(self) -> int:
-        """Return the number of nodes; 0 before the list of nodes was read."""
+        """Return the number of nodes; 0 until the nodes in the store are listed."""
         return len(self.fleet) if self._nodes_listed else 0
 
     def _build_load_state(self) -> NodeState:
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -1,4 +1,4 @@
-"""The configuration in force: taken from the platform's store, or from a peer."""
+"""The active policy, that is the configuration read from the store or from a peer."""
 
 import asyncio
 import random
@@ -21,34 +21,38 @@
 from .read_schedule import ReadSchedule
 from .route_table import RouteTable
 
-# A node asks the store no more often than this.
 MIN_READ_INTERVAL_SECONDS = 0.2
-# How long a read waits in the store for news. Long waits cost few calls.
+# How long the store holds a read open for an update. Longer polls need fewer calls.
 LONG_POLL_SECONDS = 20.0
-# Past the wait, after which a read is given up: an open connection may be silent.
+# A long poll times out this much after its wait: the connection may be open but dead.
 LONG_POLL_TIMEOUT_MARGIN_SECONDS = 2.0
 READ_TIMEOUT_SECONDS = 1.5
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 1.0
 INITIAL_WAIT_POLL_SECONDS = 0.02
 PEER_TIMEOUT_SECONDS = 1.0
-# Where a version came from, if not from another node.
+# Logged as the source of a version that did not come from a peer.
 STORE_SOURCE = "store"
-# Of the time within which a withdrawn key must stop working, what is used. The rest
-# is for a request's way here and for a pause of this process.
+# Fraction of the revocation time up to which a policy is fresh. The rest covers the
+# transmission of a request to this node and pauses of this process.
 MAX_AGE_RATIO = 0.9
 
 
 class StoreError(Exception):
-    """The platform's store gave no usable answer."""
+    """The platform's store failed or sent an unusable response."""
 
 
 class OffsetExpiredError(StoreError):
-    """The store no longer has what came after a position."""
+    """The offset lies outside the records that the store keeps."""
 
 
 class PolicyRecord:
-    """The newest configuration in the store, and the position after it."""
+    """Holds a policy as stored, and the offset of the record after it.
+
+    Args:
+        record: The encoded policy; None if there is none.
+        next_offset: Where the next read starts.
+    """
 
     __slots__ = ("next_offset", "record")
 
@@ -58,40 +62,48 @@
 
 
 class PolicyStore(Protocol):
-    """Where operators publish; the platform's adapter knows."""
+    """Reads the policies that operators publish in the platform's store."""
 
     async def read_newest(self, timeout: float) -> PolicyRecord:
-        """Return the newest configuration."""
+        """Return the newest policy.
+
+        Raises:
+            StoreError: The store failed or sent an unusable response.
+        """
 
     async def read_since(
         self, offset: int, wait: float, timeout: float
     ) -> PolicyRecord | None:
-        """Return what was published since, None if nothing was.
+        """Return the newest policy published at or after an offset; None without one.
+
+        Args:
+            offset: The offset to read from.
+            wait: Seconds for which the store may hold the read open for an update.
+            timeout: Seconds after which the read fails.
 
         Raises:
-            OffsetExpiredError: What came since is not there any more.
-            StoreError: No usable answer.
+            OffsetExpiredError: The offset lies outside the records that are kept.
+            StoreError: The store failed or sent an unusable response.
         """
 
     def decode(self, record: bytes) -> Policy:
-        """Return a record's meaning.
+        """Return the policy that a record encodes.
 
         Raises:
-            InputError: It has none.
+            InputError: The record is invalid.
         """
 
 
 class PolicyTracker:
-    """Follows the configuration, and knows how old that knowledge is.
+    """Keeps the active policy up to date and tracks how old it may be.
 
     Args:
-        store: Where operators publish.
-        revoke_seconds: Within which a withdrawn key must stop working.
-        apply_seconds: Within which a configuration must be in force.
+        store: Where operators publish policies.
+        revoke_seconds: Seconds within which a withdrawn key must stop working.
+        apply_seconds: Seconds within which a published policy must be active.
         first_start: Whether the whole fleet starts for the first time.
-        journal: Where changes are told.
-        broadcast_state: Tells the other nodes at once that the store had a newer
-            version.
+        journal: Receives events.
+        broadcast_state: Broadcasts this node's state, with the policy version, at once.
     """
 
     def __init__(
@@ -121,54 +133,54 @@
 
     @property
     def policy(self) -> Policy | None:
-        """The configuration in force."""
+        """The active policy; None before the first."""
         return self._policy
 
     @property
     def version(self) -> int:
-        """Its version, 0 before the first."""
+        """The active policy's version; 0 before the first."""
         return self._policy.version if self._policy else 0
 
     @property
     def in_force_since(self) -> float:
-        """When it came into force here, on the loop's clock."""
+        """When the policy became active at this node, on the loop's clock."""
         return self._active_since
 
     @property
     def record(self) -> bytes:
-        """As the store holds it."""
+        """The active policy as stored; empty before the first."""
         return self._record
 
     @property
     def routes(self) -> RouteTable:
-        """Its routes."""
+        """The active policy's routes."""
         return self._routes
 
     @property
     def limits(self) -> CallerLimits:
-        """Its limits on callers."""
+        """The active policy's limits on callers."""
         return self._policy.limits if self._policy else CallerLimits()
 
     @property
     def age(self) -> float:
-        """Seconds for which a newer version may exist unseen."""
+        """Seconds for which a newer version may have existed unseen."""
         return self._freshness.age
 
     @property
     def fresh(self) -> bool:
-        """Whether keys may be used, by what is known of withdrawals."""
+        """Whether the policy is so recent that a withdrawn key would be known."""
         return self._freshness.age < self._max_age_seconds
 
     @property
     def is_overdue(self) -> bool:
-        """Whether those who are usually asked do not tell often enough."""
+        """Whether the readers that are usually polled confirm the policy too late."""
         return self._freshness.age > self._schedule.overdue_age
 
     async def run_long_polls(self) -> None:
-        """Wait in the store for news, without end.
+        """Long-poll the store for updates until cancelled.
 
-        Only the first readers wait there: if all nodes did, each version would cost the
-        store a call for each of them.
+        Only the first readers do so: with all nodes, each version would cost the store
+        one call a node.
         """
         delay = INITIAL_RETRY_SECONDS
         while True:
@@ -183,12 +195,12 @@
                 delay = min(MAX_RETRY_SECONDS, delay * 2)
 
     async def run_periodic_reads(self) -> None:
-        """Ask the store whether there is news when nobody else has lately."""
+        """Read the store whenever no peer has confirmed the policy lately."""
         await self._wait_for_peer_policy()
         schedule = self._schedule
         while True:
             if self._policy is not None:
-                # What is known grows old by a second a second at the most.
+                # The age grows by at most one second a second.
                 until_due = min(
                     schedule.read_age - self.age, schedule.max_sleep_seconds
                 )
@@ -207,7 +219,7 @@
                     await asyncio.sleep(MIN_READ_INTERVAL_SECONDS)
 
     async def _wait_for_peer_policy(self) -> None:
-        """Give other nodes some time to tell their configuration."""
+        """Wait some time for a peer's policy before the first read of the store."""
         wait = self._schedule.draw_initial_wait(self._first_start)
         while (
             wait > 0
@@ -219,7 +231,7 @@
             wait -= step
 
     async def _read_store(self) -> None:
-        """Ask the store whether there is news."""
+        """Read the store once, without waiting for an update."""
         asked_at = self._freshness.now
         if self._next_offset is None:
             await self._read_newest(asked_at)
@@ -241,7 +253,11 @@
             raise
 
     def set_reader_rank(self, rank: int | None) -> None:
-        """Take in this node's place among those whom others ask; None for none."""
+        """Set this node's rank among the readers, and start or stop long polls.
+
+        Args:
+            rank: 0 for the first reader; None if this node is no reader.
+        """
         self._schedule.set_reader_rank(rank)
         if self._schedule.uses_long_polling:
             self._long_polling_enabled.set()
@@ -249,12 +265,18 @@
             self._long_polling_enabled.clear()
 
     def record_peer_age(self, version: int, age: float, asked_at: float) -> None:
-        """Take in how old a peer's knowledge is, in answer to a question sent then."""
+        """Confirm the active policy by the age of a peer's policy.
+
+        Args:
+            version: The peer's policy version; another than this node's is ignored.
+            age: Seconds for which a newer version may have existed unseen by the peer.
+            asked_at: When the peer was asked, in seconds on the age clock.
+        """
         if self.version and version == self.version:
             self._freshness.confirm(asked_at, age)
 
     async def fetch_newer(self, peer: Peer) -> None:
-        """Take a newer version from a peer that has one."""
+        """Fetch and apply a peer's newer policy, unless a fetch is in progress."""
         if self._fetching:
             return
         self._fetching = True
@@ -268,7 +290,7 @@
         try:
             answer = await peer.fetch_policy(PEER_TIMEOUT_SECONDS)
         except (ConnectionError, TimeoutError) as error:
-            # The next heartbeat tells of the version again.
+            # The next state broadcast triggers another attempt.
             self._journal.emit(
                 PEER_SILENT,
                 peer=peer.entry.name,
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -1,40 +1,42 @@
-"""When a node asks the platform's store itself how new its configuration is.
+"""When a node reads the platform's store to confirm that its policy is the newest.
 
-Calls to the store are few: the first reader of the fleet asks often, the others ask
-readers, and a node asks the store itself when nobody whom it asks knows better.
+To keep calls to the store few, the first reader of the fleet reads it often, the other
+nodes poll readers, and a node reads the store itself only if no reader it polls has
+confirmed the policy in time.
 """
 
 import random
 
-# Part of the time within which a configuration must be in force, after which a node
-# that hears nothing asks the store itself. The rest is for the answer; drawn from this
-# range, so that not all ask at once.
+# Fraction of the time within which a policy must be active, after which a node without
+# confirmation reads the store. The rest is for the response; drawn from this range, so
+# that nodes do not all read at once.
 UNCONFIRMED_READ_AGE_RATIOS = (0.8, 0.92)
-# What is known grows older by this much on the way from the first reader to a node:
-# readers ask it four times a second, nodes ask readers twice a second.
+# Age that a confirmation gains between the first reader and a node: readers poll the
+# first one four times a second, nodes poll readers twice a second.
 PROPAGATION_SECONDS = 0.85
-# Each further reader takes over from the first one a step later.
+# The second reader reads the store this long after the first one should have, and each
+# further reader one step later.
 FAILOVER_DELAY_SECONDS = 0.4
 FAILOVER_STEP_SECONDS = 0.1
 MIN_READ_AGE_SECONDS = 0.3
-# Readers that wait in the store for news. The others are told.
+# Number of readers that long-poll the store. The others get broadcasts.
 LONG_POLLING_READERS = 2
-# Pauses between questions while the store fails.
+# Backoff between reads while the store fails.
 INITIAL_BACKOFF_SECONDS = 0.2
 MAX_READER_BACKOFF_SECONDS = 1.0
 MAX_NON_READER_BACKOFF_SECONDS = 2.0
-# A node that was just started gives others this long to tell it a configuration; longer
-# while the whole fleet starts for the first time and hardly any node has one.
+# How long a node that just started waits for a peer's policy; longer while the whole
+# fleet starts for the first time and hardly any node has one.
 INITIAL_WAIT_RANGE_SECONDS = (0.15, 0.6)
 FLEET_START_WAIT_RANGE_SECONDS = (0.6, 1.8)
 
 
 class ReadSchedule:
-    """Ages and pauses at one node.
+    """Decides at which policy age, and after which backoff, a node reads the store.
 
     Args:
-        apply_seconds: Within which a configuration must be in force.
-        rng: Spreads the questions of many nodes.
+        apply_seconds: Seconds within which a published policy must be active.
+        rng: Spreads the reads of many nodes.
     """
 
     __slots__ = ("_apply_seconds", "_backoff", "_rank", "_read_age", "_rng")
@@ -48,12 +50,12 @@
 
     @property
     def read_age(self) -> float:
-        """Age of what is known, in seconds, at which to ask the store."""
+        """Policy age, in seconds, at which to read the store."""
         return self._read_age
 
     @property
     def overdue_age(self) -> float:
-        """Age above which all readers are asked, not only the usual ones."""
+        """Policy age, in seconds, above which all readers are polled."""
         first_reader_age = self._compute_first_reader_age()
         if self._rank is None:
             return first_reader_age + PROPAGATION_SECONDS
@@ -61,22 +63,22 @@
 
     @property
     def uses_long_polling(self) -> bool:
-        """Whether this node waits in the store for news."""
+        """Whether this node long-polls the store for updates."""
         return self._rank is not None and self._rank < LONG_POLLING_READERS
 
     @property
     def max_sleep_seconds(self) -> float:
-        """Seconds in which what is known can grow old enough to ask."""
+        """Longest sleep, in seconds, before the policy age is checked again."""
         return UNCONFIRMED_READ_AGE_RATIOS[0] * self._apply_seconds
 
     def set_reader_rank(self, rank: int | None) -> None:
-        """Take in this node's place among the readers; None if it is none."""
+        """Set this node's rank among the readers; None if it is not a reader."""
         if rank != self._rank:
             self._rank = rank
             self._read_age = self._draw_read_age()
 
     def draw_initial_wait(self, first_start: bool) -> float:
-        """Return for how long to wait for a configuration of another node."""
+        """Return for how many seconds to wait for a peer's policy after the start."""
         waits = (
             FLEET_START_WAIT_RANGE_SECONDS
             if first_start
@@ -85,12 +87,12 @@
         return self._rng.uniform(*waits)
 
     def record_success(self) -> None:
-        """Take in that the store answered."""
+        """Reset the backoff after a successful read."""
         self._backoff = 0.0
         self._read_age = self._draw_read_age()
 
     def record_failure(self) -> float:
-        """Take in that the store failed; return how long not to ask it."""
+        """Return the seconds to wait after a failed read, with jitter."""
         max_backoff = MAX_READER_BACKOFF_SECONDS
         if self._rank is None:
             max_backoff = MAX_NON_READER_BACKOFF_SECONDS
@@ -115,6 +117,6 @@
         )
 
     def _compute_first_reader_age(self) -> float:
-        """Return the age at which the first reader asks."""
+        """Return the policy age, in seconds, at which the first reader reads."""
         earliest_age = UNCONFIRMED_READ_AGE_RATIOS[0] * self._apply_seconds
         return max(MIN_READ_AGE_SECONDS, earliest_age - PROPAGATION_SECONDS)
