--- a/primroseglade/sidecar/clock.py
+++ b/primroseglade/sidecar/clock.py
@@ -1,12 +1,12 @@
-"""Time for ages and windows."""
+"""The clock for ages that must include time spent suspended."""
 
 import time
 
 
 def read_age_clock() -> float:
-    """Return seconds on a clock that also counts while the machine is suspended.
+    """Return seconds on a clock that also runs while the machine is suspended.
 
-    The monotonic clock stands still then. What must be given up some seconds after
-    it was last confirmed, such as a key, would be used for longer than allowed.
+    The monotonic clock stops then, so that a key that must be confirmed every few
+    seconds would be accepted for longer than allowed.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -1,32 +1,31 @@
-"""Frames packed on the streams between availability zones, where bytes are dear.
+"""Compresses frames between availability zones, where traffic is expensive.
 
-Heads of calls and answers repeat from frame to frame on a stream, and states repeat
-names: they take a quarter of their bytes where each frame is packed with what went
-before in mind. Bodies are sent as they are; callers that want them smaller compress
-them themselves.
+The heads of calls and responses on a stream resemble each other, and states repeat
+names. Compressed with the preceding frames as context, they shrink to a quarter. Bodies
+are sent as they are; callers that want them smaller compress them themselves.
 """
 
 import struct
 import zlib
 
 LENGTH_PREFIX = struct.Struct(">I")
-# What went before is remembered for some heads, as raw deflate; each end of a stream
-# keeps memory for it.
+# Raw deflate with a window of 2 KiB, enough for some heads; both ends of each stream
+# keep a window in memory.
 WINDOW_BITS = -11
 ZLIB_MEMORY_LEVEL = 4
 COMPRESSION_LEVEL = 3
-# Ends each piece in the same way, and is not sent (RFC 7692, section 7.2.1).
+# The end of every sync flush, removed before sending (RFC 7692, section 7.2.1).
 SYNC_FLUSH_MARKER = b"\x00\x00\xff\xff"
-# The largest head of a frame that is unpacked: a configuration's, many times over.
+# Limit of a decompressed head, many times the size of a large policy.
 MAX_HEAD_BYTES = 16 * 1024 * 1024
 
 
 class DecompressionError(Exception):
-    """Bytes that cannot be unpacked."""
+    """The payload is not a valid compressed frame."""
 
 
 class FrameCompressor:
-    """The sending end of a stream."""
+    """Compresses the frames of one stream, in the order in which they are sent."""
 
     __slots__ = ("_compressor",)
 
@@ -36,7 +35,7 @@
         )
 
     def compress_frame(self, head: bytes, body: bytes = b"") -> bytes:
-        """Return a frame's bytes, but for its length."""
+        """Return the payload of a frame: compressed head, with its length, and body."""
         compressed = self._compressor.compress(head) + self._compressor.flush(
             zlib.Z_SYNC_FLUSH
         )
@@ -45,7 +44,7 @@
 
 
 class FrameDecompressor:
-    """The receiving end of a stream.
+    """Decompresses the frames of one stream, in the order in which they were sent.
 
     >>> compressor = FrameCompressor()
     >>> decompressor = FrameDecompressor()
@@ -59,17 +58,21 @@
         self._decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def decompress_frame(self, payload: bytes) -> tuple[bytes, bytes]:
-        """Return a frame's head and body.
+        """Return the head and body of a compressed frame.
 
         Raises:
-            DecompressionError: The bytes are none of a packer's.
+            DecompressionError: The payload is not a valid compressed frame.
         """
         if len(payload) < LENGTH_PREFIX.size:
-            raise DecompressionError("a packed frame without a length")
+            raise DecompressionError(
+                f"compressed frame of {len(payload)} bytes lacks its length prefix"
+            )
         (length,) = LENGTH_PREFIX.unpack_from(payload)
         end = LENGTH_PREFIX.size + length
         if end > len(payload):
-            raise DecompressionError("a packed frame that is cut short")
+            raise DecompressionError(
+                f"compressed frame truncated: {len(payload)} of at least {end} bytes"
+            )
         try:
             compressed = payload[LENGTH_PREFIX.size : end] + SYNC_FLUSH_MARKER
             head = self._decompressor.decompress(compressed, MAX_HEAD_BYTES)
@@ -77,6 +80,6 @@
             raise DecompressionError(str(error)) from error
         if self._decompressor.unconsumed_tail or self._decompressor.eof:
             raise DecompressionError(
-                "a packed frame that is too large, or ends the stream"
+                f"frame head exceeds {MAX_HEAD_BYTES} bytes or ends the deflate stream"
             )
         return head, payload[end:]
--- a/primroseglade/sidecar/loop.py
+++ b/primroseglade/sidecar/loop.py
@@ -3,15 +3,15 @@
 import asyncio
 import os
 
-# The loop's C library opens rings of io_uring when it starts, which instances do not
-# allow. Up to uvloop 0.21 this variable keeps it from that; later versions open one
-# whatever it says, so that the version is pinned and a test looks for rings.
+# uvloop's C library opens io_uring rings when a loop starts, which instances do not
+# allow. Up to uvloop 0.21 this variable prevents that; later versions ignore it, so the
+# version is pinned and a test checks that no ring is open.
 IO_URING_VARIABLE = "UV_USE_IO_URING"
 
 
 def build_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop on uvloop: calls cost less than on the interpreter's own."""
-    # Read once, when the library makes its first loop.
+    """Return a uvloop event loop, on which calls cost less than on asyncio's own."""
+    # The library reads the variable once, when it creates its first loop.
     os.environ[IO_URING_VARIABLE] = "0"
     import uvloop
 
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -1,7 +1,7 @@
-"""Counters and latency histograms of a node, rendered when they are asked for.
+"""Collects counters and latency histograms of a node, and renders them on request.
 
-The metrics library is imported with the first question: it is a fifth of a node's
-memory, and most nodes of a fleet are never asked.
+The metrics library is imported on the first request: it takes a fifth of a node's
+memory, and most nodes of a fleet are never scraped.
 """
 
 import bisect
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from .node import SidecarNode
 
-# Upper bounds in seconds: targets of usual routes lie between 0.1 and 1.5 s.
+# Upper bounds; latency targets of most routes lie between 0.1 and 1.5 s.
 LATENCY_BUCKETS_SECONDS = (
     0.005,
     0.01,
@@ -32,20 +32,25 @@
     5.0,
     10.0,
 )
-# Routes that are counted by name; the rest is counted together, so that a
-# configuration of thousands of routes does not fill the memory.
+# Further routes share one label, so that a configuration of thousands of routes does
+# not exhaust memory.
 MAX_ROUTE_LABELS = 200
 OTHER_ROUTES_LABEL = "other"
 # Limits the number of time series that workspaces add to the metrics.
 MAX_WORKSPACE_LABELS = 200
-# An age that is not known is told as this one, some days: neither a metric nor a
-# message holds an infinity.
+# An unknown, infinite age is reported as this value of some days: metrics and messages
+# hold finite numbers only.
 MAX_REPORTED_AGE_SECONDS = 1e6
 METRIC_PREFIX = "primroseglade_"
 
 
 class LatencyHistogram:
-    """A histogram of one route."""
+    """Latency histogram of one route.
+
+    Attributes:
+        counts: Requests in each bucket; the last one is unbounded.
+        total_seconds: Sum of the latencies.
+    """
 
     __slots__ = ("counts", "total_seconds")
 
@@ -54,13 +59,13 @@
         self.total_seconds = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count one request."""
+        """Add the latency of one request."""
         self.counts[bisect.bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
         self.total_seconds += seconds
 
 
 class NodeMetrics:
-    """What a node counts."""
+    """Counts requests, retries and latencies, and renders all metrics of a node."""
 
     def __init__(self) -> None:
         self._outcomes: collections.Counter[tuple[str, str]] = collections.Counter()
@@ -68,12 +73,12 @@
         self._histograms: dict[str, LatencyHistogram] = {}
 
     def record_request(self, route: str, outcome: str, seconds: float) -> None:
-        """Count a request of a caller or of the own backend server.
+        """Record a request of a caller or of the local backend server.
 
         Args:
-            route: Its route's name, empty where it has none.
+            route: Name of its route; empty if it has none.
             outcome: ``served``, a status of the backend server, or a refusal's reason.
-            seconds: From its arrival to its answer.
+            seconds: Time from its arrival to its response.
         """
         if route not in self._histograms and len(self._histograms) >= MAX_ROUTE_LABELS:
             route = OTHER_ROUTES_LABEL
@@ -84,11 +89,11 @@
         self._outcomes[route, outcome] += 1
 
     def record_retry(self, reason: str) -> None:
-        """Count a further attempt."""
+        """Count a retry."""
         self._retries[reason] += 1
 
     def render(self, node: "SidecarNode") -> bytes:
-        """Return all metrics as text."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -96,7 +101,7 @@
         return generate_latest(registry)
 
     def collect(self, node: "SidecarNode") -> Iterator[Any]:
-        """Yield all metrics as the library's families."""
+        """Yield all metrics as metric families of the library."""
         from prometheus_client import core
 
         requests = core.CounterMetricFamily(
@@ -137,7 +142,7 @@
 
 
 class _Collector:
-    """Hands a meter's metrics to the library."""
+    """Passes a node's metrics to the library."""
 
     def __init__(self, node_metrics: NodeMetrics, node: "SidecarNode"):
         self._node_metrics = node_metrics
@@ -173,7 +178,7 @@
 
 
 def _list_gauges(node: "SidecarNode") -> list[tuple[str, str, float]]:
-    """Return name, meaning and value of what is measured now."""
+    """Return name, help text and current value of each gauge."""
     backend = node.backend
     queue = backend.queue
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
@@ -191,6 +196,7 @@
 
 
 def _build_cumulative_buckets(histogram: LatencyHistogram) -> list[tuple[str, float]]:
+    """Return the upper bounds with the number of requests at or below each."""
     count = 0
     buckets = []
     for upper_bound, bucket_count in zip(
@@ -202,7 +208,7 @@
 
 
 def build_metrics(node: "SidecarNode") -> Any:
-    """Return what answers requests for metrics."""
+    """Return the handler of metrics requests."""
 
     async def handle(request: Request) -> Reply:
         head = render_status_line(200) + b"Content-Type: text/plain; version=0.0.4\r\n"
--- a/primroseglade/sidecar/node_settings.py
+++ b/primroseglade/sidecar/node_settings.py
@@ -1,30 +1,33 @@
-"""What a node is told at its start."""
+"""The settings with which a node process starts."""
 
 
 class NodeSettings:
-    """What a node is told at its start.
+    """Holds the settings of a node process.
+
+    All addresses but that of the backend server are listening addresses.
 
     Args:
-        name: Of the node.
-        zone: Availability zone.
-        service: What the backend server beside it serves.
+        name: Name of the node.
+        zone: Availability zone of the node.
+        service: Service that the backend server provides.
         backend: Address of the backend server.
-        host: Own IP number.
-        outbound: Address for callers and the backend server.
+        host: IP address of the node.
+        outbound: Address for requests of callers and of the backend server.
         ready: Address for readiness checks.
-        control: Address for the backend server's reports.
+        control: Address for the backend server's status reports.
         peers: Address for other nodes.
-        metrics: Address for metrics.
+        metrics: Address for scraping metrics.
         first_start: Whether the whole fleet starts for the first time.
         grace: Seconds from SIGTERM to SIGKILL.
         revoke: Seconds within which a withdrawn key must stop working.
-        config_apply: Seconds within which a configuration must be in force.
-        retry_ratio: Repeats for each first attempt, over the fleet.
-        retry_fixed: Repeats in a window besides, over the fleet.
-        retry_window: Seconds.
-        quota_overshoot: Part of a rate that the fleet may let through besides.
-        quota_slack: Calls in a window besides.
-        quota_window: Seconds of that window.
+        config_apply: Seconds within which a published policy must be active.
+        retry_ratio: Retries allowed for each first attempt, over the whole fleet.
+        retry_fixed: Further retries allowed in each window, over the whole fleet.
+        retry_window: Length of the retry budget's window, in seconds.
+        quota_overshoot: Fraction of a rate and burst that the fleet may admit beyond
+            them in a window.
+        quota_slack: Further calls that the fleet may admit in a window.
+        quota_window: Length of the rate limits' window, in seconds.
     """
 
     __slots__ = (
--- a/primroseglade/sidecar/node_store.py
+++ b/primroseglade/sidecar/node_store.py
@@ -1,4 +1,4 @@
-"""What a node keeps in the platform's store."""
+"""The interface to the platform's store."""
 
 from typing import Protocol
 
@@ -7,21 +7,24 @@
 
 
 class NodeStore(PolicyStore, Protocol):
-    """What a node keeps in the platform's store."""
+    """Keeps nodes, drains and policies in the platform's store.
+
+    All methods with a timeout, in seconds, raise `StoreError` on failure.
+    """
 
     async def list_nodes(self, timeout: float) -> list[NodeEntry]:
-        """Return the nodes that made themselves known."""
+        """Return the registered nodes."""
 
     async def write_node(self, entry: NodeEntry, timeout: float) -> None:
-        """Make a node known."""
+        """Register a node."""
 
     async def write_drain(
         self, instance: str, start_time_ms: int, timeout: float
     ) -> None:
-        """Keep that a backend server leaves."""
+        """Store the drain of a backend server."""
 
     async def list_drains(self, timeout: float) -> dict[str, int]:
-        """Return the backend servers that leave, with the start of their lifetime."""
+        """Return the draining backend servers, with their start times in ms."""
 
     async def close(self) -> None:
-        """Close the connections."""
+        """Close the connections to the store."""
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -1,23 +1,22 @@
-"""How long calls were on their way, from clocks that do not agree.
+"""Estimates how long calls were queued between two nodes whose clocks differ.
 
-A call says how much time its caller has left when it is sent. On a link that is full,
-or at a node that has no processor time for its streams, it may wait for longer than
-that, and the work would be done for nobody. The difference of two nodes' clocks is not
-known, but it stays the same: what a call took longer than the quickest of those lately,
-it waited.
+A call states the time remaining until its deadline when it is sent. On a congested
+link, or at a node short of processor time, it may be queued for longer than that, and
+running it would be wasted work. The offset of two nodes' clocks is unknown, but
+constant: a call was queued for as long as its delay exceeds the recent minimum.
 """
 
 import math
 
-# The quickest call is looked for in this many seconds, twice: clocks of machines drift
-# by less than a millisecond in that time.
+# The minimum is taken over the current and the previous window of this length. Clocks
+# drift by less than a millisecond in that time.
 MIN_DELAY_WINDOW_SECONDS = 10.0
-# Waits below this are the usual unevenness of links and loops.
+# A smaller excess is normal jitter of links and event loops, and reported as none.
 MIN_REPORTED_SECONDS = 0.02
 
 
 class OneWayDelay:
-    """The calls that come on one stream.
+    """Tracks the minimum delay of the calls on one stream.
 
     >>> delay = OneWayDelay()
     >>> delay.measure_excess(sent_at=100.0, now=7.0)
@@ -34,11 +33,11 @@
         self._window_start = 0.0
 
     def measure_excess(self, sent_at: float, now: float) -> float:
-        """Return for how many seconds a call waited on its way.
+        """Return for how many seconds a call was queued between the nodes.
 
         Args:
-            sent: Seconds on the sender's clock.
-            now: Seconds on the own one; both count while a machine is suspended.
+            sent_at: When it was sent, in seconds on the sender's age clock.
+            now: When it was received, in seconds on the age clock of this node.
         """
         if now - self._window_start > MIN_DELAY_WINDOW_SECONDS:
             self._previous_window_min, self._window_min = self._window_min, math.inf
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -1,7 +1,7 @@
-"""A node's periodic duties, all in one wake.
+"""Runs all periodic tasks of a node from one timer.
 
-An idle node of a large fleet does little but wake up, and a wake costs more than what
-is done in it. So what can be done at the same moment is.
+In an idle node of a large fleet, a wake-up costs more than the work done in it, so
+tasks share wake-ups.
 """
 
 import asyncio
@@ -9,20 +9,20 @@
 import time
 from collections.abc import Callable
 
-# Seconds from one step to the next; as often as levels of admission are set.
+# As often as admission levels are updated.
 TICK_SECONDS = 0.25
-# So much more or less, so that nodes started together do not wake together.
+# Random deviation of each tick, so that nodes started together do not wake together.
 TICK_JITTER_RATIO = 0.05
 
-# Called with seconds on the loop's clock.
+# Called with the time in seconds on the loop's clock.
 PeriodicTask = Callable[[float], None]
 
 
 class PeriodicScheduler:
-    """Runs duties again and again, in the order in which they were added.
+    """Runs each task at its interval, in the order in which tasks were added.
 
     Args:
-        rng: Spreads the steps.
+        rng: Source of the jitter.
     """
 
     def __init__(self, rng: random.Random):
@@ -31,15 +31,14 @@
         self._ticks = 0
 
     def add(self, task: PeriodicTask, interval_seconds: float = TICK_SECONDS) -> None:
-        """Have a duty run every so many seconds, a multiple of the steps."""
+        """Add a task; its interval is rounded to whole ticks, at least one."""
         self._tasks.append((max(1, round(interval_seconds / TICK_SECONDS)), task))
 
     async def run(self) -> None:
-        """Run the duties until cancelled.
+        """Run the tasks until cancelled.
 
         Raises:
-            Exception: What the first of a step's failed duties raised, after all
-                others of the step.
+            Exception: The first error of a tick, raised after its other tasks have run.
         """
         while True:
             jitter = self._rng.uniform(1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO)
@@ -47,7 +46,7 @@
             self.tick(time.monotonic())
 
     def tick(self, now: float) -> None:
-        """Run what is due."""
+        """Run the tasks that are due."""
         self._ticks += 1
         first_error: Exception | None = None
         for tick_interval, task in self._tasks:
@@ -58,5 +57,5 @@
             except Exception as error:
                 first_error = first_error or error
         if first_error is not None:
-            # The supervisor tells it and starts the ticker again.
+            # The supervisor logs it and restarts the scheduler.
             raise first_error
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -1,4 +1,4 @@
-"""Streams of frames between two nodes, and the calls under way on them."""
+"""The connection between two nodes, which carries frames."""
 
 import asyncio
 import time
@@ -20,24 +20,25 @@
 )
 from .http_client import KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS
 
-# Bytes that may wait unsent on a stream; a peer that does not read for as long as
-# they fill is cut off, so that it cannot take this process's memory.
+# A stream with more unsent bytes is closed, so that a peer that does not read cannot
+# exhaust this process's memory.
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
-# Both ends of a packed stream keep memory for it, which is most of what a peer takes.
-# Most streams of a large fleet carry hardly any of the frames that get much smaller.
+# Compressible frames that a stream sends before it creates a compressor. Compressor and
+# decompressor take most of a peer's memory, and most streams of a large fleet carry
+# hardly any compressible frames.
 MAX_UNCOMPRESSED_FRAMES = 8
 COMPRESSIBLE_FRAMES = (Call, CallAnswer, State, States)
 
 
 class FrameStream(asyncio.Protocol):
-    """One connection to another node.
+    """Sends and receives frames on one connection to another node.
 
-    The loop of the platform's node sends what was written in one turn with one system
-    call: under load most of a frame's cost is waking up and calling the kernel.
+    Writes are not batched here: uvloop sends all writes of a loop iteration with one
+    system call. Under load, wake-ups and system calls are most of a frame's cost.
 
     Args:
-        receive: Called with each frame.
-        lost: Called once, with the reason, when the connection is gone.
+        on_frame: Called with each received frame.
+        on_lost: Called once, with the reason, when the connection is lost.
     """
 
     __slots__ = (
@@ -69,16 +70,16 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing can be sent any more."""
+        """Whether the connection is closed or closing."""
         return self._transport is None or self._transport.is_closing()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Set the options that find a dead peer."""
+        """Set the socket options that detect a dead peer."""
         self._transport = transport
         set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell that it is gone."""
+        """Report the loss with its reason."""
         self._transport = None
         reason = self._protocol_error or (
             str(exc) if exc else "closed by the other end"
@@ -86,11 +87,11 @@
         self._on_lost(self, reason)
 
     def eof_received(self) -> bool:
-        """Close."""
+        """Close the connection when the peer has closed its end."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Hand on each frame that is whole."""
+        """Pass on each complete frame, or close the connection on invalid data."""
         self.last_received_at = time.monotonic()
         try:
             frames = self._reader.feed(data)
@@ -107,15 +108,15 @@
         return self._cross_zone_bytes is not None
 
     def mark_cross_zone(self, cross_zone_bytes: CrossZoneBytes) -> None:
-        """Count what is sent from now on, and pack it if it is worth while."""
+        """Count and compress the frames sent from now on."""
         self._cross_zone_bytes = cross_zone_bytes
 
     def send(self, frame: Frame, route: str = "") -> None:
-        """Send a frame; without effect once the connection is gone.
+        """Send a frame; do nothing once the connection is lost.
 
         Args:
-            frame: To send.
-            route: That it belongs to, as it is counted.
+            frame: The frame.
+            route: Route under which the bytes of a cross-zone stream are counted.
         """
         if self._cross_zone_bytes is None:
             self.send_encoded(encode_frame(frame))
@@ -130,7 +131,7 @@
         self.send_encoded(data)
 
     def _get_compressor(self, frame: Frame) -> FrameCompressor | None:
-        """Return the packer, once there is enough to pack on this stream."""
+        """Return the compressor; None before enough compressible frames were sent."""
         if self._compressor is None and isinstance(frame, COMPRESSIBLE_FRAMES):
             self._uncompressed_frames += 1
             if self._uncompressed_frames > MAX_UNCOMPRESSED_FRAMES:
@@ -138,7 +139,7 @@
         return self._compressor
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a frame that is encoded already, as for many streams at once."""
+        """Send a frame that is encoded already, once for many streams."""
         if self._transport is None:
             return
         self._transport.write(data)
@@ -146,11 +147,11 @@
             self.close()
 
     def close(self) -> None:
-        """Close it at once."""
+        """Close the connection at once, dropping unsent data."""
         if self._transport is not None:
             self._transport.abort()
 
     def finish(self) -> None:
-        """Close it when all is sent."""
+        """Close the connection after sending what is buffered."""
         if self._transport is not None:
             self._transport.close()
