--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings of all tests, and the mesh that several files use."""
+"""Settings and fixtures shared by all tests."""
 
 import asyncio
 import pathlib
@@ -12,8 +12,8 @@
 
 from .mesh import build_configuration, Mesh, PATHS, run_mesh
 
-# Outside the tree: the library's caches name the folder of the checkout, and whatever
-# copies the tree would take them along.
+# Outside the tree: Hypothesis's caches contain the path of the checkout and would be
+# copied with the tree.
 configuration.set_hypothesis_home_dir(
     pathlib.Path(tempfile.gettempdir()) / "primroseglade-hypothesis"
 )
@@ -27,10 +27,10 @@
 
 
 class NodeLoopPolicy(asyncio.DefaultEventLoopPolicy):
-    """Makes the loop that the platform's node runs on."""
+    """Creates the event loop on which nodes run."""
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
-        """Return a new one."""
+        """Return a new event loop."""
         return build_loop()
 
 
@@ -38,7 +38,7 @@
 def event_loop_policy(
     request: pytest.FixtureRequest,
 ) -> asyncio.AbstractEventLoopPolicy:
-    """The loop of a file's tests: those of the platform's node run on its own."""
+    """Return the policy of a test file: tests of the mesh use the node's event loop."""
     if "mesh" in request.module.__name__:
         return NodeLoopPolicy()
     return asyncio.DefaultEventLoopPolicy()
@@ -46,7 +46,7 @@
 
 @pytest.fixture
 async def mesh() -> AsyncIterator[Mesh]:
-    """A node of one service and two of another."""
+    """Yield a running mesh of one node of a service and two of another."""
     mesh = Mesh()
     for service in ("front", "deep", "deep"):
         mesh.add(service)
--- a/tests/mesh.py
+++ b/tests/mesh.py
@@ -1,4 +1,4 @@
-"""Nodes beside stand-ins of backend servers and of the store, in one process."""
+"""Runs nodes, stand-in backend servers and a stand-in store in one process."""
 
 import asyncio
 import contextlib
@@ -20,14 +20,14 @@
 HOST = "api.example"
 
 
-# Below the ports that the kernel gives to outgoing connections: one of those, found
-# free, is often taken by a connection of the same test before it is listened on.
-# Each is handed out once: two nodes with one port would never come up.
+# Below the ephemeral ports: one of those, found free, is often taken by an outgoing
+# connection of the same test before a node listens on it. Each port is used only once,
+# because two nodes with the same port would never start.
 PORTS = iter(random.sample(range(20_000, 32_000), 12_000))
 
 
 def find_address() -> str:
-    """Return a loopback address that is free now and stays so."""
+    """Return a free loopback address that is not returned again."""
     for port in PORTS:
         with socket.socket() as sock:
             try:
@@ -39,7 +39,7 @@
 
 
 def build_path(name: str, service: str, **changes: Any) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+    """Return a route in the operator's configuration format."""
     path = {
         "name": name,
         "path_prefix": f"/{name}/",
@@ -54,7 +54,7 @@
     return path | changes
 
 
-# Routes of the mesh that most tests use.
+# The routes that most tests use.
 PATHS = (
     build_path("front", "front"),
     build_path("deep", "deep"),
@@ -64,7 +64,7 @@
 
 
 def build_configuration(version: int, *paths: dict[str, Any], **changes: Any) -> Any:
-    """Return a configuration as the operator writes it."""
+    """Return a policy in the operator's configuration format."""
     tenants = [
         {
             "name": "north",
@@ -90,7 +90,7 @@
 
 
 def build_settings(name: str, service: str, **changes: Any) -> NodeSettings:
-    """Return a node's settings with free addresses."""
+    """Return settings of a node, with free addresses."""
     fields: dict[str, Any] = {
         "name": name,
         "zone": "a",
@@ -117,7 +117,7 @@
 
 
 def build_node(settings: NodeSettings, store: str) -> SidecarNode:
-    """Return a node that is not started."""
+    """Return a node without starting it."""
     journal = Journal(settings.name, "error")
     return SidecarNode(
         settings,
@@ -130,7 +130,7 @@
 
 
 class Place:
-    """A node and the backend server beside it."""
+    """A node and its backend server, which run and fail separately."""
 
     def __init__(self, settings: NodeSettings, store: str):
         self.settings = settings
@@ -144,19 +144,23 @@
         self.backend_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start both."""
+        """Start the node and the backend server."""
         self.task = asyncio.create_task(self.node.run(self.stopping))
         self.backend_task = asyncio.create_task(self.backend.run())
 
     async def kill_node(self) -> None:
-        """End the node without notice."""
+        """Stop the node without a graceful shutdown."""
         assert self.task is not None
         self.task.cancel()
         await asyncio.wait({self.task})
         await self.node.abort()
 
     def start_node_again(self, **changes: Any) -> None:
-        """Start another process of the same node."""
+        """Start the node anew, as a new process would.
+
+        Args:
+            **changes: Settings that differ from before.
+        """
         for name, value in changes.items():
             setattr(self.settings, name, value)
         self.stopping = asyncio.Event()
@@ -164,14 +168,14 @@
         self.task = asyncio.create_task(self.node.run(self.stopping))
 
     async def close(self) -> None:
-        """End both."""
+        """Stop the node and the backend server."""
         if self.backend_task is not None:
             self.backend_task.cancel()
         await self.kill_node()
 
 
 class Mesh:
-    """A store and some places."""
+    """A stand-in store and the instances that use it."""
 
     def __init__(self) -> None:
         self.store_address = find_address()
@@ -179,14 +183,14 @@
         self.places: list[Place] = []
 
     def add(self, service: str, **changes: Any) -> Place:
-        """Add a node with its backend server; it is not started."""
+        """Add an instance without starting it."""
         name = f"{service}-{len(self.places)}"
         place = Place(build_settings(name, service, **changes), self.store_address)
         self.places.append(place)
         return place
 
     async def wait_usable(self, seconds: float = 5.0) -> None:
-        """Wait until every node knows all others and their backend servers."""
+        """Wait until each node knows the others with their backend servers."""
         try:
             async with asyncio.timeout(seconds):
                 while not all(self._sees_all(place) for place in self.places):
@@ -195,7 +199,7 @@
             raise AssertionError(self.describe()) from None
 
     def describe(self) -> str:
-        """Return what each node sees, for a failed test's report."""
+        """Return each node's view of the mesh, for the report of a failed test."""
         lines = []
         for place in self.places:
             node = place.node
@@ -215,7 +219,7 @@
 
 @contextlib.asynccontextmanager
 async def run_mesh(mesh: Mesh) -> AsyncIterator[Mesh]:
-    """Run a mesh's store and places."""
+    """Run a mesh's store and instances."""
     store = asyncio.create_task(mesh.store.run())
     await asyncio.sleep(0.05)
     for place in mesh.places:
@@ -239,7 +243,7 @@
     body: bytes = b"",
     headers: str = "",
 ) -> Answer:
-    """Send one request to a node as a caller does, on a new connection."""
+    """Send one request to a node on a new connection and return the response."""
     pool = ConnectionPool(place.settings.outbound, 1.0)
     authorization = f"Authorization: Token {key}\r\n" if key else ""
     head = (
@@ -256,7 +260,7 @@
 
 
 def get_header(answer: Answer, name: str) -> str:
-    """Return a header's value, empty where it is absent."""
+    """Return a header's value; empty if it is absent."""
     for header, value in answer.headers:
         if header.lower() == name.lower().encode():
             return value.decode()
--- a/tests/test_frame_compression.py
+++ b/tests/test_frame_compression.py
@@ -1,4 +1,4 @@
-"""What goes over the border of an availability zone, and how many bytes it takes."""
+"""Compression of the frames sent between availability zones."""
 
 import os
 import random
@@ -26,7 +26,7 @@
 
 
 def build_call(number: int, body: bytes = b"") -> Call:
-    """Return a look-up as backend servers make it."""
+    """Return a small lookup, as backend servers send it."""
     request_id = os.urandom(8).hex().encode()
     head = (
         b"GET /timetable/%06x HTTP/1.1\r\nHost: api.example\r\n"
@@ -38,7 +38,7 @@
 
 
 def build_full_state(rng: random.Random) -> State:
-    """Return what a node tells twice a second."""
+    """Return a state as nodes broadcast it twice a second."""
     names = [f"service-{number}" for number in range(8)]
     demand = {name: rng.random() * 30 for name in names}
     state = NodeState("i-1", 28, rng.random() * 28, 21.3, demand=demand)
@@ -46,8 +46,9 @@
 
 
 def test_small_calls_are_compressed_to_a_third():
-    """A zone without a backend server of the timetable sent a thousand look-ups a
-    second to another. Their heads were most of what crossed: the same words in each.
+    """Guards against cross-zone traffic that is mostly heads: a zone without a backend
+    server of some service may send a thousand small calls a second to another zone,
+    with nearly equal heads.
     """
     compressor = FrameCompressor()
     calls = [build_call(number) for number in range(200)]
@@ -57,7 +58,7 @@
 
 
 def test_states_are_compressed_to_sixty_percent():
-    """On a quiet day, what nodes tell each other is a quarter of all that crosses."""
+    """Under low load, state broadcasts are a quarter of all cross-zone bytes."""
     rng = random.Random(1)
     compressor = FrameCompressor()
     states = [build_full_state(rng) for _ in range(50)]
@@ -88,7 +89,7 @@
     st.integers(1, 999),
 )
 def test_compressed_frames_round_trip(frames: list, size: int):
-    """Whole and in order, however the bytes are cut on the way."""
+    """Frames are decoded whole and in order, however the bytes are split."""
     compressor = FrameCompressor()
     data = b"".join(encode_compressed_frame(frame, compressor) for frame in frames)
     reader = FrameReader()
@@ -103,13 +104,13 @@
     [b"", b"\x00\x00", b"\x00\x00\xff\x00abc", LENGTH_PREFIX.pack(3) + b"abc"],
 )
 def test_invalid_compressed_payload_ends_the_stream(payload: bytes):
-    """A broken stream is told from a packed one, and not read any further."""
+    """Guards against reading on after a payload that no compressor wrote."""
     with pytest.raises(FrameError):
         FrameReader().feed(LENGTH_PREFIX.pack(len(payload) | COMPRESSED_FLAG) + payload)
 
 
 def test_decompression_bomb_ends_the_stream():
-    """Some kilobytes may unpack to gigabytes; they end the stream, and not a node."""
+    """Guards against some kilobytes that decompress to gigabytes and exhaust memory."""
     compressor = FrameCompressor()
     frame = LENGTH_PREFIX.pack(0)
     payload = compressor.compress_frame(frame + bytes(64 * 1024 * 1024))
@@ -131,8 +132,9 @@
 
 
 def test_streams_without_compressible_frames_create_no_compressor():
-    """Guards against two packers for each node of other zones: at 195 nodes they were a
-    third of a node's memory, and nearly all of these streams carried only pings.
+    """Guards against a compressor and a decompressor for each node of other zones: with
+    195 nodes they take a third of a node's memory, and nearly all of these streams
+    carry only pings.
     """
     stream = FrameStream(lambda *_: None, lambda *_: None)
     transport = FakeTransport()
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -3,7 +3,7 @@
 import subprocess
 import sys
 
-# A process of its own: the library looks at its variable once, at its first loop.
+# Runs in a separate process: the library reads its variable once, at its first loop.
 PROGRAM = """
 import asyncio, os
 from primroseglade.sidecar.loop import build_loop
@@ -23,8 +23,8 @@
 
 
 def test_the_loop_opens_no_io_uring_ring():
-    """Instances have no io_uring. A newer version of the loop's library opened a ring
-    at its start although it was told not to; nothing showed it but an open descriptor.
+    """Guards against a version of uvloop that opens a ring despite its variable, for
+    instances have no io_uring. Only an open descriptor shows the ring.
     """
     done = subprocess.run(
         [sys.executable, "-c", PROGRAM], capture_output=True, text=True, check=True
--- a/tests/test_one_way_delay.py
+++ b/tests/test_one_way_delay.py
@@ -1,12 +1,12 @@
-"""Calls that were held up between two nodes."""
+"""Estimates of the time for which calls are queued between two nodes."""
 
 from primroseglade.sidecar.one_way_delay import MIN_DELAY_WINDOW_SECONDS, OneWayDelay
 
 
 def test_queueing_on_a_full_link_counts_as_excess_delay():
-    """Under three times the usual demand a node took a call from another one 1.8 s
-    after it had been sent, and had it worked on with all the time that it had been
-    given. Its caller had left a second before.
+    """Guards against running a call whose caller has given up: under three times the
+    usual demand, a node may read a call 1.8 s after it was sent, a second after its
+    deadline, yet with all of its time remaining.
     """
     one_way_delay = OneWayDelay()
     clock_offset = 5000.0
@@ -17,7 +17,7 @@
 
 
 def test_jitter_of_some_milliseconds_is_no_excess_delay():
-    """Some milliseconds more or less are no wait."""
+    """Jitter below the threshold must not shorten a call's deadline."""
     one_way_delay = OneWayDelay()
     for number in range(100):
         sent = number * 0.01
@@ -26,8 +26,8 @@
 
 
 def test_a_clock_step_is_absorbed_after_two_windows():
-    """A machine's clock jumped by three seconds: calls from there look held up, but not
-    for ever.
+    """After a machine's clock steps by three seconds, calls from there seem delayed,
+    but only until the old minimum expires.
     """
     one_way_delay = OneWayDelay()
     assert one_way_delay.measure_excess(0.0, 10.0) == 0.0
--- a/tests/test_periodic_scheduler.py
+++ b/tests/test_periodic_scheduler.py
@@ -1,4 +1,4 @@
-"""The periodic duties of a node."""
+"""The scheduler of a node's periodic tasks."""
 
 import random
 
@@ -8,7 +8,7 @@
 
 
 def test_tasks_run_in_order_at_their_intervals():
-    """What is told is what was looked at in the same step."""
+    """A broadcast must send the load that was measured in the same tick."""
     scheduler = PeriodicScheduler(random.Random(1))
     done: list[str] = []
     scheduler.add(lambda _: done.append("look"))
@@ -19,8 +19,8 @@
 
 
 def test_a_failing_task_does_not_stop_the_others():
-    """A fault in what is told of bytes must not stop a node from telling its state,
-    after which all others would take it for idle.
+    """Guards against a failing log task that stops a node's state broadcasts, so that
+    all other nodes take it for idle.
     """
     scheduler = PeriodicScheduler(random.Random(1))
     done: list[float] = []
--- a/tests/test_read_schedule.py
+++ b/tests/test_read_schedule.py
@@ -1,4 +1,4 @@
-"""When nodes ask the platform's store how new their configuration is."""
+"""When nodes read the platform's store to confirm their policy."""
 
 import random
 
@@ -12,7 +12,7 @@
 
 
 def build_schedule(rank: int | None, apply_seconds: float = 2.0) -> ReadSchedule:
-    """Return the schedule of a reader, or of a node that is none."""
+    """Return the schedule of a reader, or of another node if the rank is None."""
     schedule = ReadSchedule(apply_seconds, random.Random(1))
     schedule.set_reader_rank(rank)
     return schedule
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("apply_seconds", [1.0, 2.0, 3.0])
 def test_nodes_never_read_the_store_while_readers_answer(apply_seconds: float):
-    """Guards against a call to the store by each node although readers answer."""
+    """Guards against reads by every node although the readers confirm the policy."""
     first_reader_age = build_schedule(0, apply_seconds).read_age
     if apply_seconds >= 2.0:
         nodes = [build_schedule(None, apply_seconds).read_age for _ in range(20)]
@@ -33,15 +33,15 @@
 
 @pytest.mark.parametrize("apply_seconds", [2.0, 3.0])
 def test_a_node_without_updates_reads_the_store_in_time(apply_seconds: float):
-    """Guards against a configuration that comes into force too late where a node hears
-    nothing: it asks the store before the time is over.
+    """Guards against a policy that becomes active too late at a node that no peer
+    updates: the node must read the store before the time allowed has passed.
     """
     for _ in range(50):
         assert build_schedule(None, apply_seconds).read_age <= 0.93 * apply_seconds
 
 
 def test_reads_of_a_failing_store_back_off():
-    """Guards against five calls a second of every node while the store is down."""
+    """Guards against five calls a second by every node while the store is down."""
     schedule = build_schedule(None)
     backoffs = [schedule.record_failure() for _ in range(10)]
     assert sum(backoffs) > 12.0
@@ -51,7 +51,7 @@
 
 
 def test_only_two_readers_use_long_polling():
-    """Guards against a call of each zone's reader for each version."""
+    """Guards against one long poll per zone for each version of the policy."""
     assert [build_schedule(rank).uses_long_polling for rank in (0, 1, 2, None)] == [
         True,
         True,
