--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -79,12 +79,12 @@
 
     def draw_initial_wait(self, first_start: bool) -> float:
         """Return for how many seconds to wait for a peer's policy after the start."""
-        waits = (
+        wait_range = (
             FLEET_START_WAIT_RANGE_SECONDS
             if first_start
             else INITIAL_WAIT_RANGE_SECONDS
         )
-        return self._rng.uniform(*waits)
+        return self._rng.uniform(*wait_range)
 
     def record_success(self) -> None:
         """Reset the backoff after a successful read."""
--- a/tests/mesh.py
+++ b/tests/mesh.py
@@ -185,15 +185,17 @@
     def add(self, service: str, **changes: Any) -> Place:
         """Add an instance without starting it."""
         name = f"{service}-{len(self.places)}"
-        place = Place(build_settings(name, service, **changes), self.store_address)
-        self.places.append(place)
-        return place
+        instance = Place(build_settings(name, service, **changes), self.store_address)
+        self.places.append(instance)
+        return instance
 
     async def wait_usable(self, seconds: float = 5.0) -> None:
         """Wait until each node knows the others with their backend servers."""
         try:
             async with asyncio.timeout(seconds):
-                while not all(self._sees_all(place) for place in self.places):
+                while not all(
+                    self._knows_all_peers(instance) for instance in self.places
+                ):
                     await asyncio.sleep(0.02)
         except TimeoutError:
             raise AssertionError(self.describe()) from None
@@ -201,20 +203,22 @@
     def describe(self) -> str:
         """Return each node's view of the mesh, for the report of a failed test."""
         lines = []
-        for place in self.places:
-            node = place.node
+        for instance in self.places:
+            node = instance.node
             lines.append(
-                f"{place.settings.name}: version {node.policies.version}, "
+                f"{instance.settings.name}: version {node.policies.version}, "
                 f"backend {node.backend.instance!r}, peers "
                 f"{[(p.entry.name, p.connected, p.state.instance) for p in node.fleet]}"
             )
         return "\n".join(lines)
 
-    def _sees_all(self, place: Place) -> bool:
-        node = place.node
+    def _knows_all_peers(self, instance: Place) -> bool:
+        node = instance.node
         peers = [peer for peer in node.fleet if peer.connected and peer.state.instance]
-        others = len(self.places) - 1
-        return node.ready and bool(node.backend.instance) and len(peers) == others
+        expected_peers = len(self.places) - 1
+        return (
+            node.ready and bool(node.backend.instance) and len(peers) == expected_peers
+        )
 
 
 @contextlib.asynccontextmanager
@@ -222,19 +226,19 @@
     """Run a mesh's store and instances."""
     store = asyncio.create_task(mesh.store.run())
     await asyncio.sleep(0.05)
-    for place in mesh.places:
-        place.start()
+    for instance in mesh.places:
+        instance.start()
     try:
         await mesh.wait_usable()
         yield mesh
     finally:
-        for place in mesh.places:
-            await place.close()
+        for instance in mesh.places:
+            await instance.close()
         store.cancel()
 
 
 async def ask(
-    place: Place,
+    instance: Place,
     path: str,
     request_id: str = "r1",
     key: str | None = "key-1",
@@ -244,7 +248,7 @@
     headers: str = "",
 ) -> Answer:
     """Send one request to a node on a new connection and return the response."""
-    pool = ConnectionPool(place.settings.outbound, 1.0)
+    pool = ConnectionPool(instance.settings.outbound, 1.0)
     authorization = f"Authorization: Token {key}\r\n" if key else ""
     head = (
         f"{method} {path} HTTP/1.1\r\nHost: {HOST}\r\n"
--- a/tests/test_frame_compression.py
+++ b/tests/test_frame_compression.py
@@ -37,7 +37,7 @@
     return Call(number, "i-1", "look", request_id, 640, 290, True, True, head, body)
 
 
-def build_full_state(rng: random.Random) -> State:
+def build_state_frame(rng: random.Random) -> State:
     """Return a state as nodes broadcast it twice a second."""
     names = [f"service-{number}" for number in range(8)]
     demand = {name: rng.random() * 30 for name in names}
@@ -61,7 +61,7 @@
     """Under low load, state broadcasts are a quarter of all cross-zone bytes."""
     rng = random.Random(1)
     compressor = FrameCompressor()
-    states = [build_full_state(rng) for _ in range(50)]
+    states = [build_state_frame(rng) for _ in range(50)]
     uncompressed = sum(len(encode_frame(state)) for state in states)
     compressed = sum(
         len(encode_compressed_frame(state, compressor)) for state in states
--- a/tests/test_read_schedule.py
+++ b/tests/test_read_schedule.py
@@ -23,8 +23,10 @@
     """Guards against reads by every node although the readers confirm the policy."""
     first_reader_age = build_schedule(0, apply_seconds).read_age
     if apply_seconds >= 2.0:
-        nodes = [build_schedule(None, apply_seconds).read_age for _ in range(20)]
-        assert first_reader_age + PROPAGATION_SECONDS <= min(nodes)
+        node_read_ages = [
+            build_schedule(None, apply_seconds).read_age for _ in range(20)
+        ]
+        assert first_reader_age + PROPAGATION_SECONDS <= min(node_read_ages)
     assert all(
         first_reader_age + 0.35 < build_schedule(n, apply_seconds).read_age
         for n in range(1, 6)
