--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -1,4 +1,4 @@
-"""The active policy, that is the configuration read from the store or from a peer."""
+"""Keeps the active policy: the configuration, read from the store or from a peer."""
 
 import asyncio
 import random
@@ -179,8 +179,8 @@
     async def run_long_polls(self) -> None:
         """Long-poll the store for updates until cancelled.
 
-        Only the first readers do so: with all nodes, each version would cost the store
-        one call a node.
+        Only the first readers do so: if all nodes did, each version would cost the
+        store one call per node.
         """
         delay = INITIAL_RETRY_SECONDS
         while True:
@@ -200,7 +200,8 @@
         schedule = self._schedule
         while True:
             if self._policy is not None:
-                # The age grows by at most one second a second.
+                # The age grows by at most one second per second, so no read is due
+                # before.
                 until_due = min(
                     schedule.read_age - self.age, schedule.max_sleep_seconds
                 )
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -92,7 +92,7 @@
         self._read_age = self._draw_read_age()
 
     def record_failure(self) -> float:
-        """Return the seconds to wait after a failed read, with jitter."""
+        """Double the backoff after a failed read; return it in seconds, with jitter."""
         max_backoff = MAX_READER_BACKOFF_SECONDS
         if self._rank is None:
             max_backoff = MAX_NON_READER_BACKOFF_SECONDS
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -24,8 +24,8 @@
 # exhaust this process's memory.
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
 # Compressible frames that a stream sends before it creates a compressor. Compressor and
-# decompressor take most of a peer's memory, and most streams of a large fleet carry
-# hardly any compressible frames.
+# decompressor are most of the memory that a node keeps for a peer, and most streams of
+# a large fleet carry hardly any compressible frames.
 MAX_UNCOMPRESSED_FRAMES = 8
 COMPRESSIBLE_FRAMES = (Call, CallAnswer, State, States)
 
--- a/tests/test_one_way_delay.py
+++ b/tests/test_one_way_delay.py
@@ -5,8 +5,8 @@
 
 def test_queueing_on_a_full_link_counts_as_excess_delay():
     """Guards against running a call whose caller has given up: under three times the
-    usual demand, a node may read a call 1.8 s after it was sent, a second after its
-    deadline, yet with all of its time remaining.
+    usual demand, a node may read a call 1.8 s after it was sent, which is a second
+    after its deadline. Without a correction, all of its time seems to remain.
     """
     one_way_delay = OneWayDelay()
     clock_offset = 5000.0
