--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -1,49 +1,50 @@
-"""Frames packed on the streams between availability zones, where bytes are dear.
+"""Compresses frames between availability zones, where traffic is expensive.
 
-Heads of calls and answers repeat from frame to frame on a stream, and states repeat
-names: they take a quarter of their bytes where each frame is packed with what went
-before in mind. Bodies are sent as they are; callers that want them smaller compress
-them themselves.
+The heads of calls and responses on a stream resemble each other, and states repeat
+names. Compressed with the preceding frames as context, they shrink to a quarter. Bodies
+are sent as they are; callers that want them smaller compress them themselves.
 """
 
 import struct
 import zlib
 
 LENGTH_PREFIX = struct.Struct(">I")
-# What went before is remembered for some heads, as raw deflate; each end of a stream
-# keeps memory for it.
+# Raw deflate with a window of 2 KiB, enough for some heads; both ends of each stream
+# keep a window in memory.
 WINDOW_BITS = -11
-MEMORY_LEVEL = 4
-LEVEL = 3
-# Ends each piece in the same way, and is not sent (RFC 7692, section 7.2.1).
-SYNC_MARK = b"\x00\x00\xff\xff"
-# The largest head of a frame that is unpacked: a configuration's, many times over.
-HEAD_BYTES = 16 * 1024 * 1024
+ZLIB_MEMORY_LEVEL = 4
+COMPRESSION_LEVEL = 3
+# The end of every sync flush, removed before sending (RFC 7692, section 7.2.1).
+SYNC_FLUSH_MARKER = b"\x00\x00\xff\xff"
+# Limit of a decompressed head, many times the size of a large policy.
+MAX_HEAD_BYTES = 16 * 1024 * 1024
 
 
 class DecompressionError(Exception):
-    """Bytes that cannot be unpacked."""
+    """The payload is not a valid compressed frame."""
 
 
 class FrameCompressor:
-    """The sending end of a stream."""
+    """Compresses the frames of one stream, in the order in which they are sent."""
 
-    __slots__ = ("_deflate",)
+    __slots__ = ("_compressor",)
 
     def __init__(self) -> None:
-        self._deflate = zlib.compressobj(
-            LEVEL, zlib.DEFLATED, WINDOW_BITS, MEMORY_LEVEL
+        self._compressor = zlib.compressobj(
+            COMPRESSION_LEVEL, zlib.DEFLATED, WINDOW_BITS, ZLIB_MEMORY_LEVEL
         )
 
     def compress_frame(self, head: bytes, body: bytes = b"") -> bytes:
-        """Return a frame's bytes, but for its length."""
-        packed = self._deflate.compress(head) + self._deflate.flush(zlib.Z_SYNC_FLUSH)
-        packed = packed[: -len(SYNC_MARK)]
-        return LENGTH_PREFIX.pack(len(packed)) + packed + body
+        """Return the payload of a frame: compressed head, with its length, and body."""
+        compressed = self._compressor.compress(head) + self._compressor.flush(
+            zlib.Z_SYNC_FLUSH
+        )
+        compressed = compressed[: -len(SYNC_FLUSH_MARKER)]
+        return LENGTH_PREFIX.pack(len(compressed)) + compressed + body
 
 
 class FrameDecompressor:
-    """The receiving end of a stream.
+    """Decompresses the frames of one stream, in the order in which they were sent.
 
     >>> compressor = FrameCompressor()
     >>> decompressor = FrameDecompressor()
@@ -51,30 +52,34 @@
     (b'head', b'body')
     """
 
-    __slots__ = ("_inflate",)
+    __slots__ = ("_decompressor",)
 
     def __init__(self) -> None:
-        self._inflate = zlib.decompressobj(WINDOW_BITS)
+        self._decompressor = zlib.decompressobj(WINDOW_BITS)
 
     def decompress_frame(self, payload: bytes) -> tuple[bytes, bytes]:
-        """Return a frame's head and body.
+        """Return the head and body of a compressed frame.
 
         Raises:
-            DecompressionError: The bytes are none of a packer's.
+            DecompressionError: The payload is not a valid compressed frame.
         """
         if len(payload) < LENGTH_PREFIX.size:
-            raise DecompressionError("a packed frame without a length")
+            raise DecompressionError(
+                f"compressed frame of {len(payload)} bytes lacks its length prefix"
+            )
         (length,) = LENGTH_PREFIX.unpack_from(payload)
         end = LENGTH_PREFIX.size + length
         if end > len(payload):
-            raise DecompressionError("a packed frame that is cut short")
+            raise DecompressionError(
+                f"compressed frame truncated: {len(payload)} of at least {end} bytes"
+            )
         try:
-            packed = payload[LENGTH_PREFIX.size : end] + SYNC_MARK
-            head = self._inflate.decompress(packed, HEAD_BYTES)
+            compressed = payload[LENGTH_PREFIX.size : end] + SYNC_FLUSH_MARKER
+            head = self._decompressor.decompress(compressed, MAX_HEAD_BYTES)
         except zlib.error as error:
             raise DecompressionError(str(error)) from error
-        if self._inflate.unconsumed_tail or self._inflate.eof:
+        if self._decompressor.unconsumed_tail or self._decompressor.eof:
             raise DecompressionError(
-                "a packed frame that is too large, or ends the stream"
+                f"frame head exceeds {MAX_HEAD_BYTES} bytes or ends the deflate stream"
             )
         return head, payload[end:]
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -1,49 +1,48 @@
-"""How long calls were on their way, from clocks that do not agree.
+"""Estimates how long calls were queued between two nodes whose clocks differ.
 
-A call says how much time its caller has left when it is sent. On a link that is full,
-or at a node that has no processor time for its streams, it may wait for longer than
-that, and the work would be done for nobody. The difference of two nodes' clocks is not
-known, but it stays the same: what a call took longer than the quickest of those lately,
-it waited.
+A call states the time remaining until its deadline when it is sent. On a congested
+link, or at a node short of processor time, it may be queued for longer than that, and
+running it would be wasted work. The offset of two nodes' clocks is unknown, but
+constant: a call was queued for as long as its delay exceeds the recent minimum.
 """
 
 import math
 
-# The quickest call is looked for in this many seconds, twice: clocks of machines drift
-# by less than a millisecond in that time.
+# The minimum is taken over the current and the previous window of this length. Clocks
+# drift by less than a millisecond in that time.
 MIN_DELAY_WINDOW_SECONDS = 10.0
-# Waits below this are the usual unevenness of links and loops.
-LEAST_SECONDS = 0.02
+# A smaller excess is normal jitter of links and event loops, and reported as none.
+MIN_REPORTED_SECONDS = 0.02
 
 
 class OneWayDelay:
-    """The calls that come on one stream.
+    """Tracks the minimum delay of the calls on one stream.
 
     >>> delay = OneWayDelay()
-    >>> delay.measure_excess(sent=100.0, now=7.0)
+    >>> delay.measure_excess(sent_at=100.0, now=7.0)
     0.0
-    >>> round(delay.measure_excess(sent=101.0, now=9.5), 3)
+    >>> round(delay.measure_excess(sent_at=101.0, now=9.5), 3)
     1.5
     """
 
-    __slots__ = ("_before", "_least", "_since")
+    __slots__ = ("_previous_window_min", "_window_min", "_window_start")
 
     def __init__(self) -> None:
-        self._least = math.inf
-        self._before = math.inf
-        self._since = 0.0
+        self._window_min = math.inf
+        self._previous_window_min = math.inf
+        self._window_start = 0.0
 
-    def measure_excess(self, sent: float, now: float) -> float:
-        """Return for how many seconds a call waited on its way.
+    def measure_excess(self, sent_at: float, now: float) -> float:
+        """Return for how many seconds a call was queued between the nodes.
 
         Args:
-            sent: Seconds on the sender's clock.
-            now: Seconds on the own one; both count while a machine is suspended.
+            sent_at: When it was sent, in seconds on the sender's age clock.
+            now: When it was received, in seconds on the age clock of this node.
         """
-        if now - self._since > MIN_DELAY_WINDOW_SECONDS:
-            self._before, self._least = self._least, math.inf
-            self._since = now
-        apart = now - sent
-        self._least = min(self._least, apart)
-        waited = apart - min(self._least, self._before)
-        return waited if waited >= LEAST_SECONDS else 0.0
+        if now - self._window_start > MIN_DELAY_WINDOW_SECONDS:
+            self._previous_window_min, self._window_min = self._window_min, math.inf
+            self._window_start = now
+        apparent_delay = now - sent_at
+        self._window_min = min(self._window_min, apparent_delay)
+        excess = apparent_delay - min(self._window_min, self._previous_window_min)
+        return excess if excess >= MIN_REPORTED_SECONDS else 0.0
--- a/tests/test_frame_compression.py
+++ b/tests/test_frame_compression.py
@@ -1,4 +1,4 @@
-"""What goes over the border of an availability zone, and how many bytes it takes."""
+"""Compression of the frames sent between availability zones."""
 
 import os
 import random
@@ -26,7 +26,7 @@
 
 
 def build_call(number: int, body: bytes = b"") -> Call:
-    """Return a look-up as backend servers make it."""
+    """Return a small lookup, as backend servers send it."""
     request_id = os.urandom(8).hex().encode()
     head = (
         b"GET /timetable/%06x HTTP/1.1\r\nHost: api.example\r\n"
@@ -37,33 +37,36 @@
     return Call(number, "i-1", "look", request_id, 640, 290, True, True, head, body)
 
 
-def build_full_state(rng: random.Random) -> State:
-    """Return what a node tells twice a second."""
+def build_state_frame(rng: random.Random) -> State:
+    """Return a state as nodes broadcast it twice a second."""
     names = [f"service-{number}" for number in range(8)]
     demand = {name: rng.random() * 30 for name in names}
     state = NodeState("i-1", 28, rng.random() * 28, 21.3, demand=demand)
     return State(state, False)
 
 
-def test_small_calls_between_zones_take_a_third_of_their_bytes():
-    """A zone without a backend server of the timetable sent a thousand look-ups a
-    second to another. Their heads were most of what crossed: the same words in each.
+def test_small_calls_are_compressed_to_a_third():
+    """Guards against cross-zone traffic that is mostly heads: a zone without a backend
+    server of some service may send a thousand small calls a second to another zone,
+    with nearly equal heads.
     """
     compressor = FrameCompressor()
     calls = [build_call(number) for number in range(200)]
-    plain = sum(len(encode_frame(call)) for call in calls)
-    packed = sum(len(encode_compressed_frame(call, compressor)) for call in calls)
-    assert packed < plain / 3
+    uncompressed = sum(len(encode_frame(call)) for call in calls)
+    compressed = sum(len(encode_compressed_frame(call, compressor)) for call in calls)
+    assert compressed < uncompressed / 3
 
 
-def test_states_between_zones_take_half_of_their_bytes():
-    """On a quiet day, what nodes tell each other is a quarter of all that crosses."""
+def test_states_are_compressed_to_sixty_percent():
+    """Under low load, state broadcasts are a quarter of all cross-zone bytes."""
     rng = random.Random(1)
     compressor = FrameCompressor()
-    states = [build_full_state(rng) for _ in range(50)]
-    plain = sum(len(encode_frame(state)) for state in states)
-    packed = sum(len(encode_compressed_frame(state, compressor)) for state in states)
-    assert packed < 0.6 * plain
+    states = [build_state_frame(rng) for _ in range(50)]
+    uncompressed = sum(len(encode_frame(state)) for state in states)
+    compressed = sum(
+        len(encode_compressed_frame(state, compressor)) for state in states
+    )
+    assert compressed < 0.6 * uncompressed
 
 
 @given(
@@ -85,8 +88,8 @@
     ),
     st.integers(1, 999),
 )
-def test_whatever_is_packed_comes_out_the_same(frames: list, size: int):
-    """Whole and in order, however the bytes are cut on the way."""
+def test_compressed_frames_round_trip(frames: list, size: int):
+    """Frames are decoded whole and in order, however the bytes are split."""
     compressor = FrameCompressor()
     data = b"".join(encode_compressed_frame(frame, compressor) for frame in frames)
     reader = FrameReader()
@@ -100,14 +103,14 @@
     "payload",
     [b"", b"\x00\x00", b"\x00\x00\xff\x00abc", LENGTH_PREFIX.pack(3) + b"abc"],
 )
-def test_bytes_that_nobody_packed_end_the_stream(payload: bytes):
-    """A broken stream is told from a packed one, and not read any further."""
+def test_invalid_compressed_payload_ends_the_stream(payload: bytes):
+    """Guards against reading on after a payload that no compressor wrote."""
     with pytest.raises(FrameError):
         FrameReader().feed(LENGTH_PREFIX.pack(len(payload) | COMPRESSED_FLAG) + payload)
 
 
-def test_a_small_packed_frame_cannot_fill_the_memory():
-    """Some kilobytes may unpack to gigabytes; they end the stream, and not a node."""
+def test_decompression_bomb_ends_the_stream():
+    """Guards against some kilobytes that decompress to gigabytes and exhaust memory."""
     compressor = FrameCompressor()
     frame = LENGTH_PREFIX.pack(0)
     payload = compressor.compress_frame(frame + bytes(64 * 1024 * 1024))
@@ -128,9 +131,10 @@
         return 0
 
 
-def test_streams_that_carry_little_keep_no_memory_for_packing():
-    """Guards against two packers for each node of other zones: at 195 nodes they were a
-    third of a node's memory, and nearly all of these streams carried only pings.
+def test_streams_without_compressible_frames_create_no_compressor():
+    """Guards against a compressor and a decompressor for each node of other zones: with
+    195 nodes they take a third of a node's memory, and nearly all of these streams
+    carry only pings.
     """
     stream = FrameStream(lambda *_: None, lambda *_: None)
     transport = FakeTransport()
@@ -138,12 +142,12 @@
     stream.mark_cross_zone(CrossZoneBytes())
     for number in range(1000):
         stream.send(Ping(number))
-    assert stream._packer is None
+    assert stream._compressor is None
     calls = [build_call(number) for number in range(100)]
     for call in calls:
         stream.send(call)
-    assert stream._packer is not None
+    assert stream._compressor is not None
     frames = FrameReader().feed(transport.written)
     assert frames[1000:] == calls
-    plain = sum(len(encode_frame(call)) for call in calls)
-    assert len(transport.written) < 1000 * 10 + plain / 2
+    uncompressed = sum(len(encode_frame(call)) for call in calls)
+    assert len(transport.written) < 1000 * 10 + uncompressed / 2
