--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -8,7 +8,7 @@
 MAX_NAMED_ROUTES = 200
 OTHER_ROUTES = "other"
 # Interval between log lines, and the number of largest counts in each.
-BYTES_LOG_SECONDS = 10.0
+CROSS_ZONE_LOG_INTERVAL_SECONDS = 10.0
 MAX_LOGGED_ENTRIES = 12
 
 
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -20,7 +20,11 @@
 from .backend_registration import BackendRegistration
 from .call_graph import CallGraph
 from .call_ratios import CallRatioEstimator
-from .cross_zone_bytes import BYTES_LOG_SECONDS, CrossZoneBytes, log_cross_zone_bytes
+from .cross_zone_bytes import (
+    CROSS_ZONE_LOG_INTERVAL_SECONDS,
+    CrossZoneBytes,
+    log_cross_zone_bytes,
+)
 from .deadlines import Deadlines
 from .dispatch import Dispatcher
 from .fleet import Fleet
@@ -375,7 +379,7 @@
         scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_SECONDS)
         scheduler.add(
             lambda _: log_cross_zone_bytes(self.cross_zone_bytes, self._journal),
-            BYTES_LOG_SECONDS,
+            CROSS_ZONE_LOG_INTERVAL_SECONDS,
         )
         return scheduler
 
