--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -13,15 +13,15 @@
 from .policy_tracker import StoreError
 
 # A backend server waits one second for the acknowledgement of its report.
-ACKNOWLEDGE_SECONDS = 0.8
+ACK_TIMEOUT_SECONDS = 0.8
 # Other nodes that are asked to remember a leaving backend server, so that one
 # remains where another fails.
-WITNESSES = 2
-POLL_SECONDS = 0.005
+DRAIN_REPLICAS = 2
+STORE_POLL_SECONDS = 0.005
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
 # Ids of leaving backend servers that a node remembers for others.
-MOST_REMEMBERED = 512
+MAX_RECORDED_DRAINS = 512
 
 
 class BackendRegistration:
@@ -60,8 +60,8 @@
         self._journal = journal
         self._rng = rng
         self._broadcast_state = broadcast_state
-        self._known = first_start
-        self._kept: set[str] = set()
+        self._drains_loaded = first_start
+        self._stored_drains: set[str] = set()
         self._recorded_drains: dict[str, int] = {}
 
     @property
@@ -71,21 +71,21 @@
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
         """Remember that a backend server beside another node leaves."""
-        while len(self._recorded_drains) >= MOST_REMEMBERED:
+        while len(self._recorded_drains) >= MAX_RECORDED_DRAINS:
             self._recorded_drains.pop(next(iter(self._recorded_drains)))
         self._recorded_drains[instance] = start_time_ms
 
     def apply_drains(self, drains: dict[str, int]) -> None:
         """Take in which backend servers leave, as a peer remembers."""
-        self._known = True
+        self._drains_loaded = True
         for instance, start_time_ms in drains.items():
             self._backend.drain(instance, start_time_ms)
 
     async def handle_report(self, report: StatusReport) -> bool:
         """Take in a status report; return whether to acknowledge it."""
-        was = self._backend.instance
-        if not was and not self._known:
-            await self._ask_store()
+        previous_instance = self._backend.instance
+        if not previous_instance and not self._drains_loaded:
+            await self._load_drains()
         draining = report.state is BackendState.DRAINING
         if self._backend.is_stale(report):
             if draining:
@@ -93,23 +93,25 @@
                 self._backend.drain(report.instance, report.start_time_ms)
         elif not self._backend.apply_report(report):
             return False
-        if self._backend.instance != was:
+        if self._backend.instance != previous_instance:
             self._broadcast_state()
         if draining:
-            return await self._keep(report.instance, report.start_time_ms)
+            return await self._persist_drain(report.instance, report.start_time_ms)
         return True
 
     async def handle_deregistration(self, instance: str, start_time_ms: int) -> bool:
         """Take in that a backend server leaves; return whether to acknowledge it."""
-        was = self._backend.instance
+        previous_instance = self._backend.instance
         self._backend.drain(instance, start_time_ms)
-        if was and not self._backend.instance:
+        if previous_instance and not self._backend.instance:
             self._broadcast_state()
-        return await self._keep(instance, start_time_ms or self._backend.start_time_ms)
+        return await self._persist_drain(
+            instance, start_time_ms or self._backend.start_time_ms
+        )
 
-    async def _ask_store(self) -> None:
+    async def _load_drains(self) -> None:
         try:
-            drains = await self._store.list_drains(ACKNOWLEDGE_SECONDS)
+            drains = await self._store.list_drains(ACK_TIMEOUT_SECONDS)
         except StoreError as error:
             # Peers tell what they remember as streams to them open; whoever has an
             # acknowledged leave is the store or one of them.
@@ -117,39 +119,39 @@
             return
         self.apply_drains(drains)
 
-    async def _keep(self, instance: str, start_time_ms: int) -> bool:
+    async def _persist_drain(self, instance: str, start_time_ms: int) -> bool:
         """Have a leave kept, and return whether it is."""
-        if instance in self._kept:
+        if instance in self._stored_drains:
             return True
         self._supervisor.start_once(
-            f"drain of {instance}", lambda: self._write(instance, start_time_ms)
+            f"drain of {instance}", lambda: self._write_drain(instance, start_time_ms)
         )
         peers = self._fleet.list_connected()
         self._rng.shuffle(peers)
-        witnesses = [
+        replications = [
             asyncio.create_task(
-                peer.replicate_drain(instance, start_time_ms, ACKNOWLEDGE_SECONDS)
+                peer.replicate_drain(instance, start_time_ms, ACK_TIMEOUT_SECONDS)
             )
-            for peer in peers[:WITNESSES]
+            for peer in peers[:DRAIN_REPLICAS]
         ]
         try:
-            async with asyncio.timeout(ACKNOWLEDGE_SECONDS):
-                while instance not in self._kept:
-                    await asyncio.sleep(POLL_SECONDS)
+            async with asyncio.timeout(ACK_TIMEOUT_SECONDS):
+                while instance not in self._stored_drains:
+                    await asyncio.sleep(STORE_POLL_SECONDS)
         except TimeoutError:
             # The store may come back; the write goes on meanwhile.
             pass
-        results = await asyncio.gather(*witnesses, return_exceptions=True)
-        seen = any(not isinstance(result, BaseException) for result in results)
-        return seen or instance in self._kept
+        results = await asyncio.gather(*replications, return_exceptions=True)
+        replicated = any(not isinstance(result, BaseException) for result in results)
+        return replicated or instance in self._stored_drains
 
-    async def _write(self, instance: str, start_time_ms: int) -> None:
+    async def _write_drain(self, instance: str, start_time_ms: int) -> None:
         while True:
             try:
                 await self._store.write_drain(
                     instance, start_time_ms, STORE_TIMEOUT_SECONDS
                 )
-                self._kept.add(instance)
+                self._stored_drains.add(instance)
                 return
             except StoreError as error:
                 self._journal.emit(STORE_WRITE_FAILED, what="drain", error=str(error))
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -14,8 +14,8 @@
 
 # Nodes looked at for a call, in this node's zone and in others: the best of a few at
 # random is nearly as good as the best of all, and costs the same in any fleet.
-NEAR_SAMPLE = 5
-FAR_SAMPLE = 3
+SAME_ZONE_SAMPLE_SIZE = 5
+CROSS_ZONE_SAMPLE_SIZE = 3
 
 
 class Survey:
@@ -137,10 +137,10 @@
         """Whether calls wait for an answer of another node."""
         return any(peer.has_pending_calls for peer in self._peers.values())
 
-    def check_silence(self, now: float) -> None:
+    def check_liveness(self, now: float) -> None:
         """Look for streams on which nothing comes any more."""
         for peer in list(self._peers.values()):
-            peer.check_silence(now)
+            peer.check_liveness(now)
 
     def list_readers(self) -> list[str]:
         """Return the nodes whose knowledge of the configuration the others ask for.
@@ -177,7 +177,7 @@
         service_peers = self.index.get_service_peers(service)
         same_zone_peers = self._sample(
             service_peers.same_zone_peers,
-            NEAR_SAMPLE,
+            SAME_ZONE_SAMPLE_SIZE,
             tried,
             downstream_costs,
         )
@@ -188,7 +188,7 @@
             same_zone_peers,
             lambda: self._sample(
                 service_peers.cross_zone_peers,
-                FAR_SAMPLE,
+                CROSS_ZONE_SAMPLE_SIZE,
                 tried,
                 downstream_costs,
             ),
@@ -197,9 +197,9 @@
             failure_cost_ms,
             self._rng,
         )
-        return chosen or self._find_suspect(service_peers, tried, downstream_costs)
+        return chosen or self._find_suspect_peer(service_peers, tried, downstream_costs)
 
-    def _find_suspect(
+    def _find_suspect_peer(
         self,
         service_peers: ServicePeers,
         tried: Collection[str],
@@ -208,42 +208,42 @@
         """Return a node that is silent, where no other serves a call."""
         for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
             if peer.usable and peer.entry.name not in tried:
-                return self._describe(peer, downstream_costs)
+                return self._build_candidate(peer, downstream_costs)
         return None
 
     def _sample(
         self,
         peers: list[Peer],
-        most: int,
+        max_count: int,
         tried: Collection[str],
         downstream_costs: ZoneCostsMs,
     ) -> list[Candidate]:
         """Return some nodes that may be asked, others with each call."""
-        found: list[Candidate] = []
-        if len(peers) > most:
+        candidates: list[Candidate] = []
+        if len(peers) > max_count:
             start = int(self._rng.random() * len(peers))
             peers = peers[start:] + peers[:start]
         for peer in peers:
-            if not peer.usable or peer.entry.name in tried or peer.suspect:
+            if not peer.usable or peer.entry.name in tried or peer.is_suspect:
                 continue
-            found.append(self._describe(peer, downstream_costs))
-            if len(found) == most:
+            candidates.append(self._build_candidate(peer, downstream_costs))
+            if len(candidates) == max_count:
                 break
-        return found
+        return candidates
 
-    def _describe(self, peer: Peer, downstream_costs: ZoneCostsMs) -> Candidate:
+    def _build_candidate(self, peer: Peer, downstream_costs: ZoneCostsMs) -> Candidate:
         zone = peer.entry.zone
         return build_candidate(peer, zone == self.zone, downstream_costs.get(zone, 0.0))
 
     def get_failure_ratio(self, service: str) -> float:
         """Return the share of calls that fail at a service, over its nodes."""
         service_peers = self.index.get_service_peers(service)
-        told = [
+        ratios = [
             peer.state.failure_ratio
             for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers
             if peer.state.instance
         ]
-        return sum(told) / len(told) if told else 0.0
+        return sum(ratios) / len(ratios) if ratios else 0.0
 
     def survey(self) -> "Survey":
         """Return how busy the other nodes are, by service."""
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -16,7 +16,7 @@
         self.cross_zone_peers: list[Peer] = []
 
 
-NOWHERE = ServicePeers()
+NO_PEERS = ServicePeers()
 
 
 class FleetIndex:
@@ -27,35 +27,37 @@
         peers: The others.
     """
 
-    __slots__ = ("_own", "_places", "_zones")
+    __slots__ = ("_nodes_by_zone", "_own", "_peers_by_service")
 
     def __init__(self, own: NodeEntry, peers: Iterable[Peer]):
         self._own = own
-        self._places: dict[str, ServicePeers] = {}
+        self._peers_by_service: dict[str, ServicePeers] = {}
         # The names of a zone's nodes in order; None stands for this node.
-        self._zones: dict[str, list[tuple[str, Peer | None]]] = {
+        self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
             own.zone: [(own.name, None)]
         }
         for peer in peers:
             entry = peer.entry
-            service_peers = self._places.setdefault(entry.service, ServicePeers())
+            service_peers = self._peers_by_service.setdefault(
+                entry.service, ServicePeers()
+            )
             (
                 service_peers.same_zone_peers
                 if entry.zone == own.zone
                 else service_peers.cross_zone_peers
             ).append(peer)
-            self._zones.setdefault(entry.zone, []).append((entry.name, peer))
-        for names in self._zones.values():
+            self._nodes_by_zone.setdefault(entry.zone, []).append((entry.name, peer))
+        for names in self._nodes_by_zone.values():
             names.sort(key=lambda item: item[0])
 
     @property
     def zones(self) -> int:
         """Number of availability zones."""
-        return len(self._zones)
+        return len(self._nodes_by_zone)
 
     def get_service_peers(self, service: str) -> ServicePeers:
         """Return the nodes of a service."""
-        return self._places.get(service, NOWHERE)
+        return self._peers_by_service.get(service, NO_PEERS)
 
     def list_first(self, count: int, connected: bool = True) -> dict[str, list[str]]:
         """Return the first nodes of each zone by name.
@@ -65,7 +67,7 @@
             connected: Whether only nodes are meant to which a stream is open.
         """
         first: dict[str, list[str]] = {}
-        for zone, nodes in self._zones.items():
+        for zone, nodes in self._nodes_by_zone.items():
             names: list[str] = []
             for name, peer in nodes:
                 if peer is None or peer.connected or not connected:
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -13,7 +13,7 @@
 
 LENGTH_PREFIX = struct.Struct(">I")
 # Larger than any body that callers may send, with its head.
-FRAME_BYTES = 80 * 1024 * 1024
+MAX_FRAME_BYTES = 80 * 1024 * 1024
 # Added to the length of a frame that is packed.
 COMPRESSED_FLAG = 1 << 31
 
@@ -290,11 +290,11 @@
 class FrameReader:
     """Cuts a stream of bytes into frames."""
 
-    __slots__ = ("_buffer", "_unpacker")
+    __slots__ = ("_buffer", "_decompressor")
 
     def __init__(self) -> None:
         self._buffer = bytearray()
-        self._unpacker: FrameDecompressor | None = None
+        self._decompressor: FrameDecompressor | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
         """Return the frames that are whole by now.
@@ -317,27 +317,27 @@
         start = 0
         while len(buffer) - start >= LENGTH_PREFIX.size:
             (length,) = LENGTH_PREFIX.unpack_from(buffer, start)
-            packed = bool(length & COMPRESSED_FLAG)
+            compressed = bool(length & COMPRESSED_FLAG)
             length &= ~COMPRESSED_FLAG
-            if length > FRAME_BYTES:
+            if length > MAX_FRAME_BYTES:
                 raise FrameError(f"a frame of {length} bytes")
             end = start + LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
             payload = bytes(memoryview(buffer)[start + LENGTH_PREFIX.size : end])
-            frames.append(self._decode(payload, packed))
+            frames.append(self._decode(payload, compressed))
             start = end
         if start:
             del buffer[:start]
         return frames
 
-    def _decode(self, payload: bytes, packed: bool) -> Frame:
+    def _decode(self, payload: bytes, compressed: bool) -> Frame:
         try:
-            if not packed:
+            if not compressed:
                 return _decoder.decode(payload)
-            if self._unpacker is None:
-                self._unpacker = FrameDecompressor()
-            head, body = self._unpacker.decompress_frame(payload)
+            if self._decompressor is None:
+                self._decompressor = FrameDecompressor()
+            head, body = self._decompressor.decompress_frame(payload)
             frame = _decoder.decode(head)
         except (msgspec.MsgspecError, DecompressionError) as error:
             raise FrameError(str(error)) from error
--- a/primroseglade/sidecar/freshness.py
+++ b/primroseglade/sidecar/freshness.py
@@ -21,7 +21,7 @@
 
     def __init__(self, clock: Callable[[], float] = read_age_clock):
         self._clock = clock
-        self._confirmed: float | None = None
+        self._confirmed_at: float | None = None
 
     @property
     def now(self) -> float:
@@ -31,17 +31,17 @@
     @property
     def age(self) -> float:
         """Seconds for which a newer version may have existed; infinite at first."""
-        if self._confirmed is None:
+        if self._confirmed_at is None:
             return float("inf")
-        return self._clock() - self._confirmed
+        return self._clock() - self._confirmed_at
 
-    def confirm(self, asked_at: float, told_age: float = 0.0) -> None:
+    def confirm(self, asked_at: float, reported_age: float = 0.0) -> None:
         """Note that the version in force was the newest.
 
         Args:
             asked_at: When the question was sent.
-            told_age: Seconds that the answer itself is old.
+            reported_age: Age of the answer, in seconds.
         """
-        moment = asked_at - told_age
-        if self._confirmed is None or moment > self._confirmed:
-            self._confirmed = moment
+        confirmed_at = asked_at - reported_age
+        if self._confirmed_at is None or confirmed_at > self._confirmed_at:
+            self._confirmed_at = confirmed_at
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -120,10 +120,10 @@
     The workspace's priority goes before the route's; among requests of workspaces
     of one priority the route's decides.
     """
-    first = route.priority
+    primary = route.priority
     if tenant is not None and tenant.priority is not None:
-        first = tenant.priority
-    return first * (LOWEST_PRIORITY + 1) + min(route.priority, LOWEST_PRIORITY)
+        primary = tenant.priority
+    return primary * (LOWEST_PRIORITY + 1) + min(route.priority, LOWEST_PRIORITY)
 
 
 class CallerLimits:
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -38,22 +38,22 @@
 
 # A stream on which a call waits and nothing came for so long is asked for a sign of
 # life: where calls are answered, answers come in between.
-ASK_SECONDS = 0.25
+IDLE_BEFORE_PING_SECONDS = 0.25
 # A question is answered in milliseconds, whatever the backend server does. A node that
 # has not answered for so long gets no calls that others can take: calls to a zone that
 # is cut off do not wait out their timeouts.
-SUSPECT_SECONDS = 0.25
+SUSPECT_AFTER_SECONDS = 0.25
 # A question that is unanswered for so long, with nothing else heard, ends the stream,
 # and calls that may be repeated go elsewhere. A packet lost twice still arrives.
-SILENT_SECONDS = 1.0
-CONNECT_SECONDS = 1.0
-FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 2.0
+PING_TIMEOUT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 2.0
 # Weight of a call's end in the share that fails there, about the last 30 calls.
 FAILURE_SMOOTHING = 1 / 32
 # A node that could not be reached for so long is forgotten. Longer than restarts and
 # cuts last; one that comes back introduces itself.
-FORGET_SECONDS = 120.0
+PEER_EXPIRY_SECONDS = 120.0
 
 
 class PeerHost(Protocol):
@@ -109,18 +109,22 @@
         self._token_requests = TokenRequests(self._loop)
         self._clock = RemoteClock()
         self._last_id = 0
-        self._ping_asked_at = 0.0
+        self._ping_sent_boottime = 0.0
         self._ping_sent_at = 0.0
-        self._busy_since = 0.0
+        self._pending_since = 0.0
         self._ping_id = 0
-        self._lost: asyncio.Event = asyncio.Event()
-        self._greeted = False
-        self._unreachable_told = False
+        self._disconnected: asyncio.Event = asyncio.Event()
+        self._hello_received = False
+        self._unreachable_logged = False
 
     @property
     def connected(self) -> bool:
         """Whether calls can be sent to it."""
-        return self._greeted and self._stream is not None and not self._stream.closed
+        return (
+            self._hello_received
+            and self._stream is not None
+            and not self._stream.closed
+        )
 
     @property
     def usable(self) -> bool:
@@ -133,35 +137,35 @@
         return bool(self._pending)
 
     @property
-    def suspect(self) -> bool:
+    def is_suspect(self) -> bool:
         """Whether it was asked for a sign of life and nothing is heard."""
         if not self._ping_id or not self._pending:
             return False
         stream = self._stream
         if stream is None or stream.last_received_at >= self._ping_sent_at:
             return False
-        return time.monotonic() - self._ping_sent_at > SUSPECT_SECONDS
+        return time.monotonic() - self._ping_sent_at > SUSPECT_AFTER_SECONDS
 
     async def run(self) -> None:
         """Keep a stream to the node, until it is unreachable for long."""
-        delay = FIRST_RETRY_SECONDS
-        reached_at = time.monotonic()
-        while time.monotonic() - reached_at < FORGET_SECONDS:
+        backoff = INITIAL_BACKOFF_SECONDS
+        last_connected_at = time.monotonic()
+        while time.monotonic() - last_connected_at < PEER_EXPIRY_SECONDS:
             try:
-                self._lost.clear()
+                self._disconnected.clear()
                 await self._connect()
-                await self._lost.wait()
+                await self._disconnected.wait()
             except (TimeoutError, OSError) as error:
-                self._tell_unreachable(error)
+                self._log_unreachable(error)
             finally:
-                self._drop("given up")
-            if self._greeted:
-                self._greeted = False
-                self._unreachable_told = False
-                delay = FIRST_RETRY_SECONDS
-                reached_at = time.monotonic()
-            await asyncio.sleep(random.uniform(delay / 2, delay))
-            delay = min(LONGEST_RETRY_SECONDS, delay * 2)
+                self._disconnect("given up")
+            if self._hello_received:
+                self._hello_received = False
+                self._unreachable_logged = False
+                backoff = INITIAL_BACKOFF_SECONDS
+                last_connected_at = time.monotonic()
+            await asyncio.sleep(random.uniform(backoff / 2, backoff))
+            backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     def apply_state(self, state: NodeState) -> bool:
         """Take in what the node told; return whether it was new."""
@@ -190,7 +194,7 @@
         self.in_flight += 1
         call.sent_ms = int(read_age_clock() * 1000)
         try:
-            reply = await self._ask(call)
+            reply = await self._request(call)
         except asyncio.CancelledError:
             self._send(Cancel(call.id))
             raise
@@ -213,7 +217,7 @@
             TimeoutError: No answer in time.
         """
         async with asyncio.timeout(timeout):
-            reply = await self._ask(PolicyRequest(0))
+            reply = await self._request(PolicyRequest(0))
         assert isinstance(reply, PolicyAnswer)
         return reply
 
@@ -227,7 +231,7 @@
             TimeoutError: No answer in time.
         """
         async with asyncio.timeout(timeout):
-            await self._ask(DrainNote(0, instance, start_time_ms))
+            await self._request(DrainNote(0, instance, start_time_ms))
 
     def request_tokens(self, request: TokenRequest, done: GrantHandler) -> None:
         """Ask for tokens of a workspace; ``done`` is called in any case."""
@@ -241,12 +245,12 @@
 
     def lend_share(self, seconds: float) -> bool:
         """Lend it this node's share of all rates; return whether a lease was sent."""
-        remote = self._clock.estimate(read_age_clock())
-        if remote is None or not self.connected:
+        remote_time = self._clock.estimate(read_age_clock())
+        if remote_time is None or not self.connected:
             return False
-        return self.ask_policy_age(int((remote + seconds) * 1000))
+        return self.send_ping(int((remote_time + seconds) * 1000))
 
-    def ask_policy_age(self, lease_ms: int = 0) -> bool:
+    def send_ping(self, lease_ms: int = 0) -> bool:
         """Ask how old its knowledge of the configuration is, if it is not asked yet.
 
         Args:
@@ -256,16 +260,16 @@
             Whether the question was sent.
         """
         now = time.monotonic()
-        if self._ping_id and not self._may_ask_again(now):
+        if self._ping_id and not self._may_ping_again(now):
             return False
         self._last_id += 1
         self._ping_id = self._last_id
         self._ping_sent_at = now
-        self._ping_asked_at = read_age_clock()
-        self._send(Ping(self._ping_id, int(self._ping_asked_at * 1000), lease_ms))
+        self._ping_sent_boottime = read_age_clock()
+        self._send(Ping(self._ping_id, int(self._ping_sent_boottime * 1000), lease_ms))
         return True
 
-    def check_silence(self, now: float) -> None:
+    def check_liveness(self, now: float) -> None:
         """Ask a stream that is silent while calls wait, and give up one that stays so.
 
         The other end, or a link that lost track of the connection, takes what is sent
@@ -274,21 +278,26 @@
         stream = self._stream
         if stream is None:
             return
-        if self._ping_id and now - self._ping_sent_at > SILENT_SECONDS:
+        if self._ping_id and now - self._ping_sent_at > PING_TIMEOUT_SECONDS:
             if stream.last_received_at < self._ping_sent_at:
-                self._drop("silent")
+                self._disconnect("silent")
         elif self._pending:
-            if now - max(stream.last_received_at, self._busy_since) > ASK_SECONDS:
-                self.ask_policy_age()
+            if (
+                now - max(stream.last_received_at, self._pending_since)
+                > IDLE_BEFORE_PING_SECONDS
+            ):
+                self.send_ping()
 
-    def _may_ask_again(self, now: float) -> bool:
+    def _may_ping_again(self, now: float) -> bool:
         """Whether a question is old, though others were heard of since.
 
         While nothing was heard, a new question would hide for how long.
         """
         stream = self._stream
-        heard = stream is not None and stream.last_received_at >= self._ping_sent_at
-        return heard and now - self._ping_sent_at >= SILENT_SECONDS
+        received_since = (
+            stream is not None and stream.last_received_at >= self._ping_sent_at
+        )
+        return received_since and now - self._ping_sent_at >= PING_TIMEOUT_SECONDS
 
     def _build_refusal(self, reply: CallRefused) -> Refusal:
         reason = Reason.from_code(reply.reason) or Reason.OVERLOADED
@@ -298,14 +307,14 @@
             return BackendRefusal(reason, detail=reply.detail)
         return not_run(reason, reply.detail)
 
-    async def _ask(self, frame: Call | PolicyRequest | DrainNote) -> Frame:
+    async def _request(self, frame: Call | PolicyRequest | DrainNote) -> Frame:
         if self._stream is None:
             raise ConnectionError("no stream to the node")
         self._last_id += 1
         frame.id = self._last_id
         future: asyncio.Future[Frame] = self._loop.create_future()
         if not self._pending:
-            self._busy_since = time.monotonic()
+            self._pending_since = time.monotonic()
         self._pending[frame.id] = future
         self._stream.send(frame, frame.route if isinstance(frame, Call) else "")
         try:
@@ -316,19 +325,19 @@
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         host, port = parse_address(self.entry.address)
-        async with asyncio.timeout(CONNECT_SECONDS):
+        async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
             _, stream = await loop.create_connection(
-                lambda: FrameStream(self._receive, self._note_lost), host, port
+                lambda: FrameStream(self._receive, self._handle_disconnect), host, port
             )
         self._stream = stream
         if self.entry.zone != self._host.entry.zone:
             stream.mark_cross_zone(self._host.cross_zone_bytes)
         stream.send(Hello(self._host.entry))
-        self.ask_policy_age()
+        self.send_ping()
 
-    def _tell_unreachable(self, error: Exception) -> None:
-        if not self._unreachable_told:
-            self._unreachable_told = True
+    def _log_unreachable(self, error: Exception) -> None:
+        if not self._unreachable_logged:
+            self._unreachable_logged = True
             reason = str(error) or "timed out"
             self._journal.emit(PEER_UNREACHABLE, peer=self.entry.name, reason=reason)
 
@@ -350,50 +359,50 @@
             for name, state in frame.states:
                 self._host.apply_relayed_state(name, state)
         elif isinstance(frame, Pong):
-            self._take_policy_age(frame)
+            self._handle_pong(frame)
         elif isinstance(frame, Hello):
-            self._greet(frame)
+            self._handle_hello(frame)
 
-    def _greet(self, hello: Hello) -> None:
+    def _handle_hello(self, hello: Hello) -> None:
         if hello.entry.name != self.entry.name:
             # Its address belongs to another node by now.
-            self._drop("another node answers there")
+            self._disconnect("another node answers there")
             return
         self.entry = hello.entry
-        self._greeted = True
+        self._hello_received = True
         self._journal.emit(PEER_CONNECTED, peer=self.entry.name)
         self._host.apply_drains(hello.drains)
         if hello.state is not None:
             self.apply_state(hello.state)
 
-    def _take_policy_age(self, pong: Pong) -> None:
+    def _handle_pong(self, pong: Pong) -> None:
         if pong.id != self._ping_id:
             return
         self._ping_id = 0
         now = read_age_clock()
-        known = self._clock.estimate(now) is not None
+        clock_known = self._clock.estimate(now) is not None
         self._clock.record(pong.clock_ms / 1000, now)
-        if not known:
+        if not clock_known:
             self._host.record_peer_clock()
         age = pong.policy_age_ms / 1000
-        self._host.record_policy_age(pong.policy_version, age, self._ping_asked_at)
+        self._host.record_policy_age(pong.policy_version, age, self._ping_sent_boottime)
 
-    def _note_lost(self, stream: FrameStream, reason: str) -> None:
+    def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
         if stream is self._stream:
-            self._drop(reason)
+            self._disconnect(reason)
 
-    def _drop(self, reason: str) -> None:
+    def _disconnect(self, reason: str) -> None:
         stream, self._stream = self._stream, None
         if stream is not None:
             stream.close()
-            if self._greeted:
+            if self._hello_received:
                 self._journal.emit(
                     PEER_LOST,
                     peer=self.entry.name,
                     reason=reason,
                     in_flight=len(self._pending),
                 )
-        self._lost.set()
+        self._disconnected.set()
         self._ping_id = 0
         self._clock = RemoteClock()
         self._token_requests.fail_all()
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -10,15 +10,15 @@
 # How often peers are asked how old the configuration is, in seconds: readers ask the
 # first of them, nodes ask the reader of their zone.
 READER_POLL_SECONDS = 0.25
-ASK_SECONDS = 0.5
+NON_READER_POLL_SECONDS = 0.5
 # How often streams are looked at for silence, in seconds, while calls wait for answers;
 # and while none do, to see whether this process stood still.
-SILENCE_SECONDS = 0.1
-IDLE_SILENCE_SECONDS = 0.25
+LIVENESS_CHECK_SECONDS = 0.1
+IDLE_LIVENESS_CHECK_SECONDS = 0.25
 # A look that comes so late says that this process stood still.
-LATE_SECONDS = 0.1
+STALL_THRESHOLD_SECONDS = 0.1
 # For so long after that, what is read may be old.
-CATCH_UP_SECONDS = 0.5
+STALL_RECOVERY_SECONDS = 0.5
 
 
 class PeerMonitor:
@@ -42,42 +42,44 @@
         self._fleet = fleet
         self._policies = policies
         self._report_stall = report_stall
-        self._late_until = 0.0
-        self._turns = 0
+        self._stalled_until = 0.0
+        self._poll_count = 0
 
     def poll_policy_age(self, now: float) -> None:
         """Ask how old the configuration is: near, and farther where that is no use."""
         readers = self._fleet.list_readers()
         rank = readers.index(self._node) if self._node in readers else None
         self._policies.set_reader_rank(rank)
-        self._turns += 1
-        if rank is None and self._turns % (ASK_SECONDS / READER_POLL_SECONDS):
+        self._poll_count += 1
+        if rank is None and self._poll_count % (
+            NON_READER_POLL_SECONDS / READER_POLL_SECONDS
+        ):
             return
         overdue = self._policies.is_overdue
-        for place, name in enumerate(readers):
+        for position, name in enumerate(readers):
             peer = self._fleet.get(name)
             if peer is None:
                 continue
-            first = place == 0 and rank is not None
-            if overdue or first or peer.entry.zone == self._fleet.zone:
-                peer.ask_policy_age()
+            polls_first_reader = position == 0 and rank is not None
+            if overdue or polls_first_reader or peer.entry.zone == self._fleet.zone:
+                peer.send_ping()
 
     async def run_silence_checks(self) -> None:
         """Look for streams on which nothing comes any more, again and again."""
         while True:
-            pause = (
-                SILENCE_SECONDS
+            interval = (
+                LIVENESS_CHECK_SECONDS
                 if self._fleet.has_pending_calls
-                else IDLE_SILENCE_SECONDS
+                else IDLE_LIVENESS_CHECK_SECONDS
             )
-            due = time.monotonic() + pause
-            await asyncio.sleep(pause)
+            due = time.monotonic() + interval
+            await asyncio.sleep(interval)
             now = time.monotonic()
             # As of the moment for which this look was planned: where it comes late,
             # this process stood still and not the others, and what they sent since is
             # still to be read. A process that is always a little late looks all the
             # same, or calls to a zone that is cut off would wait out their time.
-            self._fleet.check_silence(due)
-            if now - due >= LATE_SECONDS:
-                self._late_until = now + CATCH_UP_SECONDS
-            self._report_stall(now < self._late_until)
+            self._fleet.check_liveness(due)
+            if now - due >= STALL_THRESHOLD_SECONDS:
+                self._stalled_until = now + STALL_RECOVERY_SECONDS
+            self._report_stall(now < self._stalled_until)
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -96,7 +96,7 @@
         self._dispatcher = dispatcher
         self._journal = journal
         self._streams: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
-        self._greeted: dict[FrameStream, NodeEntry] = {}
+        self._introduced_nodes: dict[FrameStream, NodeEntry] = {}
         self._one_way_delays: dict[FrameStream, OneWayDelay] = {}
 
     @property
@@ -109,7 +109,7 @@
         loop = asyncio.get_running_loop()
         host, port = parse_address(self._address)
         server = await loop.create_server(
-            lambda: FrameStream(self._receive, self._note_lost),
+            lambda: FrameStream(self._receive, self._handle_disconnect),
             host,
             port,
             reuse_address=True,
@@ -120,17 +120,17 @@
             server.close()
 
     def send(
-        self, frame: Frame, wanted: Callable[[NodeEntry], bool] = lambda _: True
+        self, frame: Frame, is_recipient: Callable[[NodeEntry], bool] = lambda _: True
     ) -> None:
         """Send a frame to the nodes that hold a stream to this one.
 
         Args:
             frame: Encoded once for all of them in this node's zone.
-            wanted: Tells which ones get it.
+            is_recipient: Returns whether a node receives the frame.
         """
         data = encode_frame(frame)
-        for stream, entry in self._greeted.items():
-            if not wanted(entry):
+        for stream, entry in self._introduced_nodes.items():
+            if not is_recipient(entry):
                 continue
             if stream.is_cross_zone:
                 stream.send(frame)
@@ -151,9 +151,9 @@
         tasks = self._streams.setdefault(stream, {})
         if isinstance(frame, Call):
             # What it waited on its way is gone from its caller's time.
-            waited = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
-            frame.remaining_ms -= waited
-            frame.latency_target_ms -= waited
+            queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
+            frame.remaining_ms -= queueing_ms
+            frame.latency_target_ms -= queueing_ms
             task = self._loop.create_task(self._serve(stream, frame))
             tasks[frame.id] = task
             task.add_done_callback(lambda _: tasks.pop(frame.id, None))
@@ -170,12 +170,12 @@
                 stream.mark_cross_zone(self._host.cross_zone_bytes)
             state = self._host.build_full_state()
             stream.send(Hello(self._host.entry, state, self._host.drains))
-            self._greeted[stream] = frame.entry
+            self._introduced_nodes[stream] = frame.entry
             self._host.handle_hello(frame.entry)
         elif isinstance(frame, PolicyRequest):
             stream.send(self._host.build_policy_answer(frame.id))
         elif isinstance(frame, TokenRequest):
-            sender = self._greeted.get(stream)
+            sender = self._introduced_nodes.get(stream)
             if sender is not None:
                 self._host.answer_token_request(sender.name, frame, stream.send)
         elif isinstance(frame, DrainNote):
@@ -189,15 +189,15 @@
             one_way_delay = self._one_way_delays[stream] = OneWayDelay()
         return one_way_delay.measure_excess(sent_ms / 1000, read_age_clock())
 
-    def _note_lost(self, stream: FrameStream, reason: str) -> None:
-        self._greeted.pop(stream, None)
+    def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
+        self._introduced_nodes.pop(stream, None)
         self._one_way_delays.pop(stream, None)
         # The node that sent them is gone, or nothing reaches it: nobody waits.
         for task in list(self._streams.pop(stream, {}).values()):
             task.cancel()
 
     def _answer_ping(self, stream: FrameStream, ping: Ping) -> None:
-        lender = self._greeted.get(stream)
+        lender = self._introduced_nodes.get(stream)
         if ping.lease_ms and lender is not None:
             self._host.record_lease(lender, ping.lease_ms)
         answer = self._host.build_policy_answer(ping.id)
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -21,28 +21,28 @@
 # and costs little processor time in a fleet of this size.
 MAX_DIRECT_NODES = 24
 # What calls a route makes changes with the configuration and is told this often.
-CALLS_TOLD_SECONDS = 2.0
+CALL_RATIOS_INTERVAL_SECONDS = 2.0
 
 
 class RelayBuffer:
     """States of other nodes that wait to be handed on."""
 
     def __init__(self) -> None:
-        self._waiting: dict[str, NodeState] = {}
+        self._pending: dict[str, NodeState] = {}
 
     def add(self, name: str, state: NodeState) -> None:
         """Keep a node's state; what it said before in addition stays."""
-        before = self._waiting.get(name)
-        if before is not None:
+        previous = self._pending.get(name)
+        if previous is not None:
             if state.downstream_calls is None:
-                state.downstream_calls = before.downstream_calls
-        self._waiting[name] = state
+                state.downstream_calls = previous.downstream_calls
+        self._pending[name] = state
 
     def take(self) -> list[tuple[str, NodeState]]:
         """Return what waits, and forget it."""
-        waiting = list(self._waiting.items())
-        self._waiting = {}
-        return waiting
+        pending = list(self._pending.items())
+        self._pending = {}
+        return pending
 
 
 class StateBroadcaster:
@@ -72,7 +72,7 @@
         self._relay_buffer = RelayBuffer()
         # Above all that a former life of this node told, as its entry is newer.
         self._sequence = entry.started
-        self._calls_told_at = 0.0
+        self._call_ratios_sent_at = 0.0
 
     def build_full_state(self) -> NodeState:
         """Return all that this node tells, for one that knows nothing yet."""
@@ -85,7 +85,7 @@
 
     def broadcast_now(self) -> None:
         """Tell every node directly and at once: a change that must not wait."""
-        self._server.send(State(self._build_change(), relay=False))
+        self._server.send(State(self._build_update(), relay=False))
 
     def relay_state(self, name: str, state: NodeState) -> None:
         """Tell this node's zone what another node told."""
@@ -94,31 +94,31 @@
 
     def relay_pending(self, now: float) -> None:
         """Hand on what other nodes told since the last time."""
-        waiting = self._relay_buffer.take()
-        if waiting:
-            self._server.send(States(waiting), self._is_neighbour)
+        pending = self._relay_buffer.take()
+        if pending:
+            self._server.send(States(pending), self._is_same_zone)
 
     def broadcast(self, now: float) -> None:
         """Tell the state."""
         if len(self._fleet) <= MAX_DIRECT_NODES:
             self.broadcast_now()
             return
-        state = self._build_change()
+        state = self._build_update()
         readers = set(self._fleet.list_readers())
         if self._entry.name in readers:
             self._relay_buffer.add(self._entry.name, state.copy())
         self._server.send(State(state, relay=True), lambda other: other.name in readers)
 
-    def _is_neighbour(self, other: NodeEntry) -> bool:
+    def _is_same_zone(self, other: NodeEntry) -> bool:
         return other.zone == self._entry.zone
 
-    def _build_change(self) -> NodeState:
+    def _build_update(self) -> NodeState:
         """Return what changed since it was told last."""
         now = time.monotonic()
         self._sequence += 1
         state = self._build_load()
         state.sequence = self._sequence
-        if now - self._calls_told_at > CALLS_TOLD_SECONDS:
-            self._calls_told_at = now
+        if now - self._call_ratios_sent_at > CALL_RATIOS_INTERVAL_SECONDS:
+            self._call_ratios_sent_at = now
             state.downstream_calls = self._call_ratios.get_ratios(now)
         return state
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -19,7 +19,7 @@
     cross_zone_bytes = CrossZoneBytes()
 
 
-class NoTasks:
+class FakeSupervisor:
     """Starts nothing: no stream is opened."""
 
     def start(self, name: str, work: object) -> None:
@@ -30,7 +30,9 @@
 async def fleet(monkeypatch: pytest.MonkeyPatch) -> Fleet:
     """Twelve backend servers of a service in each of three zones, all idle."""
     monkeypatch.setattr(Peer, "connected", property(lambda self: True))
-    fleet = Fleet(PeerHost(), NoTasks(), Journal("here", "error"), random.Random(1))
+    fleet = Fleet(
+        PeerHost(), FakeSupervisor(), Journal("here", "error"), random.Random(1)
+    )
     for number in range(36):
         name = f"deep-{number:02}"
         fleet.update_node(NodeEntry(name, "127.0.0.1:2", "abc"[number % 3], "deep", 1))
@@ -40,7 +42,7 @@
     return fleet
 
 
-async def test_all_backend_servers_of_a_zone_get_their_part(fleet: Fleet):
+async def test_all_backend_servers_of_a_zone_get_calls(fleet: Fleet):
     """Nodes looked at the first eight of their zone by name. The other four stood idle
     while those eight had queues, and calls crossed to other zones.
     """
@@ -53,7 +55,7 @@
     assert min(chosen.values()) > 0.6 * 6000 / 12
 
 
-async def test_nobody_is_asked_twice_while_others_are_left(fleet: Fleet):
+async def test_each_node_is_tried_once_same_zone_first(fleet: Fleet):
     """What was tried is passed over, in its zone first; in the end nobody is left."""
     tried: list[str] = []
     zones = []
@@ -64,7 +66,7 @@
     assert zones == [True] * 12 + [False] * 24
 
 
-async def test_a_queue_in_the_whole_zone_sends_calls_to_others(fleet: Fleet):
+async def test_calls_cross_zones_when_the_whole_zone_queues(fleet: Fleet):
     """Where all of a zone's backend servers have two calls waiting for each slot."""
     for number in range(0, 36, 3):
         peer = fleet.get(f"deep-{number:02}")
--- a/tests/test_state_broadcast.py
+++ b/tests/test_state_broadcast.py
@@ -35,11 +35,13 @@
         self.fleet = fleet
         self.sent: list[tuple[str, Frame]] = []
 
-    def send(self, frame: Frame, wanted=lambda _: True) -> None:
-        self.sent += [(e.name, frame) for e in self.fleet.entries if wanted(e)]
+    def send(self, frame: Frame, is_recipient=lambda _: True) -> None:
+        self.sent += [(e.name, frame) for e in self.fleet.entries if is_recipient(e)]
 
 
-def build_teller(size: int, name: str = "a-99") -> tuple[StateBroadcaster, FakeServer]:
+def build_broadcaster(
+    size: int, name: str = "a-99"
+) -> tuple[StateBroadcaster, FakeServer]:
     """Return a teller of a node of the first zone; by default not of its reader."""
     fleet = FakeFleet(size)
     fleet.entries = [entry for entry in fleet.entries if entry.name != name]
@@ -54,28 +56,28 @@
     return broadcaster, server
 
 
-def test_a_small_fleet_is_told_directly():
+def test_small_fleet_broadcasts_directly():
     """Every other node gets it, and nobody hands it on."""
-    broadcaster, server = build_teller(MAX_DIRECT_NODES)
+    broadcaster, server = build_broadcaster(MAX_DIRECT_NODES)
     broadcaster.broadcast(0.0)
     assert len(server.sent) == MAX_DIRECT_NODES
     assert not any(frame.relay for _, frame in server.sent)
 
 
-def test_a_large_fleet_is_told_through_one_node_in_each_zone():
+def test_large_fleet_broadcasts_through_one_relay_per_zone():
     """With 88 nodes that all told all others, states took more of the processor than
     callers' requests, and with neighbours that told each other still half of it: each
     message wakes a node. So one node of each zone, the own too, hands it on.
     """
-    broadcaster, server = build_teller(88)
+    broadcaster, server = build_broadcaster(88)
     broadcaster.broadcast(0.0)
     assert [name for name, _ in server.sent] == ["a-00", "b-01", "c-02", "d-03"]
     assert all(frame.relay for _, frame in server.sent)
 
 
-def test_the_one_that_hands_on_tells_its_neighbours_of_itself():
+def test_relay_includes_its_own_state():
     """It tells one node in each other zone, and its neighbours with what it heard."""
-    broadcaster, server = build_teller(88, name="a-00")
+    broadcaster, server = build_broadcaster(88, name="a-00")
     broadcaster.relay_state("b-05", NodeState(in_flight=2.0))
     broadcaster.broadcast(0.0)
     relayed = [name for name, frame in server.sent if isinstance(frame, State)]
@@ -84,33 +86,33 @@
     broadcaster.relay_pending(0.25)
     assert {name[0] for name, _ in server.sent} == {"a"}
     assert len(server.sent) == 21
-    told = server.sent[0][1]
-    assert isinstance(told, States)
-    assert [name for name, _ in told.states] == ["b-05", "a-00"]
+    update = server.sent[0][1]
+    assert isinstance(update, States)
+    assert [name for name, _ in update.states] == ["b-05", "a-00"]
 
 
-def test_a_leave_is_told_to_all_at_once():
+def test_urgent_change_is_broadcast_to_all_nodes():
     """Requests must not reach a backend server that leaves; this does not wait."""
-    broadcaster, server = build_teller(88)
+    broadcaster, server = build_broadcaster(88)
     broadcaster.broadcast_now()
     assert len(server.sent) == 88
 
 
-def test_what_waits_to_be_handed_on_loses_nothing():
+def test_relay_buffer_keeps_call_ratios_of_an_earlier_state():
     """Two states of one node between two rounds: what its backend server calls, which
     only the first told, stays.
     """
-    relay = RelayBuffer()
-    relay.add("b-01", NodeState(downstream_calls={"": {"x": 1.0}}))
-    relay.add("b-01", NodeState(in_flight=3.0))
-    ((name, state),) = relay.take()
+    buffer = RelayBuffer()
+    buffer.add("b-01", NodeState(downstream_calls={"": {"x": 1.0}}))
+    buffer.add("b-01", NodeState(in_flight=3.0))
+    ((name, state),) = buffer.take()
     assert name == "b-01"
     assert state.in_flight == 3.0
     assert state.downstream_calls == {"": {"x": 1.0}}
-    assert relay.take() == []
+    assert buffer.take() == []
 
 
-def test_states_survive_the_wire():
+def test_states_round_trip_through_frames():
     """The frames decode to what was sent."""
     from primroseglade.sidecar.frames import encode_frame, FrameReader
 
