--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -1,4 +1,4 @@
-"""All nodes as this one knows them, and who serves what."""
+"""The other nodes that this one knows, and the choice of a node for a call."""
 
 import random
 from collections.abc import Collection, Iterator
@@ -12,19 +12,20 @@
 from .peer import Peer, PeerHost
 from .zone_costs import ZoneCostsMs
 
-# Nodes looked at for a call, in this node's zone and in others: the best of a few at
-# random is nearly as good as the best of all, and costs the same in any fleet.
+# Nodes compared for each call, in this node's zone and in others. The best of a few
+# random ones is nearly as good as the best of all, at a cost independent of fleet size.
 SAME_ZONE_SAMPLE_SIZE = 5
 CROSS_ZONE_SAMPLE_SIZE = 3
 
 
 class Survey:
-    """What other nodes tell of load, by service.
+    """Load, costs and demand that nodes report, by service.
 
     Attributes:
-        loads: How busy the backend servers are.
-        min_costs: What a call costs beyond its work, by zone.
-        demand: Calls a second that the nodes' callers ask for.
+        loads: Load of the backend servers.
+        min_costs: Lowest cost of a call in each zone, in milliseconds beyond its
+            service time.
+        demand: Calls per second requested by the nodes' callers.
     """
 
     __slots__ = ("demand", "loads", "min_costs")
@@ -35,7 +36,7 @@
         self.demand: dict[str, float] = {}
 
     def add(self, peer: Peer) -> None:
-        """Add a node to which a stream is open."""
+        """Add the state of a connected node."""
         state = peer.state
         for service, calls in state.demand.items():
             self.demand[service] = self.demand.get(service, 0.0) + calls
@@ -48,7 +49,7 @@
             )
 
     def record_cost(self, service: str, zone: str, cost: float) -> None:
-        """Take in what a call costs at one backend server."""
+        """Record the cost in milliseconds of a call at one backend server."""
         zones = self.min_costs.setdefault(service, {})
         zones[zone] = min(cost, zones.get(zone, cost))
 
@@ -56,7 +57,13 @@
 def build_candidate(
     peer: Peer, same_zone: bool = False, downstream_ms: float = 0.0
 ) -> Candidate:
-    """Return a node as a place for a call."""
+    """Return a node as a load balancing candidate.
+
+    Args:
+        peer: The node.
+        same_zone: Whether it is in this node's availability zone.
+        downstream_ms: Cost in milliseconds of the calls made below a call there.
+    """
     state = peer.state
     return Candidate(
         peer.entry.name,
@@ -70,13 +77,13 @@
 
 
 class Fleet:
-    """The other nodes.
+    """The other nodes: adds and removes them, and picks one for each call.
 
     Args:
         host: This node.
         supervisor: Runs a task for each peer.
-        journal: Where changes are told.
-        rng: Breaks ties between nodes.
+        journal: Logs added and removed peers.
+        rng: Picks the nodes compared for a call and breaks ties.
     """
 
     def __init__(
@@ -97,7 +104,7 @@
         return iter(list(self._peers.values()))
 
     def __len__(self) -> int:
-        """Nodes that are known, this one too."""
+        """Return the number of known nodes, including this one."""
         return len(self._peers) + 1
 
     @property
@@ -107,17 +114,17 @@
 
     @property
     def index(self) -> FleetIndex:
-        """The nodes by service and by availability zone."""
+        """The nodes by service and by availability zone, built when first needed."""
         if self._index is None:
             self._index = FleetIndex(self._host.entry, self._peers.values())
         return self._index
 
     def get(self, name: str) -> Peer | None:
-        """Return a node by its name."""
+        """Return the peer with a name, or None."""
         return self._peers.get(name)
 
     def update_node(self, entry: NodeEntry) -> None:
-        """Take in how a node is found; the newest start of a name counts."""
+        """Add a node, or update its entry if it was started more recently."""
         if entry.name == self._host.entry.name:
             return
         known = self._peers.get(entry.name)
@@ -134,25 +141,25 @@
 
     @property
     def has_pending_calls(self) -> bool:
-        """Whether calls wait for an answer of another node."""
+        """Whether requests to other nodes await a reply."""
         return any(peer.has_pending_calls for peer in self._peers.values())
 
     def check_liveness(self, now: float) -> None:
-        """Look for streams on which nothing comes any more."""
+        """Ping or disconnect peers that do not answer; ``now`` in monotonic seconds."""
         for peer in list(self._peers.values()):
             peer.check_liveness(now)
 
     def list_readers(self) -> list[str]:
-        """Return the nodes whose knowledge of the configuration the others ask for.
+        """Return the readers, which other nodes ask how old the configuration is.
 
-        One in each availability zone, by name among those that can be reached: all
-        nodes that see each other name the same ones, without a word.
+        The reader of an availability zone is its first connected node by name, so
+        nodes that see each other agree on it without coordination.
         """
         first = self.index.list_first(1)
         return sorted(names[0] for names in first.values())
 
     def list_connected(self) -> list[Peer]:
-        """Return the nodes to which a stream is open."""
+        """Return the peers to which a stream is open."""
         return [peer for peer in self._peers.values() if peer.connected]
 
     def choose(
@@ -164,15 +171,15 @@
         failure_cost_ms: float,
         downstream_costs: ZoneCostsMs,
     ) -> Candidate | None:
-        """Return where a call to a service goes next.
+        """Return the node for the next attempt of a call, None if none is left.
 
         Args:
-            service: What is called.
-            own: This node, where its backend server serves it.
-            tried: Names of nodes that are not to be asked again.
-            cross_zone_cost_ms: By how much another availability zone has to be better.
-            failure_cost_ms: What a failed call costs.
-            downstream_costs: What the calls below it cost, by zone.
+            service: The called service.
+            own: This node, if its backend server provides the service.
+            tried: Names of nodes already tried.
+            cross_zone_cost_ms: Extra cost of a call to another availability zone.
+            failure_cost_ms: Cost of a failed call.
+            downstream_costs: Cost of the calls made below the call, by zone.
         """
         service_peers = self.index.get_service_peers(service)
         same_zone_peers = self._sample(
@@ -205,7 +212,7 @@
         tried: Collection[str],
         downstream_costs: ZoneCostsMs,
     ) -> Candidate | None:
-        """Return a node that is silent, where no other serves a call."""
+        """Return an untried suspect node, the last resort of a call."""
         for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
             if peer.usable and peer.entry.name not in tried:
                 return self._build_candidate(peer, downstream_costs)
@@ -218,7 +225,7 @@
         tried: Collection[str],
         downstream_costs: ZoneCostsMs,
     ) -> list[Candidate]:
-        """Return some nodes that may be asked, others with each call."""
+        """Return up to ``max_count`` usable nodes, beginning at a random one."""
         candidates: list[Candidate] = []
         if len(peers) > max_count:
             start = int(self._rng.random() * len(peers))
@@ -236,7 +243,7 @@
         return build_candidate(peer, zone == self.zone, downstream_costs.get(zone, 0.0))
 
     def get_failure_ratio(self, service: str) -> float:
-        """Return the share of calls that fail at a service, over its nodes."""
+        """Return the average fraction of failed calls over a service's nodes."""
         service_peers = self.index.get_service_peers(service)
         ratios = [
             peer.state.failure_ratio
@@ -246,7 +253,7 @@
         return sum(ratios) / len(ratios) if ratios else 0.0
 
     def survey(self) -> "Survey":
-        """Return how busy the other nodes are, by service."""
+        """Return load, costs and demand of the connected peers, by service."""
         survey = Survey()
         for peer in self._peers.values():
             if peer.connected:
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -1,4 +1,4 @@
-"""The nodes of a fleet by service and by availability zone."""
+"""Index of a fleet's nodes by service and by availability zone."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class ServicePeers:
-    """The nodes of one service, in this node's zone and in others."""
+    """The peers that provide one service, in this node's zone and in others."""
 
     __slots__ = ("cross_zone_peers", "same_zone_peers")
 
@@ -20,11 +20,11 @@
 
 
 class FleetIndex:
-    """Built anew when a node comes or goes.
+    """The nodes by service and by zone; rebuilt when a node is added or removed.
 
     Args:
-        own: This node.
-        peers: The others.
+        own: Entry of this node.
+        peers: The other nodes.
     """
 
     __slots__ = ("_nodes_by_zone", "_own", "_peers_by_service")
@@ -32,7 +32,7 @@
     def __init__(self, own: NodeEntry, peers: Iterable[Peer]):
         self._own = own
         self._peers_by_service: dict[str, ServicePeers] = {}
-        # The names of a zone's nodes in order; None stands for this node.
+        # Nodes of each zone, sorted by name; the peer is None for this node.
         self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
             own.zone: [(own.name, None)]
         }
@@ -56,15 +56,15 @@
         return len(self._nodes_by_zone)
 
     def get_service_peers(self, service: str) -> ServicePeers:
-        """Return the nodes of a service."""
+        """Return the peers that provide a service."""
         return self._peers_by_service.get(service, NO_PEERS)
 
     def list_first(self, count: int, connected: bool = True) -> dict[str, list[str]]:
-        """Return the first nodes of each zone by name.
+        """Return the names of the first nodes of each zone, in order of name.
 
         Args:
-            count: How many of each zone.
-            connected: Whether only nodes are meant to which a stream is open.
+            count: Maximum number of nodes per zone.
+            connected: Whether to leave out peers to which no stream is open.
         """
         first: dict[str, list[str]] = {}
         for zone, nodes in self._nodes_by_zone.items():
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -1,22 +1,22 @@
-"""What a node believes: the configuration in force, backend servers, other nodes."""
+"""Data model of the sidecar: configuration, backend reports and node states."""
 
 import enum
 
 import msgspec
 
-# Calls with no priority of their own stand behind all that have one.
+# Also the default of routes without a priority; 0 is the most urgent.
 LOWEST_PRIORITY = 9
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated on a route."""
+    """Whether calls of a route may run more than once."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
 
 
 class WeightedService:
-    """A service that takes a share of a route's calls."""
+    """A service with the weight of its share of a route's calls."""
 
     __slots__ = ("name", "weight")
 
@@ -26,19 +26,20 @@
 
 
 class Route:
-    """Calls of one host under one path prefix.
+    """A route: the calls to one host under one path prefix.
 
     Args:
-        name: The operator's name for it.
-        host: Host that callers name.
+        name: Name in the operator's configuration.
+        host: Host that callers name in the request.
         prefix: Path prefix, with a slash at both ends.
         kind: Whether a call may run more than once.
-        services: Who serves it, by weight.
-        timeout: Seconds a call may take at the most.
-        target_latency: Seconds within which an answer has its full use.
-        priority: Rank; 0 is the most urgent.
-        max_attempts: Backend servers that one call may be sent to.
-        public: Whether calls need no key.
+        services: Services that share the calls, by weight.
+        timeout: Maximum duration of a call, in seconds.
+        target_latency: Latency target in seconds; a later answer is worth less to the
+            caller.
+        priority: 0 is the most urgent.
+        max_attempts: Maximum number of backend servers that one call is sent to.
+        public: Whether calls need no API key.
     """
 
     __slots__ = (
@@ -85,18 +86,18 @@
 
     @property
     def latency_tolerance(self) -> float:
-        """Seconds that an answer may usually take without loss to its caller."""
+        """Latency in seconds that usually costs the caller nothing."""
         return min(self.target_latency, self.timeout / 2)
 
 
 class Tenant:
-    """A workspace that holds keys.
+    """A workspace that holds API keys.
 
     Args:
-        name: Its name, told to backend servers.
-        priority: Rank of its calls, before the route's; None if it has none.
-        rate: Calls a second over the whole fleet; 0 for no limit.
-        burst: Calls that it may have saved up.
+        name: Its name, which is sent to backend servers.
+        priority: Priority of its calls, which precedes the route's; None if not set.
+        rate: Calls per second over the whole fleet; 0 for no limit.
+        burst: Capacity of its token bucket, in calls.
     """
 
     __slots__ = ("burst", "name", "priority", "rate")
@@ -108,17 +109,17 @@
         self.burst = burst
 
     def is_higher_than(self, other: "Tenant") -> bool:
-        """Whether these limits are higher than those of another version."""
+        """Return whether the rate limit is higher than in another version."""
         if self.rate <= 0 or other.rate <= 0:
             return self.rate <= 0 < other.rate
         return self.rate > other.rate
 
 
 def rank_request(route: Route, tenant: Tenant | None) -> int:
-    """Return a request's rank, 0 the most urgent.
+    """Return a request's rank; 0 is the most urgent.
 
-    The workspace's priority goes before the route's; among requests of workspaces
-    of one priority the route's decides.
+    The workspace's priority takes precedence; the route's orders the requests of
+    workspaces with equal priority.
     """
     primary = route.priority
     if tenant is not None and tenant.priority is not None:
@@ -127,7 +128,7 @@
 
 
 class CallerLimits:
-    """Bounds on what a caller may send; times in seconds."""
+    """Limits on what a caller may send; timeouts in seconds."""
 
     __slots__ = ("body_bytes", "head_timeout", "header_bytes", "idle_timeout")
 
@@ -145,13 +146,13 @@
 
 
 class Policy:
-    """One version of the operator's configuration, decoded.
+    """One decoded version of the operator's configuration.
 
     Args:
-        version: Grows with each version.
+        version: Version number; newer versions have higher ones.
         routes: All routes.
-        tenants: Of each key; None where calls need no keys at all.
-        limits: On callers.
+        tenants: Workspaces by API key; None if no call needs a key.
+        limits: Limits on what callers may send.
     """
 
     __slots__ = ("limits", "routes", "tenants", "version")
@@ -170,26 +171,24 @@
 
 
 class BackendState(enum.Enum):
-    """What a backend server says of itself."""
+    """State that a backend server reports."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class StatusReport:
-    """What a backend server tells the node beside it.
+    """A status report that a backend server sends to its node.
 
     Args:
-        instance: Its id, mostly new with each start.
-        service: What it serves.
-        address: Where it listens.
-        slots: Calls that it works on at once.
-        state: Whether it takes work.
-        cold_remaining: Seconds for which it is still slow after its start.
-        demand: Calls a second that requests of its callers lead to, admitted or not,
-            by service.
-        sequence: Grows with each report of one lifetime.
-        start_time_ms: Unix milliseconds of its start; 0 where it does not say.
+        instance: Instance id, usually a new one after each start.
+        service: Service that it provides.
+        address: Address that it listens on.
+        slots: Maximum number of calls that it processes concurrently.
+        state: Whether it accepts calls.
+        cold_remaining: Remaining seconds of its warm-up, during which it is slow.
+        sequence: Increases with each report of one incarnation.
+        start_time_ms: Unix time of its start, in milliseconds; 0 if not reported.
     """
 
     __slots__ = (
@@ -225,7 +224,15 @@
 
 
 class NodeEntry(msgspec.Struct, array_like=True, frozen=True):
-    """How a node is found by the others; kept in the platform's store."""
+    """Address and location of a node, as kept in the platform's store.
+
+    Attributes:
+        name: Unique name; a restarted process keeps it.
+        address: ``IP:PORT`` on which it listens for other nodes.
+        zone: Its availability zone.
+        service: Service of the backend server beside it.
+        start_time_ms: Unix time of the process's start, in milliseconds.
+    """
 
     name: str
     address: str
@@ -234,7 +241,7 @@
     started: int
 
     def has_same_location(self, other: "NodeEntry") -> bool:
-        """Whether another entry leads to this node, if perhaps to an earlier process.
+        """Return whether another entry differs in nothing but the start time.
 
         >>> entry = NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 2)
         >>> entry.has_same_location(NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 1))
@@ -251,22 +258,25 @@
 
 
 class NodeState(msgspec.Struct, array_like=True):
-    """What a node tells the others about itself, first whole and then as it changes.
+    """State that a node broadcasts, in full on a new stream and then as updates.
 
     Attributes:
-        instance: The backend server's id; empty while there is none to use.
-        slots: Calls that it works on at once.
-        in_flight: Calls at work and waiting there, averaged over a heartbeat.
-        service_ms: Usual milliseconds of work of a call.
-        slot_ms: Usual milliseconds for which it holds one of the slots.
-        failure_ratio: Share of calls that failed there lately.
+        instance: Id of the backend server; empty while none is usable.
+        slots: Maximum number of calls that it processes concurrently.
+        in_flight: Calls running and queued there, averaged over a scheduler step.
+        service_ms: Typical service time of a call, in milliseconds.
+        failure_ratio: Recent fraction of calls that failed there.
         policy_version: Version of the configuration in force.
-        downstream_calls: Calls for each run, by the run's route and the calls' route;
-            the average over all runs under ``""``; None for as told before.
-        is_full: Whether it is the first on a stream; a node that was started again
-            begins with a lower sequence.
-        sequence: Grows with each state that changes another; by it one that was
-            handed on by a slow neighbour is told from a newer one.
+        downstream_calls: Calls made per call served, by the route of the served call
+            and the route of the calls made; the average over all calls served is
+            under ``""``. None if unchanged since the last update.
+        is_full: Whether it is the first state on a stream. It is then accepted with
+            any sequence, as a restarted node begins with a lower one.
+        sequence: Increases with each update, so that an older state delivered late by
+            a relay is discarded.
+        demand: Calls per second caused by requests of callers, admitted or not, by
+            service.
+        slot_ms: Typical time for which a call occupies a slot, in milliseconds.
     """
 
     instance: str = ""
@@ -282,5 +292,5 @@
     slot_ms: float = 0.0
 
     def copy(self) -> "NodeState":
-        """Return a state that can be added to."""
+        """Return a shallow copy, to be modified independently."""
         return msgspec.structs.replace(self)
