--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -1,7 +1,7 @@
-"""Messages between nodes: msgpack in frames with a length, many calls on one stream.
+"""Messages between nodes: length-prefixed msgpack frames, multiplexed on one stream.
 
-A unary call of gRPC costs both ends several times the processor time of a message on an
-open stream; a call crosses two nodes, and a tree of calls many times that.
+A unary gRPC call costs both ends several times the processor time of a message on an
+open stream. Each call crosses two nodes, so the cost multiplies over a tree of calls.
 """
 
 import struct
@@ -12,19 +12,20 @@
 from .model import NodeEntry, NodeState
 
 LENGTH_PREFIX = struct.Struct(">I")
-# Larger than any body that callers may send, with its head.
+# Larger than the largest request body that callers may send, plus headers.
 MAX_FRAME_BYTES = 80 * 1024 * 1024
-# Added to the length of a frame that is packed.
+# Set in the length prefix of a compressed frame.
 COMPRESSED_FLAG = 1 << 31
 
 
 class Hello(msgspec.Struct, array_like=True, tag=1):
-    """First on each stream: who opened it, or who accepted it.
+    """First message in each direction of a stream; introduces the sender.
 
     Attributes:
-        entry: How the sender is found.
-        state: What the one who accepts tells of itself.
-        drains: Backend servers that leave, by id, with the start of their lifetime.
+        entry: Name, address and location of the sender.
+        state: Complete state of the node that accepted the stream; None from the
+            node that opened it.
+        drains: Recorded drains: start times in Unix milliseconds, by instance id.
     """
 
     entry: NodeEntry
@@ -33,13 +34,13 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=2):
-    """Asks at once how old the receiver's knowledge of the configuration is.
+    """Asks how old the receiver's knowledge of the configuration is.
 
     Attributes:
-        id: Repeated by the answer.
-        sent_ms: Milliseconds on the sender's clock; it agrees with no other.
-        lease_ms: Time on the receiver's clock until which the sender lends its share of
-            all rates to the receiver; 0 if it does not.
+        id: Id of the ping, repeated in the answer.
+        sent_ms: Milliseconds on the sender's clock, which is not synchronized.
+        lease_ms: Time in milliseconds on the receiver's clock until which the sender
+            lends it its share of all rates; 0 if it lends nothing.
     """
 
     id: int
@@ -48,12 +49,13 @@
 
 
 class Pong(msgspec.Struct, array_like=True, tag=3):
-    """Answers a ping; the age is as of now.
+    """Answers a ping.
 
     Attributes:
-        id: Of the ping.
+        id: Id of the ping.
         policy_version: Version of the configuration in force at the sender.
-        policy_age_ms: Milliseconds for which a newer version may exist unseen.
+        policy_age_ms: Milliseconds for which a newer version may exist unseen, as of
+            sending.
         clock_ms: Milliseconds on the sender's clock.
     """
 
@@ -64,11 +66,11 @@
 
 
 class State(msgspec.Struct, array_like=True, tag=12):
-    """What a node tells of itself on the streams that others hold to it.
+    """State broadcast of a node, on the streams that others have opened to it.
 
     Attributes:
-        state: What changed.
-        relay: Whether the receiver hands it on to its availability zone.
+        state: The state.
+        relay: Whether the receiver relays it to its availability zone.
     """
 
     state: NodeState
@@ -76,7 +78,7 @@
 
 
 class States(msgspec.Struct, array_like=True, tag=13):
-    """What other nodes told, handed on, by their names."""
+    """Relayed states of other nodes, each with the node's name."""
 
     states: list[tuple[str, NodeState]]
 
@@ -85,17 +87,17 @@
     """A request for the backend server beside the receiver.
 
     Attributes:
-        id: Of this call on this stream.
-        instance: Id of the backend server that is meant.
-        route: Name of the route that it takes.
-        request_id: Repeated by the backend server in its answer.
-        remaining_ms: Milliseconds for which its caller still waits.
-        latency_target_ms: Milliseconds until its answer is late; below 0 if it is.
+        id: Id of the call on this stream.
+        instance: Id of the expected backend server.
+        route: Name of its route.
+        request_id: Request id, repeated by the backend server in its answer.
+        remaining_ms: Milliseconds left until the caller's deadline.
+        latency_target_ms: Milliseconds left to the latency target; negative if missed.
         idempotent: Whether it may run more than once.
-        nested: Whether a backend server makes it while it serves another.
-        head: Request line and headers, but for those that the receiver sets.
-        body: The whole body.
-        sent_ms: Milliseconds on the sender's clock; it agrees with no other.
+        nested: Whether a backend server makes it while serving another call.
+        head: Request line and headers, except those that the receiver sets.
+        body: The complete body.
+        sent_ms: Milliseconds on the sender's clock, which is not synchronized.
     """
 
     id: int
@@ -112,21 +114,21 @@
 
 
 class Cancel(msgspec.Struct, array_like=True, tag=5):
-    """Nobody waits for a call any more."""
+    """Cancels a call for which nobody waits any longer."""
 
     id: int
 
 
 class CallAnswer(msgspec.Struct, array_like=True, tag=6):
-    """A backend server's whole answer, and how busy it is.
+    """A backend server's complete answer, with its current load.
 
     Attributes:
-        id: Of the call.
-        status: HTTP status.
-        head: Status line and headers, but for those of the connection.
-        body: The whole body.
-        signed: Whether the answer bears the backend server's signature.
-        in_flight: Calls at work and waiting there.
+        id: Id of the call.
+        status: HTTP status code.
+        head: Status line and headers, except hop-by-hop ones.
+        body: The complete body.
+        signed: Whether the answer carries the backend server's signature.
+        in_flight: Calls running and queued there.
     """
 
     id: int
@@ -138,15 +140,15 @@
 
 
 class CallRefused(msgspec.Struct, array_like=True, tag=7):
-    """A call that got no answer of a backend server.
+    """Reports that a call got no answer from a backend server.
 
     Attributes:
-        id: Of the call.
+        id: Id of the call.
         reason: Code of a ``verdicts.Reason``.
         may_have_run: Whether it may have run.
-        reached_backend: Whether the backend server saw it, and refused it itself.
-        detail: One sentence.
-        in_flight: Calls at work and waiting there.
+        reached_backend: Whether the backend server received it and refused it itself.
+        detail: One sentence for people.
+        in_flight: Calls running and queued there.
     """
 
     id: int
@@ -158,13 +160,20 @@
 
 
 class PolicyRequest(msgspec.Struct, array_like=True, tag=8):
-    """Asks for the configuration in force at the receiver."""
+    """Requests the configuration in force at the receiver."""
 
     id: int
 
 
 class PolicyAnswer(msgspec.Struct, array_like=True, tag=9):
-    """The configuration as the platform's store holds it, empty if there is none."""
+    """The configuration in force at the sender.
+
+    Attributes:
+        id: Id of the request.
+        version: Version of the configuration; 0 if there is none.
+        age_ms: Milliseconds for which a newer version may exist unseen.
+        record: The record as the platform's store holds it; empty if there is none.
+    """
 
     id: int
     version: int
@@ -173,7 +182,13 @@
 
 
 class DrainNote(msgspec.Struct, array_like=True, tag=10):
-    """Asks the receiver to remember that a backend server leaves."""
+    """Asks the receiver to record that a backend server is draining.
+
+    Attributes:
+        id: Id of the request on this stream.
+        instance: Id of the backend server.
+        start_time_ms: Unix time of its start, in milliseconds.
+    """
 
     id: int
     instance: str
@@ -181,20 +196,20 @@
 
 
 class DrainNoted(msgspec.Struct, array_like=True, tag=11):
-    """The receiver remembers it."""
+    """Acknowledges a ``DrainNote``."""
 
     id: int
 
 
 class TokenLimits(msgspec.Struct, array_like=True, frozen=True):
-    """Limits of a workspace that the fleet enforces.
+    """Rate limits of a workspace that the fleet enforces.
 
     Attributes:
-        workspace: Its name.
-        rate: Calls a second over the whole fleet.
-        burst: Calls that it may have saved up.
-        version: Version of the configuration that they are from.
-        initial: Tokens that holders have after a restart of the whole fleet.
+        workspace: Name of the workspace.
+        rate: Calls per second over the whole fleet.
+        burst: Token bucket capacity over the whole fleet, in calls.
+        version: Version of the configuration that defines the limits.
+        initial: Tokens that all holders together have after the whole fleet restarts.
     """
 
     workspace: str
@@ -205,18 +220,18 @@
 
 
 class TokenRequest(msgspec.Struct, array_like=True, tag=14):
-    """Asks the receiver for tokens of a workspace.
+    """Requests tokens of a workspace from a token holder.
 
     Attributes:
-        id: Of this request on this stream.
-        limits: Of the workspace.
-        needed: Calls that wait.
-        ahead: Further calls that are expected soon.
-        unspent: Tokens granted ahead of need that the entry still has.
-        returned: Tokens that were granted before and will not be spent.
-        loan: Tokens that another token holder borrows, in parts if need be: spare ones
-            if calls wait, else only those above half of the capacity. 0 for a request
-            of an entry.
+        id: Id of the request on this stream.
+        limits: Limits of the workspace.
+        needed: Number of waiting calls.
+        ahead: Number of further calls expected soon.
+        unspent: Tokens granted ahead of need that the sender still has.
+        returned: Tokens granted earlier that will not be spent.
+        loan: Tokens, possibly a fraction, that the sender borrows as another holder; 0
+            if it is none. All spare tokens are lent if calls wait, else only those
+            above half of the lender's capacity.
     """
 
     id: int
@@ -232,9 +247,9 @@
     """Answers a request for tokens.
 
     Attributes:
-        id: Of the request.
-        tokens: Granted; each is good for one call. Holders lend parts of tokens to
-            each other.
+        id: Id of the request.
+        tokens: Granted tokens, one per call; loans between holders may include
+            fractions.
         remaining_tokens: Tokens that the sender has left.
     """
 
@@ -266,17 +281,20 @@
 
 
 class FrameError(Exception):
-    """Bytes that are no frame: the stream cannot be read any further."""
+    """Received bytes are not a valid frame; the stream cannot be read any further."""
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return a frame's bytes."""
+    """Return the encoded bytes of a frame."""
     payload = _encoder.encode(frame)
     return LENGTH_PREFIX.pack(len(payload)) + payload
 
 
 def encode_compressed_frame(frame: Frame, compressor: FrameCompressor) -> bytes:
-    """Return a frame's bytes for a stream between availability zones."""
+    """Return the encoded bytes of a frame for a cross-zone stream.
+
+    The body of a call or an answer is sent uncompressed.
+    """
     body = b""
     if isinstance(frame, Call | CallAnswer):
         body = frame.body
@@ -288,7 +306,7 @@
 
 
 class FrameReader:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames and decodes them."""
 
     __slots__ = ("_buffer", "_decompressor")
 
@@ -297,10 +315,10 @@
         self._decompressor: FrameDecompressor | None = None
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Return the frames that are whole by now.
+        """Add received bytes, and return the frames that are now complete.
 
         Raises:
-            FrameError: The bytes are no frames of this protocol.
+            FrameError: The bytes are not a valid frame.
 
         >>> reader = FrameReader()
         >>> data = encode_frame(Cancel(1)) + encode_compressed_frame(
@@ -320,7 +338,9 @@
             compressed = bool(length & COMPRESSED_FLAG)
             length &= ~COMPRESSED_FLAG
             if length > MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {length} bytes")
+                raise FrameError(
+                    f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}"
+                )
             end = start + LENGTH_PREFIX.size + length
             if len(buffer) < end:
                 break
@@ -343,6 +363,6 @@
             raise FrameError(str(error)) from error
         if body:
             if not isinstance(frame, Call | CallAnswer):
-                raise FrameError("a body of a frame that has none")
+                raise FrameError("frame has a body, but its type does not carry one")
             frame.body = body
         return frame
--- a/primroseglade/sidecar/freshness.py
+++ b/primroseglade/sidecar/freshness.py
@@ -1,4 +1,4 @@
-"""How long the configuration may have been out of date without this node knowing."""
+"""Age of this node's knowledge of the configuration."""
 
 from collections.abc import Callable
 
@@ -6,17 +6,18 @@
 
 
 class Freshness:
-    """The moment up to which every published configuration is known here.
+    """Tracks the time up to which all published versions are known here.
 
-    It holds on when a newer version comes: whatever was published before that moment
-    is the version in force or older than it.
+    A newer version does not reset it: everything published up to that time is the
+    version in force or an older one.
 
-    No clock is compared between instances. Whoever answers tells how old its own
-    knowledge is; to that the time since the question was sent is added, which is at
-    least as long as the answer took.
+    Clocks of different instances are never compared. An answer carries the age of the
+    sender's knowledge; the time since the question was sent, which is at least the
+    time that the answer took, is added here.
 
     Args:
-        clock: Seconds; counts while the machine is suspended.
+        clock: Returns seconds on a clock that also counts while the machine is
+            suspended.
     """
 
     def __init__(self, clock: Callable[[], float] = read_age_clock):
@@ -25,18 +26,18 @@
 
     @property
     def now(self) -> float:
-        """The time by the clock in use, to be taken before a question is sent."""
+        """Seconds on the clock; to be read before a question is sent."""
         return self._clock()
 
     @property
     def age(self) -> float:
-        """Seconds for which a newer version may have existed; infinite at first."""
+        """Seconds for which a newer version may exist unseen; infinite at first."""
         if self._confirmed_at is None:
             return float("inf")
         return self._clock() - self._confirmed_at
 
     def confirm(self, asked_at: float, reported_age: float = 0.0) -> None:
-        """Note that the version in force was the newest.
+        """Record that the version in force was the newest.
 
         Args:
             asked_at: When the question was sent.
