--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -1,4 +1,4 @@
-"""Another node: the stream to it, its state as last told, and calls sent to it."""
+"""Another node: the stream to it, its last known state, and the calls sent to it."""
 
 import asyncio
 import random
@@ -36,63 +36,69 @@
 from .token_broker import GrantHandler
 from .token_requests import TokenRequests
 
-# A stream on which a call waits and nothing came for so long is asked for a sign of
-# life: where calls are answered, answers come in between.
+# A ping is sent if calls are pending and nothing was received for this long. While
+# calls are answered, the answers themselves show that the peer is alive.
 IDLE_BEFORE_PING_SECONDS = 0.25
-# A question is answered in milliseconds, whatever the backend server does. A node that
-# has not answered for so long gets no calls that others can take: calls to a zone that
-# is cut off do not wait out their timeouts.
+# A ping is answered within milliseconds, however busy the backend server is. After this
+# long without an answer other nodes are preferred, so that calls to an unreachable zone
+# do not wait for their timeouts.
 SUSPECT_AFTER_SECONDS = 0.25
-# A question that is unanswered for so long, with nothing else heard, ends the stream,
-# and calls that may be repeated go elsewhere. A packet lost twice still arrives.
+# If nothing is received for this long after a ping, the stream is closed and idempotent
+# calls are retried elsewhere. Long enough for a packet that is lost twice.
 PING_TIMEOUT_SECONDS = 1.0
 CONNECT_TIMEOUT_SECONDS = 1.0
 INITIAL_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 2.0
-# Weight of a call's end in the share that fails there, about the last 30 calls.
+# Weight of each call in the moving average of failures, which spans about 30 calls.
 FAILURE_SMOOTHING = 1 / 32
-# A node that could not be reached for so long is forgotten. Longer than restarts and
-# cuts last; one that comes back introduces itself.
+# A node that is unreachable for this long is removed. Longer than restarts and network
+# partitions last; a node that returns later announces itself with a Hello.
 PEER_EXPIRY_SECONDS = 120.0
 
 
 class PeerHost(Protocol):
-    """What a peer needs of the node that it belongs to."""
+    """The node that a peer belongs to, as the peer uses it."""
 
     @property
     def entry(self) -> NodeEntry:
-        """How this node is found."""
+        """Name, address and location of this node."""
 
     @property
     def cross_zone_bytes(self) -> CrossZoneBytes:
-        """Counts what is sent to other availability zones."""
+        """Counter of the bytes sent to other availability zones."""
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Take in which backend servers leave, as a peer remembers."""
+        """Apply the drains that a peer has recorded: start times by instance id."""
 
     def handle_state(self, peer: "Peer") -> None:
-        """Take in what a peer told of itself."""
+        """Handle a new state of a peer."""
 
     def relay_state(self, peer: "Peer") -> None:
-        """Tell the neighbours what a peer told."""
+        """Relay a peer's state to the nodes of this zone."""
 
     def apply_relayed_state(self, name: str, state: NodeState) -> None:
-        """Take in what a peer told, from one that handed it on."""
+        """Apply a peer's state that another node relayed."""
 
     def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
-        """Take in how old a peer's configuration is, asked at that moment."""
+        """Record the age of a peer's configuration.
+
+        Args:
+            version: Version of the configuration in force there.
+            age: Seconds for which a newer version may exist unknown to the peer.
+            asked_at: When the peer was asked, in seconds on the age clock.
+        """
 
     def record_peer_clock(self) -> None:
-        """Take in that a peer's clock is known from now on."""
+        """Handle the first estimate of a peer's clock on a new stream."""
 
 
 class Peer:
-    """Another node.
+    """Another node, and the outgoing stream to it.
 
     Args:
-        entry: How it is found.
-        host: The node that this belongs to.
-        journal: Where lost and regained streams are told.
+        entry: Its name, address and location.
+        host: The node that this peer belongs to.
+        journal: Logs established and lost streams.
     """
 
     def __init__(self, entry: NodeEntry, host: PeerHost, journal: Journal):
@@ -100,7 +106,7 @@
         self.state = NodeState()
         self._loop = asyncio.get_running_loop()
         self.in_flight = 0.0
-        #: Share of calls that fail there: as told, and as seen since.
+        #: Fraction of failed calls: as last reported, updated by calls sent since.
         self.failure_ratio = 0.0
         self._host = host
         self._journal = journal
@@ -119,7 +125,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether calls can be sent to it."""
+        """Whether the stream is open and the peer has introduced itself."""
         return (
             self._hello_received
             and self._stream is not None
@@ -128,17 +134,17 @@
 
     @property
     def usable(self) -> bool:
-        """Whether its backend server takes calls that can be sent there."""
+        """Whether calls can be sent to its backend server."""
         return bool(self.state.instance) and self.connected
 
     @property
     def has_pending_calls(self) -> bool:
-        """Whether calls wait for its answer."""
+        """Whether requests await its reply."""
         return bool(self._pending)
 
     @property
     def is_suspect(self) -> bool:
-        """Whether it was asked for a sign of life and nothing is heard."""
+        """Whether calls are pending and a ping has gone unanswered for too long."""
         if not self._ping_id or not self._pending:
             return False
         stream = self._stream
@@ -147,7 +153,7 @@
         return time.monotonic() - self._ping_sent_at > SUSPECT_AFTER_SECONDS
 
     async def run(self) -> None:
-        """Keep a stream to the node, until it is unreachable for long."""
+        """Keep a stream open to the node, until it is unreachable for too long."""
         backoff = INITIAL_BACKOFF_SECONDS
         last_connected_at = time.monotonic()
         while time.monotonic() - last_connected_at < PEER_EXPIRY_SECONDS:
@@ -158,7 +164,7 @@
             except (TimeoutError, OSError) as error:
                 self._log_unreachable(error)
             finally:
-                self._disconnect("given up")
+                self._disconnect("peer task ended")
             if self._hello_received:
                 self._hello_received = False
                 self._unreachable_logged = False
@@ -168,7 +174,7 @@
             backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     def apply_state(self, state: NodeState) -> bool:
-        """Take in what the node told; return whether it was new."""
+        """Apply a state of the node; return False if a newer one is known."""
         if not state.is_full and state.sequence <= self.state.sequence:
             return False
         if state.downstream_calls is None:
@@ -180,14 +186,14 @@
         return True
 
     def record_load(self, in_flight: float) -> None:
-        """Take in how busy its backend server is."""
+        """Record the number of calls in flight at its backend server."""
         self.in_flight = in_flight
 
     async def call(self, call: Call) -> CallAnswer:
-        """Have the node run a call on its backend server.
+        """Run a call on the node's backend server and return the answer.
 
         Raises:
-            Refusal: With the verdict that holds for it.
+            Refusal: The call got no answer; says whether it may have run.
         """
         if not self.connected:
             raise not_run(Reason.CONNECTION_LOST, "no stream to the node")
@@ -210,7 +216,10 @@
         raise self._build_refusal(reply)
 
     async def fetch_policy(self, timeout: float) -> PolicyAnswer:
-        """Ask for the configuration in force there.
+        """Request the configuration in force at the node.
+
+        Args:
+            timeout: Maximum wait in seconds.
 
         Raises:
             ConnectionError: The stream was lost.
@@ -224,7 +233,12 @@
     async def replicate_drain(
         self, instance: str, start_time_ms: int, timeout: float
     ) -> None:
-        """Have the node remember that a backend server leaves.
+        """Have the node record that a backend server is draining.
+
+        Args:
+            instance: Id of the backend server.
+            start_time_ms: Unix time of its start, in milliseconds.
+            timeout: Maximum wait in seconds.
 
         Raises:
             ConnectionError: The stream was lost.
@@ -234,7 +248,12 @@
             await self._request(DrainNote(0, instance, start_time_ms))
 
     def request_tokens(self, request: TokenRequest, done: GrantHandler) -> None:
-        """Ask for tokens of a workspace; ``done`` is called in any case."""
+        """Request tokens of a workspace.
+
+        Args:
+            request: The request; its id is set here.
+            done: Called once with the grant, or with None if there is none.
+        """
         if not self.connected:
             done(None)
             return
@@ -244,20 +263,26 @@
         self._send(request)
 
     def lend_share(self, seconds: float) -> bool:
-        """Lend it this node's share of all rates; return whether a lease was sent."""
+        """Lend this node's share of all rates to the peer for some seconds.
+
+        Returns:
+            Whether a lease was sent.
+        """
         remote_time = self._clock.estimate(read_age_clock())
         if remote_time is None or not self.connected:
             return False
         return self.send_ping(int((remote_time + seconds) * 1000))
 
     def send_ping(self, lease_ms: int = 0) -> bool:
-        """Ask how old its knowledge of the configuration is, if it is not asked yet.
+        """Send a ping, unless one is unanswered.
+
+        The answer carries the age of the peer's configuration.
 
         Args:
             lease_ms: As in ``Ping``.
 
         Returns:
-            Whether the question was sent.
+            Whether the ping was sent.
         """
         now = time.monotonic()
         if self._ping_id and not self._may_ping_again(now):
@@ -270,10 +295,13 @@
         return True
 
     def check_liveness(self, now: float) -> None:
-        """Ask a stream that is silent while calls wait, and give up one that stays so.
+        """Ping the peer if pending calls get no answer; disconnect if it stays silent.
 
-        The other end, or a link that lost track of the connection, takes what is sent
-        and answers nothing. New streams may work.
+        The connection can be half-open: the other end, or a middlebox that has lost
+        its state, drops what is sent. A new connection may work.
+
+        Args:
+            now: Seconds on the monotonic clock.
         """
         stream = self._stream
         if stream is None:
@@ -289,9 +317,9 @@
                 self.send_ping()
 
     def _may_ping_again(self, now: float) -> bool:
-        """Whether a question is old, though others were heard of since.
+        """Return whether the last ping is old, but other frames arrived since.
 
-        While nothing was heard, a new question would hide for how long.
+        While nothing arrives, a new ping would restart the timeout of the first one.
         """
         stream = self._stream
         received_since = (
@@ -365,8 +393,8 @@
 
     def _handle_hello(self, hello: Hello) -> None:
         if hello.entry.name != self.entry.name:
-            # Its address belongs to another node by now.
-            self._disconnect("another node answers there")
+            # The address has been reassigned to another node.
+            self._disconnect("address is used by another node")
             return
         self.entry = hello.entry
         self._hello_received = True
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -1,4 +1,4 @@
-"""Looks after the other nodes: who is silent, and who knows the configuration."""
+"""Periodic checks of other nodes: liveness, and the age of their configuration."""
 
 import asyncio
 import time
@@ -7,28 +7,28 @@
 from .fleet import Fleet
 from .policy_tracker import PolicyTracker
 
-# How often peers are asked how old the configuration is, in seconds: readers ask the
-# first of them, nodes ask the reader of their zone.
+# How often the age of the configuration is polled: readers ask the first reader, all
+# other nodes ask the reader of their zone.
 READER_POLL_SECONDS = 0.25
 NON_READER_POLL_SECONDS = 0.5
-# How often streams are looked at for silence, in seconds, while calls wait for answers;
-# and while none do, to see whether this process stood still.
+# How often the liveness of peers is checked while calls are pending. While none are,
+# the checks only detect stalls of this process.
 LIVENESS_CHECK_SECONDS = 0.1
 IDLE_LIVENESS_CHECK_SECONDS = 0.25
-# A look that comes so late says that this process stood still.
+# A check that runs this late shows that this process was stalled.
 STALL_THRESHOLD_SECONDS = 0.1
-# For so long after that, what is read may be old.
+# For this long after a stall, data read from sockets may be old.
 STALL_RECOVERY_SECONDS = 0.5
 
 
 class PeerMonitor:
-    """Two duties of a node towards the others.
+    """Polls the configuration's age, and checks the liveness of peers.
 
     Args:
-        node: This node's name.
-        fleet: The others.
-        policies: Learns whether this node reads the store for others.
-        report_stall: Told whether this process stood still a moment ago.
+        node: Name of this node.
+        fleet: The other nodes.
+        policies: Receives this node's rank among the readers.
+        report_stall: Called with whether this process was stalled recently.
     """
 
     def __init__(
@@ -46,7 +46,14 @@
         self._poll_count = 0
 
     def poll_policy_age(self, now: float) -> None:
-        """Ask how old the configuration is: near, and farther where that is no use."""
+        """Ping readers for the age of their configuration.
+
+        The readers of other zones are asked as well while the age known here is
+        overdue.
+
+        Args:
+            now: Unused; every scheduled function receives the time.
+        """
         readers = self._fleet.list_readers()
         rank = readers.index(self._node) if self._node in readers else None
         self._policies.set_reader_rank(rank)
@@ -65,7 +72,7 @@
                 peer.send_ping()
 
     async def run_silence_checks(self) -> None:
-        """Look for streams on which nothing comes any more, again and again."""
+        """Check the liveness of peers until cancelled, and report stalls."""
         while True:
             interval = (
                 LIVENESS_CHECK_SECONDS
@@ -75,10 +82,11 @@
             due = time.monotonic() + interval
             await asyncio.sleep(interval)
             now = time.monotonic()
-            # As of the moment for which this look was planned: where it comes late,
-            # this process stood still and not the others, and what they sent since is
-            # still to be read. A process that is always a little late looks all the
-            # same, or calls to a zone that is cut off would wait out their time.
+            # Checked as of the time when the check was due. If it runs late, this
+            # process was stalled, not the peers, and frames sent since are still
+            # unread. Skipping late checks instead would disable them on a machine that
+            # is always slow, and calls to an unreachable zone would wait for their
+            # timeouts.
             self._fleet.check_liveness(due)
             if now - due >= STALL_THRESHOLD_SECONDS:
                 self._stalled_until = now + STALL_RECOVERY_SECONDS
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -1,4 +1,4 @@
-"""The other end of streams: runs what other nodes send for the own backend server."""
+"""Server for streams of other nodes; runs their calls on the own backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,53 +34,64 @@
 
 
 class ServerHost(Protocol):
-    """What the server needs of its node."""
+    """The node that a peer server belongs to, as the server uses it."""
 
     @property
     def entry(self) -> NodeEntry:
-        """How this node is found."""
+        """Name, address and location of this node."""
 
     @property
     def cross_zone_bytes(self) -> CrossZoneBytes:
-        """Counts what is sent to other availability zones."""
+        """Counter of the bytes sent to other availability zones."""
 
     @property
     def drains(self) -> dict[str, int]:
-        """Backend servers beside other nodes that leave."""
+        """Recorded drains of other nodes' backend servers: start times by id."""
 
     @property
     def in_flight(self) -> int:
-        """Calls at work and waiting at the backend server."""
+        """Calls running and queued at the backend server."""
 
     def build_full_state(self) -> NodeState:
-        """Return all that this node tells of itself."""
+        """Return this node's complete state."""
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
-        """Return the configuration in force."""
+        """Return the configuration in force, as an answer to a request."""
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
-        """Remember that a backend server beside another node leaves."""
+        """Record that another node's backend server is draining."""
 
     def handle_hello(self, entry: NodeEntry) -> None:
-        """Take in a node that introduces itself."""
+        """Handle a node that opened a stream to this one."""
 
     def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Take in that a node lends its share of all rates."""
+        """Record that a node lends its share of all rates.
+
+        Args:
+            lender: The node.
+            lease_ms: End of the lease on this node's age clock, in milliseconds.
+        """
 
     def answer_token_request(
         self, sender: str, request: TokenRequest, send: Callable[[TokenGrant], None]
     ) -> None:
-        """Answer a node's request for tokens, at once or later."""
+        """Answer a node's request for tokens, immediately or later.
+
+        Args:
+            sender: Name of the node.
+            request: Its request.
+            send: Sends the answer.
+        """
 
 
 class PeerServer:
-    """Listens for other nodes.
+    """Accepts streams from other nodes and handles the frames received on them.
 
     Args:
-        address: ``IP:PORT``.
-        host: The node that this belongs to.
+        address: ``IP:PORT`` to listen on.
+        host: The node that the server belongs to.
         dispatcher: Runs calls on the own backend server.
-        journal: Where faults are told.
+        journal: Logs calls that fail with an unexpected error.
     """
 
     def __init__(
@@ -101,7 +112,7 @@
 
     @property
     def busy(self) -> int:
-        """Calls of other nodes under way here."""
+        """Number of calls of other nodes in flight here."""
         return sum(len(tasks) for tasks in self._streams.values())
 
     async def run(self) -> None:
@@ -122,10 +133,10 @@
     def send(
         self, frame: Frame, is_recipient: Callable[[NodeEntry], bool] = lambda _: True
     ) -> None:
-        """Send a frame to the nodes that hold a stream to this one.
+        """Send a frame to nodes that have opened a stream to this one.
 
         Args:
-            frame: Encoded once for all of them in this node's zone.
+            frame: The frame, encoded once for all recipients in this node's zone.
             is_recipient: Returns whether a node receives the frame.
         """
         data = encode_frame(frame)
@@ -138,19 +149,19 @@
                 stream.send_encoded(data)
 
     def finish(self) -> None:
-        """Close the streams once what was written is sent."""
+        """Close the streams after their write buffers are flushed."""
         for stream in list(self._streams):
             stream.finish()
 
     def abort(self) -> None:
-        """Cut all streams."""
+        """Close all streams immediately."""
         for stream in list(self._streams):
             stream.close()
 
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
         tasks = self._streams.setdefault(stream, {})
         if isinstance(frame, Call):
-            # What it waited on its way is gone from its caller's time.
+            # Time spent queueing on the way here counts against the deadline.
             queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
             frame.remaining_ms -= queueing_ms
             frame.latency_target_ms -= queueing_ms
@@ -162,7 +173,7 @@
             if task is not None:
                 task.cancel()
         elif isinstance(frame, Ping):
-            # Each stream begins with one, so that its first call has a measure.
+            # Each stream begins with a ping, the baseline for the first call's delay.
             self._measure_queueing_delay(stream, frame.sent_ms)
             self._answer_ping(stream, frame)
         elif isinstance(frame, Hello):
@@ -183,7 +194,7 @@
             stream.send(DrainNoted(frame.id))
 
     def _measure_queueing_delay(self, stream: FrameStream, sent_ms: int) -> float:
-        """Return for how many seconds a frame waited on its way."""
+        """Return the seconds that a frame spent queueing on the way here."""
         one_way_delay = self._one_way_delays.get(stream)
         if one_way_delay is None:
             one_way_delay = self._one_way_delays[stream] = OneWayDelay()
@@ -192,7 +203,7 @@
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
         self._introduced_nodes.pop(stream, None)
         self._one_way_delays.pop(stream, None)
-        # The node that sent them is gone, or nothing reaches it: nobody waits.
+        # The sender has failed or cannot be reached; nobody waits for these calls.
         for task in list(self._streams.pop(stream, {}).values()):
             task.cancel()
 
