--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -1,4 +1,4 @@
-"""Backend servers that leave: what was acknowledged outlives this process."""
+"""Status reports of the backend server, and drains that survive a node restart."""
 
 import asyncio
 import random
@@ -12,34 +12,35 @@
 from .node_store import NodeStore
 from .policy_tracker import StoreError
 
-# A backend server waits one second for the acknowledgement of its report.
+# A backend server waits 1 s for the acknowledgement of its report.
 ACK_TIMEOUT_SECONDS = 0.8
-# Other nodes that are asked to remember a leaving backend server, so that one
-# remains where another fails.
+# Other nodes asked to record a drain, so that one can fail without losing it.
 DRAIN_REPLICAS = 2
 STORE_POLL_SECONDS = 0.005
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
-# Ids of leaving backend servers that a node remembers for others.
+# Maximum number of drains that a node records for others; the oldest are evicted.
 MAX_RECORDED_DRAINS = 512
 
 
 class BackendRegistration:
-    """Takes reports of the backend server, and keeps that it leaves.
+    """Handles reports of the backend server, and persists its drain.
 
-    An acknowledged leave binds: no request may reach the backend server some seconds
-    later. A node that was killed right after the acknowledgement, and started again,
-    would not know. So a leave is acknowledged once the store or another node has it.
+    An acknowledged drain is binding: a few seconds later no request may reach the
+    backend server. A node that is killed after the acknowledgement and restarted would
+    have lost it, so a drain is acknowledged only once the store or another node has
+    recorded it.
 
     Args:
         backend: The own backend server.
-        fleet: Nodes that may remember for this one.
-        store: The platform's.
-        supervisor: Runs writes that outlast a report.
-        journal: Where failures are told.
-        rng: Picks the nodes that remember.
-        first_start: Whether the whole fleet starts for the first time.
-        broadcast_state: Tells the other nodes at once what changed here.
+        fleet: The nodes that can record drains for this one.
+        store: The platform's store.
+        supervisor: Runs store writes that take longer than handling a report.
+        journal: Logs failures of the store.
+        rng: Picks the nodes that record a drain.
+        first_start: Whether the whole fleet starts for the first time, so that no
+            drains are recorded yet.
+        broadcast_state: Broadcasts this node's state immediately.
     """
 
     def __init__(
@@ -66,30 +67,35 @@
 
     @property
     def recorded_drains(self) -> dict[str, int]:
-        """Backend servers beside other nodes that leave, kept for those."""
+        """Drains recorded for other nodes: start times by instance id."""
         return self._recorded_drains
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
-        """Remember that a backend server beside another node leaves."""
+        """Record that another node's backend server is draining.
+
+        Args:
+            instance: Id of the backend server.
+            start_time_ms: Unix time of its start, in milliseconds.
+        """
         while len(self._recorded_drains) >= MAX_RECORDED_DRAINS:
             self._recorded_drains.pop(next(iter(self._recorded_drains)))
         self._recorded_drains[instance] = start_time_ms
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Take in which backend servers leave, as a peer remembers."""
+        """Apply drains recorded elsewhere: start times by instance id."""
         self._drains_loaded = True
         for instance, start_time_ms in drains.items():
             self._backend.drain(instance, start_time_ms)
 
     async def handle_report(self, report: StatusReport) -> bool:
-        """Take in a status report; return whether to acknowledge it."""
+        """Apply a status report; return whether to acknowledge it."""
         previous_instance = self._backend.instance
         if not previous_instance and not self._drains_loaded:
             await self._load_drains()
         draining = report.state is BackendState.DRAINING
         if self._backend.is_stale(report):
             if draining:
-                # Overtaken by a later report; what is acknowledged below binds.
+                # Stale, but acknowledged below, so the drain must take effect.
                 self._backend.drain(report.instance, report.start_time_ms)
         elif not self._backend.apply_report(report):
             return False
@@ -100,7 +106,12 @@
         return True
 
     async def handle_deregistration(self, instance: str, start_time_ms: int) -> bool:
-        """Take in that a backend server leaves; return whether to acknowledge it."""
+        """Drain a backend server that deregisters; return whether to acknowledge it.
+
+        Args:
+            instance: Id of the backend server.
+            start_time_ms: Unix time of its start, in milliseconds; 0 if unknown.
+        """
         previous_instance = self._backend.instance
         self._backend.drain(instance, start_time_ms)
         if previous_instance and not self._backend.instance:
@@ -113,14 +124,14 @@
         try:
             drains = await self._store.list_drains(ACK_TIMEOUT_SECONDS)
         except StoreError as error:
-            # Peers tell what they remember as streams to them open; whoever has an
-            # acknowledged leave is the store or one of them.
+            # Peers send their recorded drains when a stream to them opens. Every
+            # acknowledged drain is in the store or at one of them.
             self._journal.emit(STORE_WRITE_FAILED, what="drains", error=str(error))
             return
         self.apply_drains(drains)
 
     async def _persist_drain(self, instance: str, start_time_ms: int) -> bool:
-        """Have a leave kept, and return whether it is."""
+        """Persist a drain; return whether the store or a peer has recorded it."""
         if instance in self._stored_drains:
             return True
         self._supervisor.start_once(
@@ -139,7 +150,7 @@
                 while instance not in self._stored_drains:
                     await asyncio.sleep(STORE_POLL_SECONDS)
         except TimeoutError:
-            # The store may come back; the write goes on meanwhile.
+            # The write continues in the background until the store accepts it.
             pass
         results = await asyncio.gather(*replications, return_exceptions=True)
         replicated = any(not isinstance(result, BaseException) for result in results)
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -1,9 +1,10 @@
-"""What a node tells the others of itself, and what it hands on.
+"""Broadcast of this node's state, and relay of other nodes' states.
 
-A small fleet tells everybody directly. In a larger one a node tells one node in each
-availability zone, its own too, which hands it on to its neighbours together with all
-that it heard in the meantime. Waking up for a message costs a node more than what is
-in it: so it gets some a second, however many nodes there are.
+In a small fleet every node sends its state to all others. In a larger one it sends the
+state to one node in each availability zone, including its own, which relays it to its
+zone in a batch with all others received meanwhile. Waking up for a message costs a node
+more than processing it, so each node receives only a few messages per second,
+regardless of the size of the fleet.
 """
 
 import time
@@ -15,23 +16,28 @@
 from .model import NodeEntry, NodeState
 from .peer_server import PeerServer
 
-# Every node tells its state this often, so that it is younger than what it decides.
+# Interval of broadcasts, short enough that decisions do not rest on outdated states.
 BROADCAST_SECONDS = 0.5
-# Up to so many nodes tell each other directly: it is faster by the time of gathering,
-# and costs little processor time in a fleet of this size.
+# Fleets of up to this size broadcast directly: it saves the delay of batching, and the
+# additional messages cost little processor time.
 MAX_DIRECT_NODES = 24
-# What calls a route makes changes with the configuration and is told this often.
+# Call ratios change rarely, with the configuration, and are sent at this interval.
 CALL_RATIOS_INTERVAL_SECONDS = 2.0
 
 
 class RelayBuffer:
-    """States of other nodes that wait to be handed on."""
+    """States of other nodes that wait to be relayed."""
 
     def __init__(self) -> None:
         self._pending: dict[str, NodeState] = {}
 
     def add(self, name: str, state: NodeState) -> None:
-        """Keep a node's state; what it said before in addition stays."""
+        """Add a node's newest state, with call ratios of a pending one if it has none.
+
+        Args:
+            name: Name of the node.
+            state: Its state; may be modified.
+        """
         previous = self._pending.get(name)
         if previous is not None:
             if state.downstream_calls is None:
@@ -39,21 +45,21 @@
         self._pending[name] = state
 
     def take(self) -> list[tuple[str, NodeState]]:
-        """Return what waits, and forget it."""
+        """Return the pending states with their nodes' names, and clear the buffer."""
         pending = list(self._pending.items())
         self._pending = {}
         return pending
 
 
 class StateBroadcaster:
-    """Tells this node's state.
+    """Broadcasts this node's state, and relays states within its zone.
 
     Args:
-        entry: Of this node.
+        entry: Entry of this node.
         fleet: The other nodes.
-        server: Holds the streams on which the others listen.
-        build_load: Returns the state but for calls and use.
-        call_ratios: What the own backend server calls.
+        server: Sends on the streams that other nodes opened to this one.
+        build_load: Returns the state without sequence and call ratios.
+        call_ratios: Estimates which calls the own backend server makes.
     """
 
     def __init__(
@@ -70,12 +76,12 @@
         self._build_load = build_load
         self._call_ratios = call_ratios
         self._relay_buffer = RelayBuffer()
-        # Above all that a former life of this node told, as its entry is newer.
+        # The start time exceeds all sequences of this node's earlier processes.
         self._sequence = entry.started
         self._call_ratios_sent_at = 0.0
 
     def build_full_state(self) -> NodeState:
-        """Return all that this node tells, for one that knows nothing yet."""
+        """Return the complete state, for a node that has just connected."""
         now = time.monotonic()
         state = self._build_load()
         state.sequence = self._sequence
@@ -84,22 +90,22 @@
         return state
 
     def broadcast_now(self) -> None:
-        """Tell every node directly and at once: a change that must not wait."""
+        """Send the state to every node immediately; for urgent changes."""
         self._server.send(State(self._build_update(), relay=False))
 
     def relay_state(self, name: str, state: NodeState) -> None:
-        """Tell this node's zone what another node told."""
-        # A copy: what waits is added to, and the original is what this node knows.
+        """Add another node's state to those that are relayed to this node's zone."""
+        # A copy, since the buffer modifies states and the original is in use here.
         self._relay_buffer.add(name, state.copy())
 
     def relay_pending(self, now: float) -> None:
-        """Hand on what other nodes told since the last time."""
+        """Relay the pending states to this node's zone."""
         pending = self._relay_buffer.take()
         if pending:
             self._server.send(States(pending), self._is_same_zone)
 
     def broadcast(self, now: float) -> None:
-        """Tell the state."""
+        """Broadcast the state, directly or through one relay node in each zone."""
         if len(self._fleet) <= MAX_DIRECT_NODES:
             self.broadcast_now()
             return
@@ -113,7 +119,7 @@
         return other.zone == self._entry.zone
 
     def _build_update(self) -> NodeState:
-        """Return what changed since it was told last."""
+        """Return the next state to send, with call ratios if those are due."""
         now = time.monotonic()
         self._sequence += 1
         state = self._build_load()
