--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Who of a large fleet is asked."""
+"""Choice of nodes for calls in a large fleet."""
 
 import collections
 import random
@@ -13,14 +13,14 @@
 
 
 class PeerHost:
-    """The node that looks at the fleet."""
+    """The node that chooses among the fleet."""
 
     entry = NodeEntry("here", "127.0.0.1:1", "a", "front", 1)
     cross_zone_bytes = CrossZoneBytes()
 
 
 class FakeSupervisor:
-    """Starts nothing: no stream is opened."""
+    """Supervisor that starts no tasks, so that no stream is opened."""
 
     def start(self, name: str, work: object) -> None:
         """Do nothing."""
@@ -43,8 +43,8 @@
 
 
 async def test_all_backend_servers_of_a_zone_get_calls(fleet: Fleet):
-    """Nodes looked at the first eight of their zone by name. The other four stood idle
-    while those eight had queues, and calls crossed to other zones.
+    """Guards against comparing only the first eight of a zone's twelve nodes by name:
+    the other four are idle while calls queue at those eight or cross zones.
     """
     chosen = collections.Counter(
         candidate.name
@@ -56,7 +56,7 @@
 
 
 async def test_each_node_is_tried_once_same_zone_first(fleet: Fleet):
-    """What was tried is passed over, in its zone first; in the end nobody is left."""
+    """Tried nodes are skipped; other zones follow once the same zone is exhausted."""
     tried: list[str] = []
     zones = []
     while candidate := fleet.choose("deep", None, tried, 40.0, 600.0, {}):
@@ -67,7 +67,7 @@
 
 
 async def test_calls_cross_zones_when_the_whole_zone_queues(fleet: Fleet):
-    """Where all of a zone's backend servers have two calls waiting for each slot."""
+    """All backend servers of the zone have two calls queued per slot."""
     for number in range(0, 36, 3):
         peer = fleet.get(f"deep-{number:02}")
         assert peer is not None
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -1,4 +1,4 @@
-"""What nodes do when backend servers, the store, peers or they themselves fail."""
+"""Behavior of nodes when backend servers, the store, peers or the node itself fail."""
 
 import asyncio
 
@@ -11,19 +11,19 @@
 
 
 async def wait_until(condition: object, seconds: float = 5.0) -> None:
-    """Wait until a function returns something true."""
+    """Wait until a function returns a true value."""
     async with asyncio.timeout(seconds):
         while not condition():  # type: ignore[operator]
             await asyncio.sleep(0.02)
 
 
 def count_requests(place: Place) -> int:
-    """Return how many requests ran on a place's backend server."""
+    """Return how many requests have run on a place's backend server."""
     return len(place.backend.ran)
 
 
 async def test_draining_backend_server_gets_no_more_calls(mesh: Mesh):
-    """From the acknowledgement on, calls go to the other one, and none fails."""
+    """After the acknowledgement all calls go to the other one, and none fails."""
     draining, other = mesh.places[1:]
     draining.backend.state = "draining"
     assert await draining.backend.report() == 200
@@ -35,8 +35,8 @@
 
 
 async def test_late_ready_report_does_not_undo_deregistration(mesh: Mesh):
-    """A backend server that had said goodbye got requests again and cut them off:
-    a report that it was ready, sent before, came after.
+    """Guards against sending requests to a deregistered backend server, which drops
+    them: a report sent before the deregistration says ready and arrives after it.
     """
     draining = mesh.places[1]
     assert await draining.backend.leave() == 200
@@ -45,9 +45,8 @@
 
 
 async def test_a_leave_before_any_report_binds(mesh: Mesh):
-    """Guards against calls to a backend server that was told to leave just after its
-    node was started again: the leave names no start of a lifetime, and a report that
-    says it is ready comes late.
+    """Guards against calls to a backend server that deregisters just after its node is
+    restarted: the deregistration names no start time, and a late report says ready.
     """
     draining = mesh.places[1]
     await draining.kill_node()
@@ -60,8 +59,8 @@
 
 
 async def test_report_of_an_earlier_incarnation_is_ignored(mesh: Mesh):
-    """A backend server was taken out of use seconds after its start: its earlier
-    lifetime's last report, that it drains, had been held up by a cut.
+    """Guards against taking a restarted backend server out of use: the last report of
+    its earlier incarnation says draining, and is delayed by a network partition.
     """
     place = mesh.places[1]
     place.backend.start_time_ms = 200
@@ -75,7 +74,7 @@
 
 
 async def test_malformed_or_foreign_report_is_refused(mesh: Mesh):
-    """Reports of other writers name no backend server, and the one in use stays."""
+    """Invalid reports and those of other services leave the backend server in use."""
     place = mesh.places[1]
     for body in (b"rubbish", b"{}", b'{"service": 3}'):
         assert await place.backend.call_control("PUT", body) == 400
@@ -85,9 +84,8 @@
 
 
 async def test_acknowledged_drain_survives_a_node_restart(mesh: Mesh):
-    """A backend server got requests long after it had been told that it would get
-    none: the node had acknowledged its leaving, was killed, and started again with
-    a report that was on its way before.
+    """Guards against requests to a backend server whose drain was acknowledged. The
+    node is killed, restarted, and then receives a report sent before the drain.
     """
     place = mesh.places[1]
     place.backend_task.cancel()
@@ -100,8 +98,8 @@
 
 
 async def test_peers_record_a_drain_while_the_store_is_down(mesh: Mesh):
-    """The store is down when a backend server leaves: it is acknowledged all the
-    same, and holds after the node was killed, since other nodes remember it.
+    """While the store is down, a drain is acknowledged as other nodes record it, and
+    still applies after the node is killed and restarted.
     """
     place = mesh.places[1]
     place.backend_task.cancel()
@@ -118,7 +116,7 @@
 
 
 async def test_revoked_key_is_refused(mesh: Mesh):
-    """The operator takes a key away; no node uses it a moment later."""
+    """No node accepts a key after the operator has removed it."""
     configuration = build_configuration(2, *PATHS)
     configuration["tenants"][0]["api_keys"] = ["key-2"]
     mesh.store.publish(configuration)
@@ -129,8 +127,8 @@
 
 
 async def test_keys_are_refused_once_the_configuration_is_stale():
-    """A withdrawn key went on working at nodes that could not reach the store. A node
-    that does not know whether a key still holds refuses it as not run.
+    """Guards against accepting revoked keys while the store is unreachable. A node that
+    does not know whether a key is still valid refuses the call as not run.
     """
     mesh = Mesh()
     for service in ("front", "deep"):
@@ -149,8 +147,8 @@
 
 
 async def test_new_version_is_read_after_log_truncation(mesh: Mesh):
-    """A configuration was not in force anywhere: the store had deleted the records
-    between the position of the nodes and the newest.
+    """Guards against missing a configuration when the store has deleted the records
+    between the nodes' offset and the newest one.
     """
     mesh.store.publish(build_configuration(2, *PATHS))
     mesh.store.publish(build_configuration(3, *PATHS))
@@ -161,7 +159,7 @@
 
 
 async def test_older_version_does_not_replace_a_newer_one(mesh: Mesh):
-    """A version is in force until a newer one is, whatever the store hands out."""
+    """A version stays in force until a newer one exists, whatever the store returns."""
     mesh.store.publish(build_configuration(5, *PATHS))
     await wait_until(lambda: mesh.places[0].node.policies.version == 5)
     mesh.store.publish(build_configuration(4, *PATHS))
@@ -170,8 +168,8 @@
 
 
 async def test_graceful_shutdown_fails_no_call(mesh: Mesh):
-    """During a planned stop of a node callers are served: what runs ends whole, and
-    what comes still goes to the other backend server.
+    """While a node shuts down, calls in flight complete, and new ones are sent to the
+    other backend server.
     """
     stopping = mesh.places[1]
     for place in mesh.places[1:]:
@@ -194,7 +192,7 @@
 
 
 async def test_idempotent_calls_on_a_killed_node_are_retried(mesh: Mesh):
-    """A node dies; calls that may run twice are answered by another."""
+    """A node is killed; idempotent calls in flight there are answered by another."""
     for place in mesh.places[1:]:
         place.backend.work = 0.4
     running = [
@@ -211,7 +209,7 @@
 
 
 async def test_node_without_the_store_gets_versions_from_peers(mesh: Mesh):
-    """One node is cut off from the store alone: it hears of news from the others."""
+    """A node that cannot reach the store receives new versions from its peers."""
     isolated = mesh.places[2]
 
     async def fail(*arguments: object) -> None:
@@ -225,21 +223,21 @@
 
 
 async def test_new_version_costs_few_store_calls(mesh: Mesh):
-    """Every node waited in the store for news, and each version cost as many calls as
-    there were nodes; calls are priced. One waits, and tells the others at once.
+    """Guards against a store call per node for each version, as calls are billed. Only
+    one node long-polls the store, and broadcasts a new version immediately.
     """
     await asyncio.sleep(1.5)
     calls_before = mesh.store.calls
     mesh.store.publish(build_configuration(2, *PATHS))
     await asyncio.sleep(0.4)
     assert [place.node.policies.version for place in mesh.places] == [2, 2, 2]
-    # The reader's call ends and is made again; besides, it asks every 0.6 s.
+    # The reader's long poll returns and is repeated; it also polls every 0.6 s.
     assert mesh.store.calls - calls_before <= 4
 
 
 async def test_version_propagates_after_the_reader_was_killed(mesh: Mesh):
-    """The one node that waits in the store is killed; the next version is in force at
-    the others within the two seconds that users allow.
+    """The only node that long-polls the store is killed. The next version must be in
+    force at the others within 2 s, the required time.
     """
     await asyncio.sleep(1.0)
     reader = min(mesh.places, key=lambda place: place.settings.name)
@@ -251,16 +249,17 @@
 
 
 async def test_stopping_node_refuses_calls_it_may_not_finish(mesh: Mesh):
-    """A node was told to stop and callers still came, as few other nodes of their zone
-    were ready. A request that came in the second half of its time waited at a busy
-    backend server, was at work when the node ended, and its caller got 502 after two
-    seconds. It is refused as not run when it comes; what must end in time is served.
+    """Guards against a call that arrives in the second half of the shutdown grace
+    period, queues at a busy backend server, still runs when the node exits, and gets
+    502 after 2 s. Callers keep coming if few other nodes of the zone are ready. The
+    call is refused as not run on arrival; one whose deadline is before the exit is
+    served.
     """
     stopping = mesh.places[0]
     for place in mesh.places[1:]:
         place.backend.work = 0.3
     stopping.stopping.set()
-    # Grace is 2 s here, of which some is kept for the end.
+    # The grace period is 2 s here, part of which is reserved for the process's exit.
     await asyncio.sleep(0.95)
     loop = asyncio.get_running_loop()
     short_call = asyncio.create_task(ask(stopping, "/deep/a", "kept", remaining_ms=150))
@@ -273,10 +272,10 @@
 
 
 async def test_drains_of_other_backend_servers_do_not_mask_this_one(mesh: Mesh):
-    """A backend server that was told as leaving, and acknowledged, got requests for two
-    seconds more and on. Its node had heard from a peer of younger backend servers
-    elsewhere that had left, took all reports of an older one for those of an earlier
-    life, and acknowledged the leave without heeding it.
+    """Guards against requests that go on for 2 s and more after an acknowledged drain.
+    A peer has sent drains of backend servers elsewhere that started later. The node
+    takes all reports of its own, older one for those of an earlier incarnation, and
+    acknowledges its drain without applying it.
     """
     place = mesh.places[1]
     place.node.apply_drains({"i-elsewhere": place.backend.start_time_ms + 1000})
@@ -286,8 +285,8 @@
 
 
 async def test_drain_overtaken_by_a_later_report_is_applied(mesh: Mesh):
-    """The report of the leave was overtaken by one that was sent after it. It is
-    acknowledged, so that it binds.
+    """A draining report arrives after one that was sent later. It is acknowledged, so
+    the drain must be applied.
     """
     place = mesh.places[1]
     place.backend.state = "draining"
@@ -297,8 +296,9 @@
 
 
 async def test_calls_soon_go_elsewhere_when_a_zone_falls_silent(mesh: Mesh):
-    """A zone was cut off, and packets to it vanished. For two seconds half of all calls
-    were sent there and waited until their time was up, though another zone served them.
+    """Guards against calls that wait for an unreachable zone until their deadline.
+    Packets to the zone are dropped; for 2 s half of all calls are sent there, though
+    another zone serves them.
     """
     silent_server = mesh.places[1].node._peer_server
     paused_streams = [(stream, stream._transport) for stream in silent_server._streams]
@@ -329,9 +329,9 @@
 async def test_crashed_backend_server_gets_no_calls_until_it_reports(
     mesh: Mesh,
 ):
-    """A backend server crashed, and the node beside it went on telling the others that
-    it takes calls. A third of all look-ups went there first, and admission reckoned
-    with its slots: callers were let in whom the two others could not serve.
+    """Guards against a node that broadcasts a crashed backend server as available. A
+    third of all calls are sent there first, and admission counts its slots: callers are
+    admitted whom the two other backend servers cannot serve.
     """
     crashed = mesh.places[1]
     assert crashed.backend_task is not None
@@ -353,8 +353,8 @@
 async def test_call_delayed_past_its_deadline_does_not_run(
     mesh: Mesh, monkeypatch: pytest.MonkeyPatch
 ):
-    """Backend servers worked for callers that had left: calls had waited between two
-    nodes for longer than their callers did, and came with all of their time.
+    """Guards against work for callers that have left: a call is delayed between two
+    nodes past its deadline, and arrives with its remaining time undiminished.
     """
     for number in range(4):
         assert (await ask(mesh.places[0], "/deep/a", f"n{number}")).status == 200
@@ -367,8 +367,8 @@
 async def test_delayed_first_call_on_a_stream_does_not_run(
     mesh: Mesh, monkeypatch: pytest.MonkeyPatch
 ):
-    """A backend server worked for a caller that had left: the call was the first from
-    its node to the other, and there was no earlier call to tell the wait by.
+    """Guards against work for a caller that has left: the delayed call is the first on
+    its stream, and no earlier call provides a baseline to measure the delay.
     """
     monkeypatch.setattr(peer, "read_age_clock", lambda: read_age_clock() - 5.0)
     for number in range(8):
--- a/tests/test_peer_monitor.py
+++ b/tests/test_peer_monitor.py
@@ -1,4 +1,4 @@
-"""Looks for streams on which nothing comes any more."""
+"""Liveness checks of peers."""
 
 import asyncio
 import contextlib
@@ -8,7 +8,7 @@
 
 
 class FakeFleet:
-    """Notes for which moments silence was looked for."""
+    """Records the times as of which liveness is checked."""
 
     has_pending_calls = True
 
@@ -20,9 +20,9 @@
 
 
 async def test_liveness_is_checked_although_each_check_is_late():
-    """On a machine with too little processor each look came a fifth of a second late,
-    and none was taken: calls to a zone that was cut off waited out their two seconds.
-    Time in which this process stood still counts against nobody.
+    """Guards against skipping late checks: on an overloaded machine each one runs 0.2 s
+    late, and calls to an unreachable zone wait for their timeout of 2 s. Time in which
+    this process is stalled must not count against peers.
     """
     fleet = FakeFleet()
     stalls: list[bool] = []
@@ -31,7 +31,7 @@
     await asyncio.sleep(0)
     for _ in range(4):
         block_started_at = time.monotonic()
-        time.sleep(0.3)  # noqa: ASYNC251, the loop is to stand still
+        time.sleep(0.3)  # noqa: ASYNC251, blocks the event loop on purpose
         await asyncio.sleep(0.02)
         assert fleet.checked_at[-1] < block_started_at + 0.25
     task.cancel()
--- a/tests/test_state_broadcast.py
+++ b/tests/test_state_broadcast.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of themselves, and hand on."""
+"""Broadcast and relay of node states."""
 
 from primroseglade.sidecar.call_ratios import CallRatioEstimator
 from primroseglade.sidecar.frames import Frame, State, States
@@ -13,7 +13,7 @@
 
 
 class FakeFleet:
-    """As many nodes as are asked for; the first of each zone is its reader."""
+    """A fleet of a given size; the first node of each zone is its reader."""
 
     def __init__(self, size: int):
         self.entries = [
@@ -29,7 +29,7 @@
 
 
 class FakeServer:
-    """Notes which frames go to whom."""
+    """Records each frame with the name of its recipient."""
 
     def __init__(self, fleet: FakeFleet):
         self.fleet = fleet
@@ -42,7 +42,7 @@
 def build_broadcaster(
     size: int, name: str = "a-99"
 ) -> tuple[StateBroadcaster, FakeServer]:
-    """Return a teller of a node of the first zone; by default not of its reader."""
+    """Return the broadcaster of a node in zone a, by default not the zone's reader."""
     fleet = FakeFleet(size)
     fleet.entries = [entry for entry in fleet.entries if entry.name != name]
     server = FakeServer(fleet)
@@ -57,7 +57,7 @@
 
 
 def test_small_fleet_broadcasts_directly():
-    """Every other node gets it, and nobody hands it on."""
+    """Every other node receives the state, and none relays it."""
     broadcaster, server = build_broadcaster(MAX_DIRECT_NODES)
     broadcaster.broadcast(0.0)
     assert len(server.sent) == MAX_DIRECT_NODES
@@ -65,9 +65,10 @@
 
 
 def test_large_fleet_broadcasts_through_one_relay_per_zone():
-    """With 88 nodes that all told all others, states took more of the processor than
-    callers' requests, and with neighbours that told each other still half of it: each
-    message wakes a node. So one node of each zone, the own too, hands it on.
+    """Guards against the cost of waking a node for each message. If each of 88 nodes
+    sends its state to all others, states take more processor time than requests of
+    callers; if all nodes of a zone relay states to each other, still half of it. So one
+    node in each zone, including the sender's, relays them.
     """
     broadcaster, server = build_broadcaster(88)
     broadcaster.broadcast(0.0)
@@ -76,7 +77,7 @@
 
 
 def test_relay_includes_its_own_state():
-    """It tells one node in each other zone, and its neighbours with what it heard."""
+    """A reader sends to the other zones' readers; its own zone gets one batch."""
     broadcaster, server = build_broadcaster(88, name="a-00")
     broadcaster.relay_state("b-05", NodeState(in_flight=2.0))
     broadcaster.broadcast(0.0)
@@ -92,16 +93,14 @@
 
 
 def test_urgent_change_is_broadcast_to_all_nodes():
-    """Requests must not reach a backend server that leaves; this does not wait."""
+    """A drain must not wait for the next batch: no more requests may be sent there."""
     broadcaster, server = build_broadcaster(88)
     broadcaster.broadcast_now()
     assert len(server.sent) == 88
 
 
 def test_relay_buffer_keeps_call_ratios_of_an_earlier_state():
-    """Two states of one node between two rounds: what its backend server calls, which
-    only the first told, stays.
-    """
+    """Of two states of a node in one batch only the first has call ratios."""
     buffer = RelayBuffer()
     buffer.add("b-01", NodeState(downstream_calls={"": {"x": 1.0}}))
     buffer.add("b-01", NodeState(in_flight=3.0))
@@ -113,7 +112,7 @@
 
 
 def test_states_round_trip_through_frames():
-    """The frames decode to what was sent."""
+    """Decoded frames equal those sent."""
     from primroseglade.sidecar.frames import encode_frame, FrameReader
 
     frames = [State(NodeState("i-1", 5), relay=True), States([("n", NodeState())])]
