--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -165,7 +165,7 @@
     def choose(
         self,
         service: str,
-        own: Candidate | None,
+        own_candidate: Candidate | None,
         tried: Collection[str],
         cross_zone_cost_ms: float,
         failure_cost_ms: float,
@@ -175,24 +175,24 @@
 
         Args:
             service: The called service.
-            own: This node, if its backend server provides the service.
+            own_candidate: This node, if its backend server provides the service.
             tried: Names of nodes already tried.
             cross_zone_cost_ms: Extra cost of a call to another availability zone.
             failure_cost_ms: Cost of a failed call.
             downstream_costs: Cost of the calls made below the call, by zone.
         """
         service_peers = self.index.get_service_peers(service)
-        same_zone_peers = self._sample(
+        same_zone_candidates = self._sample(
             service_peers.same_zone_peers,
             SAME_ZONE_SAMPLE_SIZE,
             tried,
             downstream_costs,
         )
-        if own is not None and own.name not in tried:
-            same_zone_peers.append(own)
+        if own_candidate is not None and own_candidate.name not in tried:
+            same_zone_candidates.append(own_candidate)
         min_cross_zone_downstream_ms = min(downstream_costs.values(), default=0.0)
         chosen = choose(
-            same_zone_peers,
+            same_zone_candidates,
             lambda: self._sample(
                 service_peers.cross_zone_peers,
                 CROSS_ZONE_SAMPLE_SIZE,
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -23,18 +23,18 @@
     """The nodes by service and by zone; rebuilt when a node is added or removed.
 
     Args:
-        own: Entry of this node.
+        own_entry: Entry of this node.
         peers: The other nodes.
     """
 
-    __slots__ = ("_nodes_by_zone", "_own", "_peers_by_service")
+    __slots__ = ("_nodes_by_zone", "_own_entry", "_peers_by_service")
 
-    def __init__(self, own: NodeEntry, peers: Iterable[Peer]):
-        self._own = own
+    def __init__(self, own_entry: NodeEntry, peers: Iterable[Peer]):
+        self._own_entry = own_entry
         self._peers_by_service: dict[str, ServicePeers] = {}
         # Nodes of each zone, sorted by name; the peer is None for this node.
         self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
-            own.zone: [(own.name, None)]
+            own_entry.zone: [(own_entry.name, None)]
         }
         for peer in peers:
             entry = peer.entry
@@ -43,7 +43,7 @@
             )
             (
                 service_peers.same_zone_peers
-                if entry.zone == own.zone
+                if entry.zone == own_entry.zone
                 else service_peers.cross_zone_peers
             ).append(peer)
             self._nodes_by_zone.setdefault(entry.zone, []).append((entry.name, peer))
