--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -32,7 +32,7 @@
     recorded it.
 
     Args:
-        backend: The own backend server.
+        backend: The backend server of this node.
         fleet: The nodes that can record drains for this one.
         store: The platform's store.
         supervisor: Runs store writes that take longer than handling a report.
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -229,9 +229,9 @@
         ahead: Number of further calls expected soon.
         unspent: Tokens granted ahead of need that the sender still has.
         returned: Tokens granted earlier that will not be spent.
-        loan: Tokens, possibly a fraction, that the sender borrows as another holder; 0
-            if it is none. All spare tokens are lent if calls wait, else only those
-            above half of the lender's capacity.
+        loan: Tokens, possibly a fraction, to lend to the sender, which is itself a
+            holder; 0 if it is not. If calls wait, all spare tokens may be lent, else
+            only those above half of the lender's capacity.
     """
 
     id: int
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -1,4 +1,4 @@
-"""Server for streams of other nodes; runs their calls on the own backend server."""
+"""Server for streams of other nodes; runs their calls on the local backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -90,7 +90,7 @@
     Args:
         address: ``IP:PORT`` to listen on.
         host: The node that the server belongs to.
-        dispatcher: Runs calls on the own backend server.
+        dispatcher: Runs calls on the local backend server.
         journal: Logs calls that fail with an unexpected error.
     """
 
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -59,7 +59,7 @@
         fleet: The other nodes.
         server: Sends on the streams that other nodes opened to this one.
         build_load: Returns the state without sequence and call ratios.
-        call_ratios: Estimates which calls the own backend server makes.
+        call_ratios: Estimates which calls the local backend server makes.
     """
 
     def __init__(
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -274,8 +274,8 @@
 async def test_drains_of_other_backend_servers_do_not_mask_this_one(mesh: Mesh):
     """Guards against requests that go on for 2 s and more after an acknowledged drain.
     A peer has sent drains of backend servers elsewhere that started later. The node
-    takes all reports of its own, older one for those of an earlier incarnation, and
-    acknowledges its drain without applying it.
+    mistakes reports of its own, older backend server for those of an earlier
+    incarnation, and acknowledges the drain without applying it.
     """
     place = mesh.places[1]
     place.node.apply_drains({"i-elsewhere": place.backend.start_time_ms + 1000})
