--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -1,4 +1,4 @@
-"""The nodes of a fleet by service and by availability zone."""
+"""Index of a fleet's nodes by service and by availability zone."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class ServicePeers:
-    """The nodes of one service, in this node's zone and in others."""
+    """The peers that provide one service, in this node's zone and in others."""
 
     __slots__ = ("cross_zone_peers", "same_zone_peers")
 
@@ -16,56 +16,58 @@
         self.cross_zone_peers: list[Peer] = []
 
 
-NOWHERE = ServicePeers()
+NO_PEERS = ServicePeers()
 
 
 class FleetIndex:
-    """Built anew when a node comes or goes.
+    """The nodes by service and by zone; rebuilt when a node is added or removed.
 
     Args:
-        own: This node.
-        peers: The others.
+        own_entry: Entry of this node.
+        peers: The other nodes.
     """
 
-    __slots__ = ("_own", "_places", "_zones")
+    __slots__ = ("_nodes_by_zone", "_own_entry", "_peers_by_service")
 
-    def __init__(self, own: NodeEntry, peers: Iterable[Peer]):
-        self._own = own
-        self._places: dict[str, ServicePeers] = {}
-        # The names of a zone's nodes in order; None stands for this node.
-        self._zones: dict[str, list[tuple[str, Peer | None]]] = {
-            own.zone: [(own.name, None)]
+    def __init__(self, own_entry: NodeEntry, peers: Iterable[Peer]):
+        self._own_entry = own_entry
+        self._peers_by_service: dict[str, ServicePeers] = {}
+        # Nodes of each zone, sorted by name; the peer is None for this node.
+        self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
+            own_entry.zone: [(own_entry.name, None)]
         }
         for peer in peers:
             entry = peer.entry
-            service_peers = self._places.setdefault(entry.service, ServicePeers())
+            service_peers = self._peers_by_service.setdefault(
+                entry.service, ServicePeers()
+            )
             (
                 service_peers.same_zone_peers
-                if entry.zone == own.zone
+                if entry.zone == own_entry.zone
                 else service_peers.cross_zone_peers
             ).append(peer)
-            self._zones.setdefault(entry.zone, []).append((entry.name, peer))
-        for names in self._zones.values():
+            self._nodes_by_zone.setdefault(entry.zone, []).append((entry.name, peer))
+        for names in self._nodes_by_zone.values():
             names.sort(key=lambda item: item[0])
 
     @property
     def zones(self) -> int:
         """Number of availability zones."""
-        return len(self._zones)
+        return len(self._nodes_by_zone)
 
     def get_service_peers(self, service: str) -> ServicePeers:
-        """Return the nodes of a service."""
-        return self._places.get(service, NOWHERE)
+        """Return the peers that provide a service."""
+        return self._peers_by_service.get(service, NO_PEERS)
 
     def list_first(self, count: int, connected: bool = True) -> dict[str, list[str]]:
-        """Return the first nodes of each zone by name.
+        """Return the names of the first nodes of each zone, in order of name.
 
         Args:
-            count: How many of each zone.
-            connected: Whether only nodes are meant to which a stream is open.
+            count: Maximum number of nodes per zone.
+            connected: Whether to leave out peers to which no stream is open.
         """
         first: dict[str, list[str]] = {}
-        for zone, nodes in self._zones.items():
+        for zone, nodes in self._nodes_by_zone.items():
             names: list[str] = []
             for name, peer in nodes:
                 if peer is None or peer.connected or not connected:
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -1,4 +1,4 @@
-"""The other end of streams: runs what other nodes send for the own backend server."""
+"""Server for streams of other nodes; runs their calls on the local backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -34,53 +34,64 @@
 
 
 class ServerHost(Protocol):
-    """What the server needs of its node."""
+    """The node that a peer server belongs to, as the server uses it."""
 
     @property
     def entry(self) -> NodeEntry:
-        """How this node is found."""
+        """Name, address and location of this node."""
 
     @property
     def cross_zone_bytes(self) -> CrossZoneBytes:
-        """Counts what is sent to other availability zones."""
+        """Counter of the bytes sent to other availability zones."""
 
     @property
     def drains(self) -> dict[str, int]:
-        """Backend servers beside other nodes that leave."""
+        """Recorded drains of other nodes' backend servers: start times by id."""
 
     @property
     def in_flight(self) -> int:
-        """Calls at work and waiting at the backend server."""
+        """Calls running and queued at the backend server."""
 
     def build_full_state(self) -> NodeState:
-        """Return all that this node tells of itself."""
+        """Return this node's complete state."""
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
-        """Return the configuration in force."""
+        """Return the configuration in force, as an answer to a request."""
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
-        """Remember that a backend server beside another node leaves."""
+        """Record that another node's backend server is draining."""
 
     def handle_hello(self, entry: NodeEntry) -> None:
-        """Take in a node that introduces itself."""
+        """Handle a node that opened a stream to this one."""
 
     def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Take in that a node lends its share of all rates."""
+        """Record that a node lends its share of all rates.
+
+        Args:
+            lender: The node.
+            lease_ms: End of the lease on this node's age clock, in milliseconds.
+        """
 
     def answer_token_request(
         self, sender: str, request: TokenRequest, send: Callable[[TokenGrant], None]
     ) -> None:
-        """Answer a node's request for tokens, at once or later."""
+        """Answer a node's request for tokens, immediately or later.
+
+        Args:
+            sender: Name of the node.
+            request: Its request.
+            send: Sends the answer.
+        """
 
 
 class PeerServer:
-    """Listens for other nodes.
+    """Accepts streams from other nodes and handles the frames received on them.
 
     Args:
-        address: ``IP:PORT``.
-        host: The node that this belongs to.
-        dispatcher: Runs calls on the own backend server.
-        journal: Where faults are told.
+        address: ``IP:PORT`` to listen on.
+        host: The node that the server belongs to.
+        dispatcher: Runs calls on the local backend server.
+        journal: Logs calls that fail with an unexpected error.
     """
 
     def __init__(
@@ -96,12 +107,12 @@
         self._dispatcher = dispatcher
         self._journal = journal
         self._streams: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
-        self._greeted: dict[FrameStream, NodeEntry] = {}
+        self._introduced_nodes: dict[FrameStream, NodeEntry] = {}
         self._one_way_delays: dict[FrameStream, OneWayDelay] = {}
 
     @property
     def busy(self) -> int:
-        """Calls of other nodes under way here."""
+        """Number of calls of other nodes in flight here."""
         return sum(len(tasks) for tasks in self._streams.values())
 
     async def run(self) -> None:
@@ -109,7 +120,7 @@
         loop = asyncio.get_running_loop()
         host, port = parse_address(self._address)
         server = await loop.create_server(
-            lambda: FrameStream(self._receive, self._note_lost),
+            lambda: FrameStream(self._receive, self._handle_disconnect),
             host,
             port,
             reuse_address=True,
@@ -120,17 +131,17 @@
             server.close()
 
     def send(
-        self, frame: Frame, wanted: Callable[[NodeEntry], bool] = lambda _: True
+        self, frame: Frame, is_recipient: Callable[[NodeEntry], bool] = lambda _: True
     ) -> None:
-        """Send a frame to the nodes that hold a stream to this one.
+        """Send a frame to nodes that have opened a stream to this one.
 
         Args:
-            frame: Encoded once for all of them in this node's zone.
-            wanted: Tells which ones get it.
+            frame: The frame, encoded once for all recipients in this node's zone.
+            is_recipient: Returns whether a node receives the frame.
         """
         data = encode_frame(frame)
-        for stream, entry in self._greeted.items():
-            if not wanted(entry):
+        for stream, entry in self._introduced_nodes.items():
+            if not is_recipient(entry):
                 continue
             if stream.is_cross_zone:
                 stream.send(frame)
@@ -138,22 +149,22 @@
                 stream.send_encoded(data)
 
     def finish(self) -> None:
-        """Close the streams once what was written is sent."""
+        """Close the streams after their write buffers are flushed."""
         for stream in list(self._streams):
             stream.finish()
 
     def abort(self) -> None:
-        """Cut all streams."""
+        """Close all streams immediately."""
         for stream in list(self._streams):
             stream.close()
 
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
         tasks = self._streams.setdefault(stream, {})
         if isinstance(frame, Call):
-            # What it waited on its way is gone from its caller's time.
-            waited = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
-            frame.remaining_ms -= waited
-            frame.latency_target_ms -= waited
+            # Time spent queueing on the way here counts against the deadline.
+            queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
+            frame.remaining_ms -= queueing_ms
+            frame.latency_target_ms -= queueing_ms
             task = self._loop.create_task(self._serve(stream, frame))
             tasks[frame.id] = task
             task.add_done_callback(lambda _: tasks.pop(frame.id, None))
@@ -162,7 +173,7 @@
             if task is not None:
                 task.cancel()
         elif isinstance(frame, Ping):
-            # Each stream begins with one, so that its first call has a measure.
+            # Each stream begins with a ping, the baseline for the first call's delay.
             self._measure_queueing_delay(stream, frame.sent_ms)
             self._answer_ping(stream, frame)
         elif isinstance(frame, Hello):
@@ -170,12 +181,12 @@
                 stream.mark_cross_zone(self._host.cross_zone_bytes)
             state = self._host.build_full_state()
             stream.send(Hello(self._host.entry, state, self._host.drains))
-            self._greeted[stream] = frame.entry
+            self._introduced_nodes[stream] = frame.entry
             self._host.handle_hello(frame.entry)
         elif isinstance(frame, PolicyRequest):
             stream.send(self._host.build_policy_answer(frame.id))
         elif isinstance(frame, TokenRequest):
-            sender = self._greeted.get(stream)
+            sender = self._introduced_nodes.get(stream)
             if sender is not None:
                 self._host.answer_token_request(sender.name, frame, stream.send)
         elif isinstance(frame, DrainNote):
@@ -183,21 +194,21 @@
             stream.send(DrainNoted(frame.id))
 
     def _measure_queueing_delay(self, stream: FrameStream, sent_ms: int) -> float:
-        """Return for how many seconds a frame waited on its way."""
+        """Return the seconds that a frame spent queueing on the way here."""
         one_way_delay = self._one_way_delays.get(stream)
         if one_way_delay is None:
             one_way_delay = self._one_way_delays[stream] = OneWayDelay()
         return one_way_delay.measure_excess(sent_ms / 1000, read_age_clock())
 
-    def _note_lost(self, stream: FrameStream, reason: str) -> None:
-        self._greeted.pop(stream, None)
+    def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
+        self._introduced_nodes.pop(stream, None)
         self._one_way_delays.pop(stream, None)
-        # The node that sent them is gone, or nothing reaches it: nobody waits.
+        # The sender has failed or cannot be reached; nobody waits for these calls.
         for task in list(self._streams.pop(stream, {}).values()):
             task.cancel()
 
     def _answer_ping(self, stream: FrameStream, ping: Ping) -> None:
-        lender = self._greeted.get(stream)
+        lender = self._introduced_nodes.get(stream)
         if ping.lease_ms and lender is not None:
             self._host.record_lease(lender, ping.lease_ms)
         answer = self._host.build_policy_answer(ping.id)
