--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -129,7 +129,7 @@
             return
         known = self._peers.get(entry.name)
         if known is not None:
-            if entry.started > known.entry.started:
+            if entry.start_time_ms > known.entry.start_time_ms:
                 known.entry = entry
                 self._index = None
             return
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -51,7 +51,7 @@
             names.sort(key=lambda item: item[0])
 
     @property
-    def zones(self) -> int:
+    def zone_count(self) -> int:
         """Number of availability zones."""
         return len(self._nodes_by_zone)
 
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -108,7 +108,7 @@
         self.rate = rate
         self.burst = burst
 
-    def is_higher_than(self, other: "Tenant") -> bool:
+    def has_higher_rate_than(self, other: "Tenant") -> bool:
         """Return whether the rate limit is higher than in another version."""
         if self.rate <= 0 or other.rate <= 0:
             return self.rate <= 0 < other.rate
@@ -238,7 +238,7 @@
     address: str
     zone: str
     service: str
-    started: int
+    start_time_ms: int
 
     def has_same_location(self, other: "NodeEntry") -> bool:
         """Return whether another entry differs in nothing but the start time.
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -356,7 +356,7 @@
             ("policy age", self.policies.run_periodic_reads),
             ("introduction", self._register_and_discover),
             ("ticker", self._scheduler.run),
-            ("silence", self._peer_monitor.run_silence_checks),
+            ("silence", self._peer_monitor.run_liveness_checks),
         )
         for name, run_task in tasks:
             self._supervisor.start(name, run_task)
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -71,7 +71,7 @@
             if overdue or polls_first_reader or peer.entry.zone == self._fleet.zone:
                 peer.send_ping()
 
-    async def run_silence_checks(self) -> None:
+    async def run_liveness_checks(self) -> None:
         """Check the liveness of peers until cancelled, and report stalls."""
         while True:
             interval = (
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -212,7 +212,7 @@
         limits = self._rate_tolerance.compute_enforced_limits(tenant, version)
         if stock is None:
             stock = self._stocks[tenant.name] = Stock(tenant, limits)
-        elif settled or not stock.tenant.is_higher_than(tenant):
+        elif settled or not stock.tenant.has_higher_rate_than(tenant):
             stock.set_limits(tenant, limits)
         return stock
 
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -127,13 +127,16 @@
             lease_ms: End of the lease, in milliseconds on this node's clock.
         """
         now = time.monotonic()
-        self._lender_starts[lender.name] = lender.started
+        self._lender_starts[lender.name] = lender.start_time_ms
         until = now + lease_ms / 1000 - read_age_clock()
         self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
 
     def record_node_start(self, entry: NodeEntry) -> None:
         """End the lease of a node's former process."""
-        if self._lender_starts.get(entry.name, entry.started) < entry.started:
+        if (
+            self._lender_starts.get(entry.name, entry.start_time_ms)
+            < entry.start_time_ms
+        ):
             del self._lender_starts[entry.name]
             self._leases.revoke(entry.name, time.monotonic())
 
@@ -144,7 +147,7 @@
 
     def _list_holders(self, connected: bool = True) -> dict[str, list[str]]:
         index = self._fleet.index
-        return index.list_first(count_zone_holders(index.zones), connected)
+        return index.list_first(count_zone_holders(index.zone_count), connected)
 
     def _find_expected(self) -> str:
         """Return the holder assigned to this node if all known nodes are reachable."""
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -77,7 +77,7 @@
         self._call_ratios = call_ratios
         self._relay_buffer = RelayBuffer()
         # The start time exceeds all sequences of this node's earlier processes.
-        self._sequence = entry.started
+        self._sequence = entry.start_time_ms
         self._call_ratios_sent_at = 0.0
 
     def build_full_state(self) -> NodeState:
--- a/tests/test_peer_monitor.py
+++ b/tests/test_peer_monitor.py
@@ -27,7 +27,7 @@
     fleet = FakeFleet()
     stalls: list[bool] = []
     monitor = PeerMonitor("a", fleet, None, stalls.append)
-    task = asyncio.create_task(monitor.run_silence_checks())
+    task = asyncio.create_task(monitor.run_liveness_checks())
     await asyncio.sleep(0)
     for _ in range(4):
         block_started_at = time.monotonic()
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -282,8 +282,8 @@
 
 def test_no_limit_is_the_highest():
     """Guards against taking a rate of 0, which means none, for the lowest of all."""
-    assert Tenant("n", 1, 0.0, 0.0).is_higher_than(Tenant("n", 1, 5.0, 5.0))
-    assert not Tenant("n", 1, 5.0, 5.0).is_higher_than(Tenant("n", 1, 0.0, 0.0))
+    assert Tenant("n", 1, 0.0, 0.0).has_higher_rate_than(Tenant("n", 1, 5.0, 5.0))
+    assert not Tenant("n", 1, 5.0, 5.0).has_higher_rate_than(Tenant("n", 1, 0.0, 0.0))
     holder = OneHolder()
     assert all(holder.take(Tenant("n", 1, 0.0, 0.0)) for _ in range(50))
 
