--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -6,7 +6,7 @@
 
 from ..sidecar.frames import TokenGrant, TokenRequest
 from ..sidecar.model import Tenant
-from ..sidecar.periodic_scheduler import STEP_JITTER_RATIO, STEP_SECONDS
+from ..sidecar.periodic_scheduler import TICK_JITTER_RATIO, TICK_SECONDS
 from ..sidecar.quota import Quotas, TokenDecision
 from ..sidecar.rate_control import RENEW_SECONDS
 from ..sidecar.rate_tolerance import RateTolerance
@@ -225,8 +225,8 @@
                 return
             if self.network.frozen_until[number] <= self.simulation.now:
                 node.renew()
-            pause = STEP_SECONDS * self.rng.uniform(
-                1.0 - STEP_JITTER_RATIO, 1.0 + STEP_JITTER_RATIO
+            pause = TICK_SECONDS * self.rng.uniform(
+                1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO
             )
             self.simulation.schedule(self.simulation.now + pause, renew)
 
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -9,7 +9,7 @@
 )
 from primroseglade.sidecar.admission import Admission, ServiceLoad
 from primroseglade.sidecar.model import Tenant
-from primroseglade.sidecar.periodic_scheduler import STEP_SECONDS
+from primroseglade.sidecar.periodic_scheduler import TICK_SECONDS
 
 from .rates import OneHolder
 
@@ -40,7 +40,7 @@
         self.queued = max(0.0, self.queued + calls - self.capacity)
         self.queued = min(self.queued, 3 * self.slots)
         self.reported.append(self.slots * running_fraction + self.queued)
-        slot_ms = 1000 * STEP_SECONDS * self.slots / self.capacity
+        slot_ms = 1000 * TICK_SECONDS * self.slots / self.capacity
         return build_load(self.reported.pop(0), self.slots, slot_ms)
 
 
@@ -54,7 +54,7 @@
     requested = dict.fromkeys(demand, 0)
     visits = {"front": 1.0, "deep": 4.0}
     for step in range(steps):
-        now = step * STEP_SECONDS
+        now = step * TICK_SECONDS
         calls = 0.0
         for rank, count in demand.items():
             for _ in range(count):
@@ -130,7 +130,7 @@
     slow_ms, fast_ms = 500.0, 15.0
 
     def step(number: int, load: ServiceLoad) -> float:
-        now = number * STEP_SECONDS
+        now = number * TICK_SECONDS
         for _ in range(50):
             admission.record_demand(visits, NORMAL, now)
         admission.update({"deep": load}, admission.measure_demand(now), now)
@@ -141,7 +141,7 @@
     assert level < 0.1
     # From now on the whole demand uses six tenths of the slots.
     admission_levels = [level] * (REPORT_LAG_STEPS + 1)
-    for number in range(40, 40 + int(3.0 / STEP_SECONDS)):
+    for number in range(40, 40 + int(3.0 / TICK_SECONDS)):
         load = build_load(
             20.0 * 0.6 * admission_levels[-REPORT_LAG_STEPS], 20.0, fast_ms
         )
