--- a/primroseglade/demo/callers.py
+++ b/primroseglade/demo/callers.py
@@ -12,8 +12,8 @@
 
 TIMEOUT_SECONDS = 2.0
 # Uploads and issues are sent with POST, which must not run twice.
-POST_SHARE = 0.3
-GREEDY_FACTOR = 4.0
+POST_RATIO = 0.3
+GREEDY_RATE_FACTOR = 4.0
 
 
 class Callers:
@@ -32,50 +32,50 @@
         fleet: EmbeddedFleet,
         deployment: Deployment,
         rate: float,
-        greedy: str,
+        greedy_workspace: str,
         seed: int,
     ):
         self._fleet = fleet
         self._deployment = deployment
         self._rate = rate
-        self._greedy = greedy
+        self._greedy_workspace = greedy_workspace
         self._random = random.Random(seed)
         self._clients: dict[tuple[str, int], Client] = {}
-        self._running: set[asyncio.Task[None]] = set()
-        self._count = 0
+        self._in_flight: set[asyncio.Task[None]] = set()
+        self._call_count = 0
         self.records: list[CallRecord] = []
 
     async def run(self, until: float) -> None:
         """Send calls until a time on the loop's clock, and wait for their answers."""
         clock = asyncio.get_running_loop().time
         names = list(self._deployment.workspaces)
-        parts = [
-            part * (GREEDY_FACTOR if name == self._greedy else 1.0)
-            for name, part in self._deployment.workspaces.items()
+        weights = [
+            weight * (GREEDY_RATE_FACTOR if name == self._greedy_workspace else 1.0)
+            for name, weight in self._deployment.workspaces.items()
         ]
-        due = clock()
-        while due < until:
-            due += self._random.expovariate(self._rate * sum(parts))
-            await asyncio.sleep(max(0.0, due - clock()))
-            workspace = self._random.choices(names, parts)[0]
+        next_call_at = clock()
+        while next_call_at < until:
+            next_call_at += self._random.expovariate(self._rate * sum(weights))
+            await asyncio.sleep(max(0.0, next_call_at - clock()))
+            workspace = self._random.choices(names, weights)[0]
             self._start(workspace)
-        if self._running:
-            await asyncio.wait(self._running)
+        if self._in_flight:
+            await asyncio.wait(self._in_flight)
         for client in self._clients.values():
             await client.close()
 
     def _start(self, workspace: str) -> None:
         services = self._deployment.services
-        parts = [size.part for size in services.values()]
-        service = self._random.choices(list(services), parts)[0]
-        method = "POST" if self._random.random() < POST_SHARE else "GET"
+        weights = [size.call_ratio for size in services.values()]
+        service = self._random.choices(list(services), weights)[0]
+        method = "POST" if self._random.random() < POST_RATIO else "GET"
         key = self._random.choice((1, 2))
-        self._count += 1
-        record = CallRecord(f"c{self._count}", workspace, key, service, method)
+        self._call_count += 1
+        record = CallRecord(f"c{self._call_count}", workspace, key, service, method)
         self.records.append(record)
         task = asyncio.create_task(self._call(record))
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+        self._in_flight.add(task)
+        task.add_done_callback(self._in_flight.discard)
 
     async def _call(self, record: CallRecord) -> None:
         client = self._get_client(record.workspace, record.key)
@@ -90,9 +90,9 @@
                 operation=record.id,
             )
         except Refusal as refusal:
-            record.note_refusal(refusal)
+            record.record_refusal(refusal)
             return
-        record.note_answer(reply.status, _is_whole(reply.body, record))
+        record.record_response(reply.status, _is_complete_response(reply.body, record))
 
     def _get_client(self, workspace: str, key: int) -> Client:
         client = self._clients.get((workspace, key))
@@ -103,7 +103,7 @@
         return client
 
 
-def _is_whole(body: bytes, record: CallRecord) -> bool:
+def _is_complete_response(body: bytes, record: CallRecord) -> bool:
     try:
         fields = json.loads(body)
     except ValueError:
--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -3,17 +3,17 @@
 import collections
 from collections.abc import Callable
 
-from ..stand_ins.backend import Seen
+from ..stand_ins.backend import ReceivedRequest
 from ..verdicts import Verdict
 from .deployments import Deployment, get_key
 from .records import CallRecord
 
 # From the accepted edit, or the wish to drain, to the last effect of the old state.
-SECONDS_TO_WITHDRAW = 3.0
-SECONDS_TO_DRAIN = 3.0
-LONGEST_CHAIN = 2
+WITHDRAWAL_DEADLINE_SECONDS = 3.0
+DRAIN_DEADLINE_SECONDS = 3.0
+MAX_CALL_CHAIN_LENGTH = 2
 # Share by which the critical class may be served less than another by chance alone.
-CHANCE = 0.02
+SERVED_RATIO_TOLERANCE = 0.02
 
 
 class Evidence:
@@ -31,7 +31,7 @@
         self,
         deployment: Deployment,
         calls: list[CallRecord],
-        seen: dict[str, list[Seen]],
+        seen: dict[str, list[ReceivedRequest]],
         rates: dict[str, tuple[float, float]],
         retry_tokens: int,
     ):
@@ -46,7 +46,7 @@
         self.overload: tuple[float, float] | None = None
 
     @property
-    def all_seen(self) -> list[Seen]:
+    def all_seen(self) -> list[ReceivedRequest]:
         """What all backend servers started."""
         return [item for items in self.seen.values() for item in items]
 
@@ -54,24 +54,24 @@
 class Finding:
     """A promise, how often it was looked at, and how often it was broken."""
 
-    __slots__ = ("broken", "checked", "promise")
+    __slots__ = ("checked", "guarantee", "violations")
 
-    def __init__(self, promise: str, checked: int, broken: int):
-        self.promise = promise
+    def __init__(self, guarantee: str, checked: int, violations: int):
+        self.guarantee = guarantee
         self.checked = checked
-        self.broken = broken
+        self.violations = violations
 
     @property
     def kept(self) -> bool:
         """Whether it was never broken."""
-        return not self.broken
+        return not self.violations
 
 
 Check = Callable[[Evidence], tuple[int, int]]
 _checks: dict[str, Check] = {}
 
 
-def promise(text: str) -> Callable[[Check], Check]:
+def guarantee(text: str) -> Callable[[Check], Check]:
     """Register the check of a promise; it returns how many it looked at and broken."""
 
     def register(check: Check) -> Check:
@@ -81,62 +81,66 @@
     return register
 
 
-def check_promises(evidence: Evidence) -> list[Finding]:
+def check_guarantees(evidence: Evidence) -> list[Finding]:
     """Check every promise."""
     return [Finding(text, *check(evidence)) for text, check in _checks.items()]
 
 
-@promise("A request is retried a bounded number of times across the whole chain")
+@guarantee("A request is retried a bounded number of times across the whole chain")
 def _check_retries(evidence: Evidence) -> tuple[int, int]:
     starts = collections.Counter(
         item.headers.get("traceparent", "")[3:35] for item in evidence.all_seen
     )
-    bound = LONGEST_CHAIN * (1 + evidence.retry_tokens)
+    bound = MAX_CALL_CHAIN_LENGTH * (1 + evidence.retry_tokens)
     return len(starts), sum(count > bound for count in starts.values())
 
 
-@promise("Under overload the critical class is shed last")
-def _check_importance(evidence: Evidence) -> tuple[int, int]:
+@guarantee("Under overload the critical class is shed last")
+def _check_shedding_order(evidence: Evidence) -> tuple[int, int]:
     if evidence.overload is None:
         return 0, 0
     start, end = evidence.overload
     served: dict[str, list[bool]] = collections.defaultdict(list)
     for call in evidence.calls:
         # What the rate refused was not shed.
-        if start <= call.sent < end and call.outcome != "rate-exceeded":
+        if start <= call.sent_at < end and call.outcome != "rate-exceeded":
             served[call.service].append(call.served)
-    shares = {name: sum(items) / len(items) for name, items in served.items()}
+    served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
     critical = evidence.deployment.critical_service
     deep = evidence.deployment.deep_service
-    mine = shares.pop(critical, 1.0)
+    critical_ratio = served_ratios.pop(critical, 1.0)
     # Against the slowed service itself: others do not need it, and are not shed.
-    return len(served.get(critical, ())), int(mine + CHANCE < shares.get(deep, 0.0))
+    return len(served.get(critical, ())), int(
+        critical_ratio + SERVED_RATIO_TOLERANCE < served_ratios.get(deep, 0.0)
+    )
 
 
-@promise("A request runs only for the workspace whose key it carried")
-def _check_workspace(evidence: Evidence) -> tuple[int, int]:
+@guarantee("A request runs only for the workspace whose key it carried")
+def _check_workspace_isolation(evidence: Evidence) -> tuple[int, int]:
     owners = {call.id: call.workspace for call in evidence.calls}
-    broken = checked = 0
+    violations = checked = 0
     for item in evidence.all_seen:
         owner = owners.get(item.headers.get("x-echo", ""))
         if owner is not None:
             checked += 1
-            broken += item.workspace != owner
-    return checked, broken
+            violations += item.workspace != owner
+    return checked, violations
 
 
-@promise("No backend server ever sees a key")
-def _check_keys(evidence: Evidence) -> tuple[int, int]:
+@guarantee("No backend server ever sees a key")
+def _check_key_exposure(evidence: Evidence) -> tuple[int, int]:
     names = evidence.deployment.workspaces
     keys = [get_key(name, number) for name in names for number in (1, 2)]
-    broken = 0
+    violations = 0
     for item in evidence.all_seen:
         text = " ".join(item.headers.values())
-        broken += any(key in text for key in keys) or "authorization" in item.headers
-    return len(evidence.all_seen), broken
+        violations += (
+            any(key in text for key in keys) or "authorization" in item.headers
+        )
+    return len(evidence.all_seen), violations
 
 
-@promise("A withdrawn key stops working within seconds")
+@guarantee("A withdrawn key stops working within seconds")
 def _check_withdrawal(evidence: Evidence) -> tuple[int, int]:
     if evidence.withdrawn is None:
         return 0, 0
@@ -149,47 +153,48 @@
     late = [
         item
         for item in evidence.all_seen
-        if item.headers.get("x-echo", "") in ids and item.at > at + SECONDS_TO_WITHDRAW
+        if item.headers.get("x-echo", "") in ids
+        and item.received_at > at + WITHDRAWAL_DEADLINE_SECONDS
     ]
     tried = sum(
-        call.id in ids and call.sent > at + SECONDS_TO_WITHDRAW
+        call.id in ids and call.sent_at > at + WITHDRAWAL_DEADLINE_SECONDS
         for call in evidence.calls
     )
     return tried, len(late)
 
 
-@promise("No workspace gets more than its rate and burst over all instances")
+@guarantee("No workspace gets more than its rate and burst over all instances")
 def _check_rates(evidence: Evidence) -> tuple[int, int]:
-    broken = 0
+    violations = 0
     for workspace, (rate, burst) in evidence.rates.items():
         # A call's token was spent between its first byte and its last, so calls that
         # lie wholly inside a window were all charged inside it.
-        spent = sorted(
-            (call.sent, call.ended)
+        charged = sorted(
+            (call.sent_at, call.ended_at)
             for call in evidence.calls
             if call.workspace == workspace and call.outcome == "served"
         )
-        ends = sorted(end for _, end in spent)
-        broken += any(
-            _count_inside(spent, start, end) > burst + rate * (end - start) + 1
-            for start, _ in spent[::3]
+        ends = sorted(end for _, end in charged)
+        violations += any(
+            _count_inside(charged, start, end) > burst + rate * (end - start) + 1
+            for start, _ in charged[::3]
             for end in ends[::3]
             if end > start
         )
-    return len(evidence.rates), broken
+    return len(evidence.rates), violations
 
 
-def _count_inside(spent: list[tuple[float, float]], start: float, end: float) -> int:
-    return sum(start <= sent and ended <= end for sent, ended in spent)
+def _count_inside(charged: list[tuple[float, float]], start: float, end: float) -> int:
+    return sum(start <= sent_at and ended_at <= end for sent_at, ended_at in charged)
 
 
-@promise("Every caller receives the whole answer to its own request")
-def _check_whole(evidence: Evidence) -> tuple[int, int]:
+@guarantee("Every caller receives the whole answer to its own request")
+def _check_complete_responses(evidence: Evidence) -> tuple[int, int]:
     served = [call for call in evidence.calls if call.outcome == "served"]
-    return len(served), sum(not call.whole for call in served)
+    return len(served), sum(not call.is_complete for call in served)
 
 
-@promise('When a refusal says "not run", the request did not run')
+@guarantee('When a refusal says "not run", the request did not run')
 def _check_not_run(evidence: Evidence) -> tuple[int, int]:
     started = {
         item.headers.get("x-echo", "")
@@ -200,8 +205,8 @@
     return len(refused), sum(call.id in started for call in refused)
 
 
-@promise("A non-idempotent request runs at most once")
-def _check_once(evidence: Evidence) -> tuple[int, int]:
+@guarantee("A non-idempotent request runs at most once")
+def _check_at_most_once(evidence: Evidence) -> tuple[int, int]:
     posts = {call.id for call in evidence.calls if call.method == "POST"}
     starts = collections.Counter(
         item.operation for item in evidence.all_seen if item.operation in posts
@@ -209,27 +214,31 @@
     return len(starts), sum(count > 1 for count in starts.values())
 
 
-@promise("A leaving backend server receives no new work after a few seconds")
+@guarantee("A leaving backend server receives no new work after a few seconds")
 def _check_drain(evidence: Evidence) -> tuple[int, int]:
     if evidence.drained is None:
         return 0, 0
     address, at = evidence.drained
-    late = [s for s in evidence.seen[address] if s.at > at + SECONDS_TO_DRAIN]
+    late = [
+        s for s in evidence.seen[address] if s.received_at > at + DRAIN_DEADLINE_SECONDS
+    ]
     return len(evidence.seen[address]), len(late)
 
 
-@promise("A planned stop cuts off no request")
-def _check_stop(evidence: Evidence) -> tuple[int, int]:
+@guarantee("A planned stop cuts off no request")
+def _check_planned_stop(evidence: Evidence) -> tuple[int, int]:
     if evidence.stop is None:
         return 0, 0
     start, end = evidence.stop
-    during = [call for call in evidence.calls if call.sent < end and call.ended > start]
+    during = [
+        call for call in evidence.calls if call.sent_at < end and call.ended_at > start
+    ]
     lost = ("connection-lost", "answer-broken")
     return len(during), sum(call.outcome in lost for call in during)
 
 
-@promise("An accepted configuration never reverts")
-def _check_revert(evidence: Evidence) -> tuple[int, int]:
+@guarantee("An accepted configuration never reverts")
+def _check_no_revert(evidence: Evidence) -> tuple[int, int]:
     if evidence.withdrawn is None:
         return 0, 0
     workspace, key, at = evidence.withdrawn
@@ -240,6 +249,6 @@
         for call in evidence.calls
         if call.workspace == workspace
         and call.key == key
-        and call.sent > at + SECONDS_TO_WITHDRAW
+        and call.sent_at > at + WITHDRAWAL_DEADLINE_SECONDS
     ]
     return len(later), sum(call.outcome == "served" for call in later)
--- a/primroseglade/demo/deployments.py
+++ b/primroseglade/demo/deployments.py
@@ -7,7 +7,7 @@
 # One process runs all of it: slots are divided by this, so that its processor can
 # fill them, and everything that is relative to slots stays as it is.
 SLOTS_DIVISOR = 20
-FEWEST_SLOTS = 4
+MIN_SLOTS = 4
 
 
 class ServiceSize:
@@ -22,22 +22,29 @@
         nested: Calls that each of its calls makes first.
     """
 
-    __slots__ = ("connections", "importance", "nested", "part", "servers", "slots")
+    __slots__ = (
+        "call_ratio",
+        "connections",
+        "importance",
+        "nested",
+        "server_count",
+        "slots",
+    )
 
     def __init__(
         self,
-        servers: int,
+        server_count: int,
         slots: int,
         connections: int,
         importance: str = "normal",
-        part: float = 0.25,
+        call_ratio: float = 0.25,
         nested: tuple[str, ...] = (),
     ):
-        self.servers = servers
+        self.server_count = server_count
         self.slots = slots
         self.connections = connections
         self.importance = importance
-        self.part = part
+        self.call_ratio = call_ratio
         self.nested = nested
 
 
@@ -89,8 +96,11 @@
                 for name in self.workspaces
             },
             "rates": {
-                name: {"per_second": rate * part, "burst": max(8.0, burst * part)}
-                for name, part in self.workspaces.items()
+                name: {
+                    "per_second": rate * call_ratio,
+                    "burst": max(8.0, burst * call_ratio),
+                }
+                for name, call_ratio in self.workspaces.items()
             },
             "services": {
                 name: {"backend_servers": [{"network": "127.0.0.0/8"}]}
--- a/primroseglade/demo/records.py
+++ b/primroseglade/demo/records.py
@@ -17,15 +17,15 @@
     """
 
     __slots__ = (
-        "ended",
+        "ended_at",
         "id",
+        "is_complete",
         "key",
         "method",
         "outcome",
-        "sent",
+        "sent_at",
         "service",
         "verdict",
-        "whole",
         "workspace",
     )
 
@@ -35,25 +35,25 @@
         self.key = key
         self.service = service
         self.method = method
-        self.sent = time.monotonic()
-        self.ended = 0.0
+        self.sent_at = time.monotonic()
+        self.ended_at = 0.0
         self.outcome = ""
         self.verdict: Verdict | None = None
-        self.whole = False
+        self.is_complete = False
 
     @property
     def served(self) -> bool:
         """Whether the caller got a whole answer of its own."""
-        return self.outcome == "served" and self.whole
+        return self.outcome == "served" and self.is_complete
 
-    def note_answer(self, status: int, whole: bool) -> None:
+    def record_response(self, status: int, is_complete: bool) -> None:
         """Note an answer."""
-        self.ended = time.monotonic()
+        self.ended_at = time.monotonic()
         self.outcome = "served" if status < 500 else f"status-{status}"
-        self.whole = whole
+        self.is_complete = is_complete
 
-    def note_refusal(self, refusal: Refusal) -> None:
+    def record_refusal(self, refusal: Refusal) -> None:
         """Note a refusal."""
-        self.ended = time.monotonic()
+        self.ended_at = time.monotonic()
         self.outcome = refusal.reason.code
         self.verdict = refusal.verdict
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -6,9 +6,9 @@
 from .checks import Evidence, Finding
 from .records import CallRecord
 
-BIN_SECONDS = 0.25
-RECOVERED_SHARE = 0.95
-SMOOTHED_BINS = 4
+STEP_SECONDS = 0.25
+RECOVERED_RATIO = 0.95
+WINDOW_STEPS = 4
 
 
 class Report:
@@ -26,20 +26,25 @@
         "worst_workspace",
     )
 
-    def __init__(self, evidence: Evidence, findings: list[Finding], greedy: str):
-        calls = [call for call in evidence.calls if not _is_withdrawn(call, evidence)]
-        seconds = max(c.ended for c in calls) - min(c.sent for c in calls)
+    def __init__(
+        self, evidence: Evidence, findings: list[Finding], greedy_workspace: str
+    ):
+        calls = [
+            call for call in evidence.calls if not _used_withdrawn_key(call, evidence)
+        ]
+        seconds = max(c.ended_at for c in calls) - min(c.sent_at for c in calls)
         served = sum(call.served for call in calls)
         self.findings = findings
         self.offered = len(calls)
         self.goodput = served / seconds
         self.served_share = served / len(calls)
         self.outcomes = collections.Counter(call.outcome for call in evidence.calls)
-        within = [call for call in calls if call.workspace != greedy]
+        within_rate = [call for call in calls if call.workspace != greedy_workspace]
         self.refused_within_rate = sum(
-            call.outcome in ("rate-exceeded", "rate-unavailable") for call in within
+            call.outcome in ("rate-exceeded", "rate-unavailable")
+            for call in within_rate
         )
-        self.worst_workspace, self.worst_share = _find_worst(within)
+        self.worst_workspace, self.worst_share = _find_worst_served(within_rate)
         self.recovery_seconds = _measure_recovery(calls, evidence.overload)
 
     @property
@@ -52,10 +57,10 @@
         fields = {name: getattr(self, name) for name in self.__slots__}
         fields["findings"] = [
             {
-                "promise": f.promise,
+                "promise": f.guarantee,
                 "kept": f.kept,
                 "checked": f.checked,
-                "broken": f.broken,
+                "broken": f.violations,
             }
             for f in self.findings
         ]
@@ -81,26 +86,26 @@
         for finding in self.findings:
             mark = "kept  " if finding.kept else "BROKEN"
             lines.append(
-                f"{mark} {finding.promise} ({finding.checked} checked, "
-                f"{finding.broken} broken)"
+                f"{mark} {finding.guarantee} ({finding.checked} checked, "
+                f"{finding.violations} broken)"
             )
         return lines
 
 
-def _is_withdrawn(call: CallRecord, evidence: Evidence) -> bool:
+def _used_withdrawn_key(call: CallRecord, evidence: Evidence) -> bool:
     if evidence.withdrawn is None:
         return False
     workspace, key, at = evidence.withdrawn
-    return call.workspace == workspace and call.key == key and call.sent > at
+    return call.workspace == workspace and call.key == key and call.sent_at > at
 
 
-def _find_worst(calls: list[CallRecord]) -> tuple[str, float]:
+def _find_worst_served(calls: list[CallRecord]) -> tuple[str, float]:
     served: dict[str, list[bool]] = collections.defaultdict(list)
     for call in calls:
         served[call.workspace].append(call.served)
-    shares = {name: sum(items) / len(items) for name, items in served.items()}
-    worst = min(shares, key=lambda name: shares[name])
-    return worst, shares[worst]
+    served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
+    worst = min(served_ratios, key=lambda name: served_ratios[name])
+    return worst, served_ratios[worst]
 
 
 def _measure_recovery(
@@ -115,17 +120,19 @@
     start, end = overload
     # What a workspace over its rate is refused belongs to no overload.
     counted = [call for call in calls if call.outcome != "rate-exceeded"]
-    before = [call.served for call in counted if call.sent < start]
+    before = [call.served for call in counted if call.sent_at < start]
     if not before:
         return None
-    wanted = RECOVERED_SHARE * sum(before) / len(before)
+    target_ratio = RECOVERED_RATIO * sum(before) / len(before)
     step = 0
     while True:
-        left = end + step * BIN_SECONDS
-        right = left + SMOOTHED_BINS * BIN_SECONDS
-        inside = [call.served for call in counted if left <= call.sent < right]
-        if not inside:
+        window_start = end + step * STEP_SECONDS
+        window_end = window_start + WINDOW_STEPS * STEP_SECONDS
+        in_window = [
+            call.served for call in counted if window_start <= call.sent_at < window_end
+        ]
+        if not in_window:
             return None
-        if sum(inside) / len(inside) >= wanted:
-            return step * BIN_SECONDS
+        if sum(in_window) / len(in_window) >= target_ratio:
+            return step * STEP_SECONDS
         step += 1
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -7,14 +7,14 @@
 from ..stand_ins.backend import Behaviour
 from ..stand_ins.fleet import EmbeddedFleet, Place
 from .callers import Callers
-from .checks import check_promises, Evidence
-from .deployments import Deployment, FEWEST_SLOTS, SLOTS_DIVISOR
+from .checks import check_guarantees, Evidence
+from .deployments import Deployment, MIN_SLOTS, SLOTS_DIVISOR
 from .report import Report
 
-CALLS_A_SECOND = 60.0
-RATE_A_SECOND = 120.0
+CALLS_PER_SECOND = 60.0
+TOTAL_RATE_PER_SECOND = 120.0
 WORK_SECONDS = 0.03
-SLOW_FACTOR = 40.0
+SLOWDOWN_FACTOR = 40.0
 FLEET_SETTINGS = {
     "fleet": {"period": 0.5, "suspicion": 1.5, "lease": 1.5, "grant": 0.5},
     "timeouts": {"lame_duck": 1.0},
@@ -22,12 +22,12 @@
 }
 
 # Moments of the run, as shares of its length.
-WITHDRAW_AT = 0.15
-DRAIN_AT = 0.25
-SLOW_FROM, SLOW_TO = 0.4, 0.55
-CUT_FROM, CUT_TO = 0.75, 0.9
+WITHDRAW_AT_RATIO = 0.15
+DRAIN_AT_RATIO = 0.25
+SLOW_START_RATIO, SLOW_END_RATIO = 0.4, 0.55
+CUT_START_RATIO, CUT_END_RATIO = 0.75, 0.9
 
-Tell = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 
 class Demo:
@@ -40,22 +40,32 @@
         tell: Told of what happens.
     """
 
-    def __init__(self, deployment: Deployment, seconds: float, seed: int, tell: Tell):
+    def __init__(
+        self,
+        deployment: Deployment,
+        seconds: float,
+        seed: int,
+        report_progress: ProgressCallback,
+    ):
         self._deployment = deployment
         self._seconds = seconds
         self._seed = seed
-        self._tell = tell
+        self._report_progress = report_progress
         # The last workspace sends several times its rate, the first loses a key.
         names = list(deployment.workspaces)
-        self._greedy = names[-1]
-        self._robbed = names[0]
+        self._greedy_workspace = names[-1]
+        self._withdrawn_key_workspace = names[0]
 
     async def run(self) -> Report:
         """Run the deployment and check what it promised."""
         async with EmbeddedFleet(FLEET_SETTINGS) as fleet:
             await self._start(fleet)
             callers = Callers(
-                fleet, self._deployment, CALLS_A_SECOND, self._greedy, self._seed
+                fleet,
+                self._deployment,
+                CALLS_PER_SECOND,
+                self._greedy_workspace,
+                self._seed,
             )
             evidence = self._build_evidence(fleet, callers)
             loop = asyncio.get_running_loop()
@@ -72,25 +82,27 @@
                 for place in fleet.places
                 if place.backend is not None
             }
-            return Report(evidence, check_promises(evidence), self._greedy)
+            return Report(evidence, check_guarantees(evidence), self._greedy_workspace)
 
     async def _start(self, fleet: EmbeddedFleet) -> None:
-        document = self._deployment.build_document(RATE_A_SECOND, RATE_A_SECOND)
+        document = self._deployment.build_document(
+            TOTAL_RATE_PER_SECOND, TOTAL_RATE_PER_SECOND
+        )
         await fleet.publish(**document)
         zones = self._deployment.zones
-        self._tell(f"starting {self._deployment.name} in {len(zones)} zones")
+        self._report_progress(f"starting {self._deployment.name} in {len(zones)} zones")
         number = 0
         for service, size in self._deployment.services.items():
-            for _ in range(size.servers):
+            for _ in range(size.server_count):
                 behaviour = Behaviour(
                     work=WORK_SECONDS,
-                    slots=max(FEWEST_SLOTS, size.slots // SLOTS_DIVISOR),
+                    slots=max(MIN_SLOTS, size.slots // SLOTS_DIVISOR),
                     nested=size.nested,
                 )
                 await fleet.add(zones[number % len(zones)], service, behaviour)
                 number += 1
         await fleet.wait_ready()
-        self._tell(f"{len(fleet.places)} nodes are ready")
+        self._report_progress(f"{len(fleet.places)} nodes are ready")
 
     def _build_evidence(self, fleet: EmbeddedFleet, callers: Callers) -> Evidence:
         rates = fleet.nodes[0].configuration.document.rates
@@ -103,47 +115,49 @@
         )
 
     async def _withdraw_key(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
-        await asyncio.sleep(self._seconds * WITHDRAW_AT)
-        key = f"{self._robbed}-1"
-        self._tell(f"a recall withdraws key {key}")
+        await asyncio.sleep(self._seconds * WITHDRAW_AT_RATIO)
+        key = f"{self._withdrawn_key_workspace}-1"
+        self._report_progress(f"a recall withdraws key {key}")
         await fleet.publish(recalls={"lost-tablet": {"keys": [key]}})
-        evidence.withdrawn = (self._robbed, 1, time.monotonic())
+        evidence.withdrawn = (self._withdrawn_key_workspace, 1, time.monotonic())
 
     async def _drain_and_stop(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
-        await asyncio.sleep(self._seconds * DRAIN_AT)
+        await asyncio.sleep(self._seconds * DRAIN_AT_RATIO)
         place = self._find_places(fleet, self._deployment.deep_service)[0]
         assert place.backend is not None
-        self._tell(f"{place.node.settings.instance} drains and stops")
+        self._report_progress(f"{place.node.settings.instance} drains and stops")
         started = time.monotonic()
         evidence.drained = (place.backend.address, started)
         await fleet.stop(place)
         evidence.stop = (started, time.monotonic())
-        self._tell("it has stopped")
+        self._report_progress("it has stopped")
 
     async def _slow_down(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
-        await asyncio.sleep(self._seconds * SLOW_FROM)
+        await asyncio.sleep(self._seconds * SLOW_START_RATIO)
         deep = self._deployment.deep_service
-        self._tell(f"{deep} becomes {SLOW_FACTOR:g} times slower")
+        self._report_progress(f"{deep} becomes {SLOWDOWN_FACTOR:g} times slower")
         places = self._find_places(fleet, deep)
         started = time.monotonic()
         for place in places:
             assert place.backend is not None
-            place.backend.behaviour.work = WORK_SECONDS * SLOW_FACTOR
-        await asyncio.sleep(self._seconds * (SLOW_TO - SLOW_FROM))
+            place.backend.behaviour.work = WORK_SECONDS * SLOWDOWN_FACTOR
+        await asyncio.sleep(self._seconds * (SLOW_END_RATIO - SLOW_START_RATIO))
         for place in places:
             assert place.backend is not None
             place.backend.behaviour.work = WORK_SECONDS
         evidence.overload = (started, time.monotonic())
-        self._tell(f"{deep} is as fast as before")
+        self._report_progress(f"{deep} is as fast as before")
 
     async def _cut_zone(self, fleet: EmbeddedFleet) -> None:
-        await asyncio.sleep(self._seconds * CUT_FROM)
+        await asyncio.sleep(self._seconds * CUT_START_RATIO)
         zone = self._deployment.zones[-1]
-        self._tell(f"{zone} is cut off from the platform and all other zones")
+        self._report_progress(
+            f"{zone} is cut off from the platform and all other zones"
+        )
         fleet.cut_zone(zone, from_platform=True, from_zones=True)
-        await asyncio.sleep(self._seconds * (CUT_TO - CUT_FROM))
+        await asyncio.sleep(self._seconds * (CUT_END_RATIO - CUT_START_RATIO))
         fleet.heal()
-        self._tell(f"{zone} is back")
+        self._report_progress(f"{zone} is back")
 
     async def _show_progress(self, callers: Callers) -> None:
         loop = asyncio.get_running_loop()
@@ -151,10 +165,12 @@
         shown = 0
         while loop.time() < until:
             await asyncio.sleep(1.0)
-            recent = [call for call in callers.records[shown:] if call.ended]
+            recent = [call for call in callers.records[shown:] if call.ended_at]
             shown = len(callers.records)
             served = sum(call.served for call in recent)
-            self._tell(f"{len(callers.records):6d} calls, last second {served} served")
+            self._report_progress(
+                f"{len(callers.records):6d} calls, last second {served} served"
+            )
 
     def _find_places(self, fleet: EmbeddedFleet, service: str) -> list[Place]:
         return [
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -11,9 +11,9 @@
 
 from ..listener import Listener
 
-ANNOUNCE_SECONDS = 1.0
-JSON_TYPE = (b"content-type", b"application/json")
-NOT_RUN = (b"primroseglade-verdict", b"not run")
+ANNOUNCE_INTERVAL_SECONDS = 1.0
+JSON_CONTENT_TYPE = (b"content-type", b"application/json")
+NOT_RUN_HEADER = (b"primroseglade-verdict", b"not run")
 
 
 class Behaviour:
@@ -39,8 +39,8 @@
         spread: float = 0.2,
         slots: int = 20,
         shed_over: int | None = None,
-        cold_seconds: float = 0.0,
-        cold_factor: float = 5.0,
+        cold_start_seconds: float = 0.0,
+        cold_start_factor: float = 5.0,
         answer_bytes: int = 200,
         nested: tuple[str, ...] = (),
         announced_slots: int | None = None,
@@ -49,8 +49,8 @@
         self.spread = spread
         self.slots = slots
         self.shed_over = shed_over
-        self.cold_seconds = cold_seconds
-        self.cold_factor = cold_factor
+        self.cold_start_seconds = cold_start_seconds
+        self.cold_start_factor = cold_start_factor
         self.answer_bytes = answer_bytes
         self.cut_answers = 0
         self.swallow = False
@@ -58,13 +58,20 @@
         self.announced_slots = announced_slots
 
 
-class Seen:
+class ReceivedRequest:
     """One call that the backend server started."""
 
-    __slots__ = ("at", "cancelled", "finished", "headers", "operation", "target")
+    __slots__ = (
+        "cancelled",
+        "finished",
+        "headers",
+        "operation",
+        "received_at",
+        "target",
+    )
 
     def __init__(self, target: str, headers: dict[str, str]):
-        self.at = time.monotonic()
+        self.received_at = time.monotonic()
         self.target = target
         self.headers = headers
         self.operation = headers.get("x-operation", "")
@@ -102,15 +109,17 @@
     ):
         self.service = service
         self.behaviour = behaviour or Behaviour()
-        self.seen: collections.deque[Seen] = collections.deque(maxlen=seen_kept)
+        self.seen: collections.deque[ReceivedRequest] = collections.deque(
+            maxlen=seen_kept
+        )
         self.draining = False
         self.at_work = 0
-        self.waiting = 0
+        self.queued = 0
         self._node = node
         self._connections = connections
         self._random = random.Random(seed)
         self._started_at = time.monotonic()
-        self._turn = asyncio.Condition()
+        self._slot_freed = asyncio.Condition()
         self._listener = Listener(self._handle, address)
         self._session: aiohttp.ClientSession | None = None
         self._stopping = asyncio.Event()
@@ -170,10 +179,10 @@
 
     async def _keep_announcing(self) -> None:
         while not self._stopping.is_set():
-            taken = await self.announce()
-            pause = ANNOUNCE_SECONDS if taken else 0.1
+            accepted = await self.announce()
+            interval = ANNOUNCE_INTERVAL_SECONDS if accepted else 0.1
             try:
-                await asyncio.wait_for(self._stopping.wait(), pause)
+                await asyncio.wait_for(self._stopping.wait(), interval)
             except TimeoutError:
                 continue
 
@@ -193,93 +202,99 @@
             for name, value in scope["headers"]
         }
         body = await _read_all(receive)
-        refusal = self._refuse()
+        refusal = self._get_refusal()
         if refusal is not None:
-            await _send_json(send, 503, {"error": refusal}, [NOT_RUN])
+            await _send_json(send, 503, {"error": refusal}, [NOT_RUN_HEADER])
             return
-        seen = Seen(target, headers)
+        seen = ReceivedRequest(target, headers)
         self.seen.append(seen)
         try:
             await self._work(headers)
         except asyncio.CancelledError:
             seen.cancelled = True
             return
-        except (TimeoutError, _NestedError, aiohttp.ClientError) as error:
+        except (TimeoutError, _NestedCallError, aiohttp.ClientError) as error:
             seen.finished = True
             await _send_json(send, 500, {"error": f"a nested call failed: {error}"})
             return
         seen.finished = True
-        await self._answer(scope, send, seen, body)
+        await self._send_response(scope, send, seen, body)
 
-    def _refuse(self) -> str | None:
+    def _get_refusal(self) -> str | None:
         if self.draining:
             return "draining"
-        bound = self.behaviour.shed_over
-        if bound is not None and self.waiting >= bound:
+        limit = self.behaviour.shed_over
+        if limit is not None and self.queued >= limit:
             return "overloaded"
         return None
 
     async def _work(self, headers: dict[str, str]) -> None:
-        self.waiting += 1
+        self.queued += 1
         try:
-            async with self._turn:
-                await self._turn.wait_for(lambda: self.at_work < self.behaviour.slots)
+            async with self._slot_freed:
+                await self._slot_freed.wait_for(
+                    lambda: self.at_work < self.behaviour.slots
+                )
                 self.at_work += 1
         finally:
-            self.waiting -= 1
+            self.queued -= 1
         try:
             while self.behaviour.swallow:
                 await asyncio.sleep(0.05)
             for path in self.behaviour.nested:
-                await self._call_onward(path, headers)
-            await asyncio.sleep(self._draw_work())
+                await self._make_nested_call(path, headers)
+            await asyncio.sleep(self._draw_work_seconds())
         finally:
             self.at_work -= 1
-            async with self._turn:
-                self._turn.notify()
+            async with self._slot_freed:
+                self._slot_freed.notify()
 
-    def _draw_work(self) -> float:
+    def _draw_work_seconds(self) -> float:
         behaviour = self.behaviour
         factor = 1 + self._random.uniform(-behaviour.spread, behaviour.spread)
-        if time.monotonic() - self._started_at < behaviour.cold_seconds:
-            factor *= behaviour.cold_factor
+        if time.monotonic() - self._started_at < behaviour.cold_start_seconds:
+            factor *= behaviour.cold_start_factor
         return behaviour.work * factor
 
-    async def _call_onward(self, path: str, headers: dict[str, str]) -> None:
+    async def _make_nested_call(self, path: str, headers: dict[str, str]) -> None:
         assert self._session is not None
-        passed = {
+        forwarded = {
             name: headers[name]
             for name in ("primroseglade-call", "traceparent")
             if name in headers
         }
         url = f"http://{self._node}{path}"
-        async with self._session.get(url, headers=passed) as response:
+        async with self._session.get(url, headers=forwarded) as response:
             await response.read()
             if response.status >= 400:
-                raise _NestedError(response.status)
+                raise _NestedCallError(response.status)
 
-    async def _answer(self, scope: Any, send: Any, seen: Seen, body: bytes) -> None:
-        head = {
+    async def _send_response(
+        self, scope: Any, send: Any, seen: ReceivedRequest, body: bytes
+    ) -> None:
+        fields = {
             "service": self.service,
             "target": seen.target,
             "workspace": seen.workspace,
             "echo": seen.headers.get("x-echo", ""),
             "received": len(body),
         }
-        text = json.dumps(head).encode()
+        text = json.dumps(fields).encode()
         text += b" " * max(0, self.behaviour.answer_bytes - len(text))
-        headers = [JSON_TYPE, (b"content-length", b"%d" % len(text))]
+        headers = [JSON_CONTENT_TYPE, (b"content-length", b"%d" % len(text))]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
         if self.behaviour.cut_answers > 0:
             self.behaviour.cut_answers -= 1
-            half = text[: len(text) // 2]
-            await send({"type": "http.response.body", "body": half, "more_body": True})
+            first_half = text[: len(text) // 2]
+            await send(
+                {"type": "http.response.body", "body": first_half, "more_body": True}
+            )
             scope["cut_connection"]()
             return
         await send({"type": "http.response.body", "body": text})
 
 
-class _NestedError(Exception):
+class _NestedCallError(Exception):
     """A call further on failed."""
 
 
@@ -293,8 +308,14 @@
     return b"".join(chunks)
 
 
-async def _send_json(send: Any, status: int, value: Any, added: Any = ()) -> None:
+async def _send_json(
+    send: Any, status: int, value: Any, extra_headers: Any = ()
+) -> None:
     body = json.dumps(value).encode()
-    headers = [JSON_TYPE, (b"content-length", b"%d" % len(body)), *added]
+    headers = [
+        JSON_CONTENT_TYPE,
+        (b"content-length", b"%d" % len(body)),
+        *extra_headers,
+    ]
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": body})
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -12,8 +12,8 @@
 from .backend import BackendStandIn, Behaviour
 from .log import LogStandIn
 
-POLL_SECONDS = 0.02
-SECRET = "a secret that only this embedded fleet knows"
+POLL_INTERVAL_SECONDS = 0.02
+FLEET_SECRET = "a secret that only this embedded fleet knows"
 
 
 class Place:
@@ -38,7 +38,7 @@
         return self.node.listeners["callers"]
 
     @property
-    def addresses(self) -> set[str]:
+    def internal_addresses(self) -> set[str]:
         """Addresses at which other nodes reach the node."""
         return {self.node.listeners["relay"], self.node.listeners["control"]}
 
@@ -56,12 +56,12 @@
     ):
         self._settings = settings or {}
         self._tasks: list[asyncio.Task[None]] = []
-        self._started = 0
+        self._started_nodes = 0
         self.log = LogStandIn(retention=retention)
         self.places: list[Place] = []
 
     async def __aenter__(self) -> "EmbeddedFleet":
-        self._run(self.log.run())
+        self._start_task(self.log.run())
         await self.log.wait_started()
         return self
 
@@ -107,13 +107,13 @@
         **settings: Any,
     ) -> Place:
         """Start a node, and a backend server beside it if a service is named."""
-        self._started += 1
-        instance = instance or f"{zone}-{service or 'node'}-{self._started}"
+        self._started_nodes += 1
+        instance = instance or f"{zone}-{service or 'node'}-{self._started_nodes}"
         fields = {
             "instance": instance,
             "zone": zone,
             "platform": self.log.address,
-            "fleet_secret": SECRET,
+            "fleet_secret": FLEET_SECRET,
         }
         network = PartitionableNetwork()
         fields |= self._settings | settings
@@ -122,9 +122,9 @@
         backend = None
         if service:
             backend = BackendStandIn(
-                service, node.listeners["backend"], behaviour, seed=self._started
+                service, node.listeners["backend"], behaviour, seed=self._started_nodes
             )
-            self._run(backend.run())
+            self._start_task(backend.run())
             await backend.wait_started()
         place = Place(node, network, backend)
         self.places.append(place)
@@ -155,8 +155,8 @@
                 place.network.cut({self.log.address})
             if from_zones:
                 for other in outside:
-                    place.network.cut(other.addresses)
-                    other.network.cut(place.addresses)
+                    place.network.cut(other.internal_addresses)
+                    other.network.cut(place.internal_addresses)
 
     def heal(self) -> None:
         """Bring every link back."""
@@ -174,7 +174,7 @@
         try:
             async with asyncio.timeout(timeout):
                 while not condition():
-                    await asyncio.sleep(POLL_SECONDS)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
             raise TimeoutError(f"waited {timeout} s for {what or condition}") from None
 
@@ -202,9 +202,9 @@
             known = [node.members.get(name) for node in nodes]
             if not all(member and member.serving for member in known):
                 return False
-        return self._has_holders()
+        return self._has_rate_lease_holders()
 
-    def _has_holders(self) -> bool:
+    def _has_rate_lease_holders(self) -> bool:
         """Whether every zone with a share has a holder for every rate's partition."""
         nodes = self.nodes
         document = nodes[0].configuration.document
@@ -217,5 +217,5 @@
                     return False
         return True
 
-    def _run(self, work: Awaitable[None]) -> None:
-        self._tasks.append(asyncio.ensure_future(work))
+    def _start_task(self, awaitable: Awaitable[None]) -> None:
+        self._tasks.append(asyncio.ensure_future(awaitable))
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -14,7 +14,7 @@
 
     def __init__(self, target: str):
         self._host, self._port = parse_address(target)
-        self._frozen: set[asyncio.Event] = set()
+        self._blackholed: set[asyncio.Event] = set()
         self._open: set[asyncio.Event] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
@@ -41,8 +41,8 @@
     def forget_connections(self) -> int:
         """Drop what is sent on the open connections from now on, without a sign."""
         count = len(self._open)
-        for frozen in self._open:
-            frozen.set()
+        for blackholed in self._open:
+            blackholed.set()
         self._open.clear()
         return count
 
@@ -53,34 +53,36 @@
         assert task is not None
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        frozen = asyncio.Event()
-        self._open.add(frozen)
+        blackholed = asyncio.Event()
+        self._open.add(blackholed)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            upstream_reader, upstream_writer = await asyncio.open_connection(
                 self._host, self._port
             )
             try:
                 async with asyncio.TaskGroup() as group:
-                    group.create_task(_pump(reader, far_writer, frozen))
-                    group.create_task(_pump(far_reader, writer, frozen))
+                    group.create_task(_forward(reader, upstream_writer, blackholed))
+                    group.create_task(_forward(upstream_reader, writer, blackholed))
             finally:
-                far_writer.transport.abort()
+                upstream_writer.transport.abort()
         except OSError:
             return
         except asyncio.CancelledError:
             # The link stops; asyncio would log a cancelled connection as an error.
             return
         finally:
-            self._open.discard(frozen)
+            self._open.discard(blackholed)
             writer.transport.abort()
 
 
-async def _pump(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, frozen: asyncio.Event
+async def _forward(
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
+    blackholed: asyncio.Event,
 ) -> None:
     while True:
         data = await reader.read(65536)
-        if frozen.is_set():
+        if blackholed.is_set():
             # Swallowed; the sender's kernel had its acknowledgement from this end.
             if not data:
                 return
--- a/primroseglade/stand_ins/log.py
+++ b/primroseglade/stand_ins/log.py
@@ -9,7 +9,7 @@
 from ..listener import as_handler, build_application, Listener
 from ..platform.log import CONTENT_TYPE, OFFSET_OUT_OF_RANGE
 
-LONGEST_WAIT_SECONDS = 30.0
+MAX_WAIT_SECONDS = 30.0
 
 
 class LogFaults:
@@ -38,13 +38,13 @@
         self.changed = asyncio.Condition()
 
     @property
-    def end(self) -> int:
+    def end_offset(self) -> int:
         """Offset of the next append."""
         return self.first + len(self.records)
 
-    def forget(self, keep: int) -> None:
+    def truncate(self, max_records: int) -> None:
         """Keep the last ``keep`` records only."""
-        surplus = max(0, len(self.records) - keep)
+        surplus = max(0, len(self.records) - max_records)
         del self.records[:surplus]
         self.first += surplus
 
@@ -78,9 +78,9 @@
         """Append without going through the network."""
         topic = self.get_topic(name)
         async with topic.changed:
-            offset = topic.end
+            offset = topic.end_offset
             topic.records.append(value)
-            topic.forget(self._retention)
+            topic.truncate(self._retention)
             topic.changed.notify_all()
         self.appends += 1
         return offset
@@ -110,17 +110,17 @@
     async def _handle_faults(self, request: Request) -> Response:
         fields = json.loads(await request.read() or b"{}")
         self.faults = LogFaults(**fields)
-        return _answer(200, {})
+        return _build_response(200, {})
 
-    async def _suffer(self) -> Response | None:
+    async def _inject_faults(self) -> Response | None:
         await asyncio.sleep(self.faults.delay)
         if self.faults.outage:
-            return _answer(503, {"error_code": 503, "message": "unavailable"})
+            return _build_response(503, {"error_code": 503, "message": "unavailable"})
         return None
 
     async def _handle_append(self, request: Request) -> Response:
         name = request.route_values["name"]
-        fault = await self._suffer()
+        fault = await self._inject_faults()
         if fault:
             return fault
         body = json.loads(await request.read())
@@ -130,23 +130,23 @@
             offsets.append({"partition": 0, "offset": offset})
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return _answer(504, {"error_code": 504, "message": "answer lost"})
-        return _answer(200, {"offsets": offsets})
+            return _build_response(504, {"error_code": 504, "message": "answer lost"})
+        return _build_response(200, {"offsets": offsets})
 
     async def _handle_read(self, request: Request) -> Response:
         self.reads += 1
-        fault = await self._suffer()
+        fault = await self._inject_faults()
         if fault:
             return fault
         topic = self.get_topic(request.route_values["name"])
         query = {name: values[0] for name, values in request.query.items()}
         offset = int(query["offset"])
-        wait = min(int(query.get("timeout", 0)) / 1000, LONGEST_WAIT_SECONDS)
-        if not topic.first <= offset <= topic.end:
+        wait = min(int(query.get("timeout", 0)) / 1000, MAX_WAIT_SECONDS)
+        if not topic.first <= offset <= topic.end_offset:
             problem = {"error_code": OFFSET_OUT_OF_RANGE, "message": "out of range"}
-            return _answer(404, problem)
-        await self._wait_for(topic, offset, wait)
-        fault = await self._suffer()
+            return _build_response(404, problem)
+        await self._wait_for_records(topic, offset, wait)
+        fault = await self._inject_faults()
         if fault:
             return fault
         start = max(0, offset - topic.first)
@@ -161,12 +161,12 @@
             }
             for number, value in enumerate(topic.records[start : start + 500])
         ]
-        return _answer(200, items)
+        return _build_response(200, items)
 
-    async def _wait_for(self, topic: Topic, offset: int, wait: float) -> None:
+    async def _wait_for_records(self, topic: Topic, offset: int, wait: float) -> None:
         async def wait_changed() -> None:
             async with topic.changed:
-                await topic.changed.wait_for(lambda: topic.end > offset)
+                await topic.changed.wait_for(lambda: topic.end_offset > offset)
 
         try:
             await asyncio.wait_for(wait_changed(), wait)
@@ -174,13 +174,16 @@
             return
 
     async def _handle_offsets(self, request: Request) -> Response:
-        fault = await self._suffer()
+        fault = await self._inject_faults()
         if fault:
             return fault
         topic = self.get_topic(request.route_values["name"])
-        return _answer(200, {"beginning_offset": topic.first, "end_offset": topic.end})
+        return _build_response(
+            200,
+            {"beginning_offset": topic.first, "end_offset": topic.end_offset},
+        )
 
 
-def _answer(status: int, value: Any) -> Response:
+def _build_response(status: int, value: Any) -> Response:
     body = Content(CONTENT_TYPE.encode(), json.dumps(value).encode())
     return Response(status, content=body)
--- a/primroseglade/stand_ins/mesh_backend.py
+++ b/primroseglade/stand_ins/mesh_backend.py
@@ -8,7 +8,7 @@
 from ..sidecar.http_messages import render_status_line, Reply, Request
 from ..sidecar.http_server import HttpServer
 
-REPORT_SECONDS = 0.3
+REPORT_INTERVAL_SECONDS = 0.3
 
 
 class MeshBackend:
@@ -57,7 +57,7 @@
         try:
             while True:
                 await self.report()
-                await asyncio.sleep(REPORT_SECONDS)
+                await asyncio.sleep(REPORT_INTERVAL_SECONDS)
         finally:
             server.cancel()
 
--- a/primroseglade/stand_ins/store.py
+++ b/primroseglade/stand_ins/store.py
@@ -9,11 +9,11 @@
 from ..sidecar.http_messages import render_status_line, Reply, Request
 from ..sidecar.http_server import HttpServer
 
-JSON_TYPE = b"Content-Type: application/json\r\n"
-RAW_TYPE = b"Content-Type: application/octet-stream\r\n"
-POSITIONS = struct.Struct(">QQ")
-LENGTH = struct.Struct(">I")
-KEYED_PREFIX = "keyed."
+JSON_CONTENT_TYPE = b"Content-Type: application/json\r\n"
+BINARY_CONTENT_TYPE = b"Content-Type: application/octet-stream\r\n"
+OFFSET_PAIR = struct.Struct(">QQ")
+RECORD_LENGTH = struct.Struct(">I")
+KEYED_TOPIC_PREFIX = "keyed."
 
 
 class Partition:
@@ -25,17 +25,17 @@
         newest: Of each key, its value and position, in a keyed topic.
     """
 
-    __slots__ = ("first", "newest", "records")
+    __slots__ = ("first_offset", "newest", "records")
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
-        self.first = 0
+        self.first_offset = 0
         self.newest: dict[str, tuple[bytes, int]] = {}
 
     @property
-    def end(self) -> int:
+    def end_offset(self) -> int:
         """Position after the newest record."""
-        return self.first + len(self.records)
+        return self.first_offset + len(self.records)
 
 
 class StoreFaults:
@@ -82,17 +82,19 @@
     def append(self, topic: str, key: str, value: bytes) -> None:
         """Write the newest record of a key."""
         name = key.encode()
-        self._add(self._get(topic, 0), [bytes([len(name)]) + name + value], True)
+        self._append_records(
+            self._get_partition(topic, 0), [bytes([len(name)]) + name + value], True
+        )
 
     def forget_history(self) -> None:
         """Delete all records; the newest of each key stays."""
         for partition in self._partitions.values():
-            partition.first = partition.end
+            partition.first_offset = partition.end_offset
             partition.records = []
 
     def read_newest(self, topic: str) -> dict[str, bytes]:
         """Return the newest value of each key."""
-        partition = self._get(topic, 0)
+        partition = self._get_partition(topic, 0)
         return {key: value for key, (value, _) in partition.newest.items()}
 
     async def _handle(self, request: Request) -> Reply:
@@ -107,18 +109,20 @@
         parts = urlsplit(request.target.decode())
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == "/log-append":
-            return await self._append(query, request.body)
+            return await self._handle_append(query, request.body)
         if parts.path == "/log-read":
-            return await self._read(query)
+            return await self._handle_read(query)
         if parts.path == "/log-newest":
-            return self._read_newest(query)
+            return self._handle_read_newest(query)
         return Reply(render_status_line(404), b"")
 
-    def _get(self, topic: str, part: int) -> Partition:
+    def _get_partition(self, topic: str, part: int) -> Partition:
         return self._partitions.setdefault((topic, part), Partition())
 
-    def _add(self, partition: Partition, records: list[bytes], keyed: bool) -> int:
-        offset = partition.end
+    def _append_records(
+        self, partition: Partition, records: list[bytes], keyed: bool
+    ) -> int:
+        offset = partition.end_offset
         for number, record in enumerate(records):
             partition.records.append(record)
             if keyed:
@@ -134,52 +138,54 @@
         async with self._changed:
             self._changed.notify_all()
 
-    async def _append(self, query: dict[str, str], body: bytes) -> Reply:
+    async def _handle_append(self, query: dict[str, str], body: bytes) -> Reply:
         topic = query["topic"]
         if topic in ("keyed.op", "keyed.servers"):
             return Reply(render_status_line(403), b"")
-        partition = self._get(topic, int(query["part"]))
-        if "as_of" in query and int(query["as_of"]) != partition.end:
-            body = json.dumps({"end": partition.end}).encode()
-            return Reply(render_status_line(412) + JSON_TYPE, body)
+        partition = self._get_partition(topic, int(query["part"]))
+        if "as_of" in query and int(query["as_of"]) != partition.end_offset:
+            body = json.dumps({"end": partition.end_offset}).encode()
+            return Reply(render_status_line(412) + JSON_CONTENT_TYPE, body)
         records = []
         start = 0
         while start < len(body):
-            (length,) = LENGTH.unpack_from(body, start)
-            start += LENGTH.size
+            (length,) = RECORD_LENGTH.unpack_from(body, start)
+            start += RECORD_LENGTH.size
             records.append(body[start : start + length])
             start += length
-        offset = self._add(partition, records, topic.startswith(KEYED_PREFIX))
+        offset = self._append_records(
+            partition, records, topic.startswith(KEYED_TOPIC_PREFIX)
+        )
         if self.faults.lose_answers:
             await asyncio.Event().wait()
-        answer = json.dumps({"offset": offset, "end": partition.end}).encode()
-        return Reply(render_status_line(200) + JSON_TYPE, answer)
+        answer = json.dumps({"offset": offset, "end": partition.end_offset}).encode()
+        return Reply(render_status_line(200) + JSON_CONTENT_TYPE, answer)
 
-    async def _read(self, query: dict[str, str]) -> Reply:
-        partition = self._get(query["topic"], int(query["part"]))
+    async def _handle_read(self, query: dict[str, str]) -> Reply:
+        partition = self._get_partition(query["topic"], int(query["part"]))
         start = int(query["from"])
         wait = int(query.get("wait_ms", "0")) / 1000
         try:
             async with asyncio.timeout(wait), self._changed:
-                await self._changed.wait_for(lambda: partition.end > start)
+                await self._changed.wait_for(lambda: partition.end_offset > start)
         except TimeoutError:
             # Nothing came: the answer says so with its positions.
             pass
-        if start < partition.first:
-            body = json.dumps({"first": partition.first}).encode()
-            return Reply(render_status_line(410) + JSON_TYPE, body)
-        records = partition.records[start - partition.first :]
-        data = POSITIONS.pack(partition.end, partition.first)
-        data += b"".join(LENGTH.pack(len(item)) + item for item in records)
-        return Reply(render_status_line(200) + RAW_TYPE, data)
-
-    def _read_newest(self, query: dict[str, str]) -> Reply:
-        partition = self._get(query["topic"], int(query["part"]))
+        if start < partition.first_offset:
+            body = json.dumps({"first": partition.first_offset}).encode()
+            return Reply(render_status_line(410) + JSON_CONTENT_TYPE, body)
+        records = partition.records[start - partition.first_offset :]
+        data = OFFSET_PAIR.pack(partition.end_offset, partition.first_offset)
+        data += b"".join(RECORD_LENGTH.pack(len(item)) + item for item in records)
+        return Reply(render_status_line(200) + BINARY_CONTENT_TYPE, data)
+
+    def _handle_read_newest(self, query: dict[str, str]) -> Reply:
+        partition = self._get_partition(query["topic"], int(query["part"]))
         items = [
             {"key": key, "value": base64.b64encode(value).decode(), "offset": offset}
             for key, (value, offset) in sorted(partition.newest.items())
             if key > query.get("after", "")
         ]
         page = {"items": items[:500], "truncated": len(items) > 500}
-        body = json.dumps(page | {"end": partition.end}).encode()
-        return Reply(render_status_line(200) + JSON_TYPE, body)
+        body = json.dumps(page | {"end": partition.end_offset}).encode()
+        return Reply(render_status_line(200) + JSON_CONTENT_TYPE, body)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,7 @@
 }
 
 
-class Result:
+class ProgramResult:
     """What a run of the program left."""
 
     def __init__(self, status: ExitStatus, stdout: str, stderr: str):
@@ -25,11 +25,13 @@
         self.stderr = stderr
 
 
-def run_program(*arguments: str) -> Result:
+def run_program(*arguments: str) -> ProgramResult:
     """Run the command line in this process."""
     environment = Environment(io.StringIO(), io.StringIO())
     status = main(list(arguments), environment)
-    return Result(status, environment.stdout.getvalue(), environment.stderr.getvalue())
+    return ProgramResult(
+        status, environment.stdout.getvalue(), environment.stderr.getvalue()
+    )
 
 
 def build_workspace(name: str, key: str, batch: str = "first") -> dict[str, Any]:
