--- a/primroseglade/stand_ins/__init__.py
+++ b/primroseglade/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the outside systems, for tests, benches and the demo."""
+"""In-process stand-ins for external systems, for tests, benchmarks and the demo."""
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -1,4 +1,4 @@
-"""Stand-in for a backend server, with slots, drain, shedding and faults on demand."""
+"""Stand-in for a backend server, with limited slots, draining and injected faults."""
 
 import asyncio
 import collections
@@ -17,20 +17,22 @@
 
 
 class Behaviour:
-    """What the backend server does, changed at any time.
+    """Performance and faults of a backend server; may be changed while it runs.
 
     Args:
-        work: Seconds of work a call.
-        spread: Share by which work varies around that.
-        slots: Calls at work at once; more wait inside.
-        shed_over: Waiting calls over which it refuses before it starts, or None.
-        cold_seconds: For this long after the start work takes ``cold_factor`` as long.
-        cold_factor: See above.
-        answer_bytes: Size of an answer's body.
-        cut_answers: How many of the next answers break off in the middle.
-        swallow: Take calls and never answer.
+        work: Processing time of a call in seconds.
+        spread: Relative jitter of the processing time, such as 0.2 for 20 % either way.
+        slots: Maximum number of calls in flight; further calls are queued.
+        max_queued: Number of queued calls from which new ones are refused, or None.
+        cold_start_seconds: Duration of the slow phase after the start.
+        cold_start_factor: Factor by which processing is slower in that phase.
+        response_bytes: Minimum size of a response body.
         nested: Paths of calls that each call makes first, such as ``/archive/x``.
-        announced_slots: What it says its slots are, where that is not the truth.
+        announced_slots: Slots that it announces if other than ``slots``.
+
+    Attributes:
+        responses_to_truncate: Number of next responses cut off after half the body.
+        never_responds: Whether calls in flight are held without a response.
     """
 
     def __init__(
@@ -59,7 +61,7 @@
 
 
 class ReceivedRequest:
-    """One call that the backend server started."""
+    """A request that the backend server started to process."""
 
     __slots__ = (
         "cancelled",
@@ -80,21 +82,21 @@
 
     @property
     def workspace(self) -> str:
-        """For whom the node says it is."""
+        """Workspace that the node named in the request headers, or an empty string."""
         return self.headers.get("primroseglade-workspace", "")
 
 
 class BackendStandIn:
-    """A backend server of one service.
+    """Backend server of one service, which announces itself to its node.
 
     Args:
-        service: What it serves.
+        service: Name of the service.
         node: ``IP:PORT`` of its node's backend listener, or empty for none.
-        behaviour: What it does.
+        behavior: Performance and faults.
         address: ``IP:PORT`` to listen on.
-        connections: What it announces to take.
-        seed: Of its variations.
-        seen_kept: How many calls it remembers; None for all.
+        connections: Connection limit that it announces.
+        seed: Seed of the jitter of processing times.
+        max_seen: Number of the latest requests kept in ``seen``; None for all.
     """
 
     def __init__(
@@ -126,7 +128,7 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` that it listens on."""
+        """Listening address, ``IP:PORT``."""
         return self._listener.address
 
     async def run(self) -> None:
@@ -142,26 +144,26 @@
             await self._session.close()
 
     async def wait_started(self) -> None:
-        """Wait until it accepts connections."""
+        """Wait until the listener accepts connections."""
         await self._listener.wait_started()
 
     async def drain(self) -> None:
-        """Ask for no new calls."""
+        """Refuse new calls and announce it to the node."""
         self.draining = True
         await self.announce()
 
     def stop(self) -> None:
-        """Finish calls at work and go."""
+        """Stop gracefully: calls in flight have 5 s to finish."""
         self._stopping.set()
         self._listener.stop(5)
 
     def kill(self) -> None:
-        """Go at once."""
+        """Stop at once and close all connections."""
         self._stopping.set()
         self._listener.abort()
 
     async def announce(self) -> bool:
-        """Announce once; whether the node took it."""
+        """Announce the backend server once and return whether the node accepted it."""
         assert self._session is not None
         fields = {
             "service": self.service,
@@ -191,7 +193,7 @@
         assert task is not None
         scope["on_disconnect"] = task.cancel
         if scope["method"] == "OPTIONS":
-            # A node asks whether anything answers here: no call, and no slot.
+            # Health check of a node: it is not a call and occupies no slot.
             await _send_json(send, 200, {})
             return
         target = scope["raw_path"].decode("latin-1")
@@ -295,7 +297,7 @@
 
 
 class _NestedCallError(Exception):
-    """A call further on failed."""
+    """A nested call got an error status."""
 
 
 async def _read_all(receive: Any) -> bytes:
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one process: the log, nodes, and a backend server beside each."""
+"""A small fleet in one process: the log, nodes and their backend servers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,7 +17,7 @@
 
 
 class Place:
-    """A node, the backend server beside it, and the links that the node sees."""
+    """A node with its own network and the backend server beside it, if any."""
 
     def __init__(
         self, node: Node, network: PartitionableNetwork, backend: BackendStandIn | None
@@ -29,26 +29,26 @@
 
     @property
     def zone(self) -> str:
-        """Availability zone of both."""
+        """Availability zone of the node and its backend server."""
         return self.node.settings.zone
 
     @property
     def callers(self) -> str:
-        """Callers' address of the node."""
+        """``IP:PORT`` of the node for callers."""
         return self.node.listeners["callers"]
 
     @property
     def internal_addresses(self) -> set[str]:
-        """Addresses at which other nodes reach the node."""
+        """Addresses of the node for other nodes: relayed calls and control traffic."""
         return {self.node.listeners["relay"], self.node.listeners["control"]}
 
 
 class EmbeddedFleet:
-    """Starts, cuts and stops the parts of a fleet.
+    """Starts, partitions and stops the parts of a fleet.
 
     Args:
-        settings: Groups of node settings that differ from their defaults.
-        retention: Records that the log keeps.
+        settings: Groups of node settings that replace the defaults.
+        retention: Maximum number of records per topic of the log.
     """
 
     def __init__(
@@ -76,18 +76,18 @@
 
     @property
     def nodes(self) -> list[Node]:
-        """Nodes that were not stopped."""
+        """Nodes that have not been stopped or killed."""
         return [place.node for place in self.places if not place.stopped]
 
     async def publish(self, author: str = "operator", **kinds: dict[str, Any]) -> int:
-        """Append an edit, based on the log's own fold at the first node.
+        """Append an edit based on the section versions that the first node applied.
 
         Args:
-            author: Who publishes.
-            **kinds: Section kind to name to value.
+            author: Name of the operator who publishes.
+            **kinds: New section values by kind and name.
 
         Returns:
-            The record's offset.
+            Offset of the record.
         """
         known = self.nodes[0].configuration.document.sections if self.nodes else {}
         edits = []
@@ -106,7 +106,7 @@
         instance: str = "",
         **settings: Any,
     ) -> Place:
-        """Start a node, and a backend server beside it if a service is named."""
+        """Start a node, and a backend server beside it if ``service`` is given."""
         self._started_nodes += 1
         instance = instance or f"{zone}-{service or 'node'}-{self._started_nodes}"
         fields = {
@@ -131,7 +131,7 @@
         return place
 
     async def stop(self, place: Place) -> None:
-        """Stop a place as planned: the backend server goes when its node has gone."""
+        """Drain and stop an instance gracefully, the node before its backend server."""
         place.stopped = True
         if place.backend is not None:
             await place.backend.drain()
@@ -140,7 +140,7 @@
             place.backend.stop()
 
     async def kill(self, place: Place) -> None:
-        """Lose a place without a word."""
+        """Kill an instance without draining it."""
         place.stopped = True
         if place.backend is not None:
             place.backend.kill()
@@ -159,7 +159,7 @@
                     other.network.cut(place.internal_addresses)
 
     def heal(self) -> None:
-        """Bring every link back."""
+        """Restore all network connectivity."""
         for place in self.places:
             place.network.heal()
 
@@ -168,25 +168,36 @@
     ) -> None:
         """Wait until a condition holds.
 
+        Args:
+            condition: Polled until it returns True.
+            timeout: Maximum wait in seconds.
+            what: Description of the condition for the error message.
+
         Raises:
-            TimeoutError: It did not.
+            TimeoutError: The condition did not hold in time.
         """
         try:
             async with asyncio.timeout(timeout):
                 while not condition():
                     await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
-            raise TimeoutError(f"waited {timeout} s for {what or condition}") from None
+            raise TimeoutError(
+                f"timed out after {timeout} s waiting for {what or condition}"
+            ) from None
 
     async def wait_ready(self) -> None:
-        """Wait until all know all, backend servers serve, and rates have holders."""
-        await self.wait(self._is_ready, what="a fleet that is ready")
+        """Wait until the fleet is ready.
+
+        Nodes know each other, backend servers serve, and each rate has a lease holder
+        in every zone that has a share.
+        """
+        await self.wait(self._is_ready, what="the fleet to be ready")
 
     async def wait_offset(self, next_offset: int) -> None:
-        """Wait until every node has folded everything before an offset."""
+        """Wait until every node has applied all records before an offset."""
         await self.wait(
             lambda: all(n.configuration.next_offset >= next_offset for n in self.nodes),
-            what=f"offset {next_offset} everywhere",
+            what=f"all nodes to reach offset {next_offset}",
         )
 
     def _is_ready(self) -> bool:
@@ -205,7 +216,7 @@
         return self._has_rate_lease_holders()
 
     def _has_rate_lease_holders(self) -> bool:
-        """Whether every zone with a share has a holder for every rate's partition."""
+        """Return whether each zone with a share has a lease holder for every rate."""
         nodes = self.nodes
         document = nodes[0].configuration.document
         for zone in {node.settings.zone for node in nodes}:
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -1,4 +1,4 @@
-"""Stand-in for what lies between two ends, and may forget their connections."""
+"""Stand-in for a NAT or firewall that may lose track of open connections."""
 
 import asyncio
 
@@ -6,10 +6,13 @@
 
 
 class Link:
-    """Forwards TCP to a target, until told to lose track of open connections.
+    """Forwards TCP connections to a target and can blackhole the open ones.
 
     Args:
-        target: ``IP:PORT``.
+        target: ``IP:PORT`` to forward to.
+
+    Attributes:
+        address: ``IP:PORT`` that it listens on, empty before the start.
     """
 
     def __init__(self, target: str):
@@ -22,16 +25,16 @@
 
     @property
     def connections(self) -> int:
-        """Connections that are open and forwarded."""
+        """Number of open connections that are forwarded."""
         return len(self._open)
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = join_address(*self._server.sockets[0].getsockname()[:2])
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         assert self._server is not None
         self._server.close()
         for task in list(self._tasks):
@@ -39,7 +42,10 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def forget_connections(self) -> int:
-        """Drop what is sent on the open connections from now on, without a sign."""
+        """Drop all further data on open connections and return how many there are.
+
+        They stay open, so that neither end gets an error.
+        """
         count = len(self._open)
         for blackholed in self._open:
             blackholed.set()
@@ -68,7 +74,7 @@
         except OSError:
             return
         except asyncio.CancelledError:
-            # The link stops; asyncio would log a cancelled connection as an error.
+            # From stop(); asyncio would log a cancelled connection as an error.
             return
         finally:
             self._open.discard(blackholed)
@@ -83,7 +89,7 @@
     while True:
         data = await reader.read(65536)
         if blackholed.is_set():
-            # Swallowed; the sender's kernel had its acknowledgement from this end.
+            # Discarded; this end's kernel has acknowledged the data to the sender.
             if not data:
                 return
             continue
--- a/primroseglade/stand_ins/log.py
+++ b/primroseglade/stand_ins/log.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's log service, in memory, with faults on demand."""
+"""In-memory stand-in for the platform's log service, with injected faults."""
 
 import asyncio
 import json
@@ -13,12 +13,12 @@
 
 
 class LogFaults:
-    """What is wrong with the log at the moment.
+    """Faults that the log injects at present.
 
     Args:
-        outage: Refuse every request.
+        outage: Whether every request is answered 503.
         delay: Seconds added to every request.
-        lose_answers: How many of the next appends take effect unanswered.
+        lose_answers: Number of the next appends that are applied but answered 504.
     """
 
     __slots__ = ("delay", "lose_answers", "outage")
@@ -30,7 +30,13 @@
 
 
 class Topic:
-    """Records from ``first`` on; older ones are forgotten."""
+    """Records of one topic.
+
+    Attributes:
+        first_offset: Offset of the oldest record; older ones have expired.
+        records: Values of the records, the oldest first.
+        changed: Notified at each append.
+    """
 
     def __init__(self) -> None:
         self.first = 0
@@ -39,22 +45,22 @@
 
     @property
     def end_offset(self) -> int:
-        """Offset of the next append."""
+        """Offset that the next record gets."""
         return self.first + len(self.records)
 
     def truncate(self, max_records: int) -> None:
-        """Keep the last ``keep`` records only."""
+        """Delete the oldest records beyond ``max_records``."""
         surplus = max(0, len(self.records) - max_records)
         del self.records[:surplus]
         self.first += surplus
 
 
 class LogStandIn:
-    """The log service.
+    """Serves the topics of the log over HTTP.
 
     Args:
         address: ``IP:PORT`` to listen on.
-        retention: How many records a topic keeps.
+        retention: Maximum number of records per topic.
     """
 
     def __init__(self, address: str = "127.0.0.1:0", retention: int = 100_000):
@@ -67,15 +73,15 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` that it listens on."""
+        """Listening address, ``IP:PORT``."""
         return self._listener.address
 
     def get_topic(self, name: str) -> Topic:
-        """Return a topic, made at first use."""
+        """Return a topic, which is created at its first use."""
         return self._topics.setdefault(name, Topic())
 
     async def append(self, name: str, value: Any) -> int:
-        """Append without going through the network."""
+        """Append a record directly, without HTTP, and return its offset."""
         topic = self.get_topic(name)
         async with topic.changed:
             offset = topic.end_offset
@@ -90,11 +96,11 @@
         await self._listener.run()
 
     async def wait_started(self) -> None:
-        """Wait until it accepts connections."""
+        """Wait until the listener accepts connections."""
         await self._listener.wait_started()
 
     def stop(self) -> None:
-        """Stop serving at once."""
+        """Stop serving at once and close all connections."""
         self._listener.abort()
 
     def _build_application(self) -> Application:
--- a/primroseglade/stand_ins/mesh_backend.py
+++ b/primroseglade/stand_ins/mesh_backend.py
@@ -1,4 +1,4 @@
-"""A stand-in for a backend server as the platform runs it, with ways to fail."""
+"""Stand-in for a backend server that reports to the control listener of its node."""
 
 import asyncio
 import json
@@ -12,17 +12,24 @@
 
 
 class MeshBackend:
-    """Serves requests after some work, and reports to the node beside it.
+    """Serves requests after a fixed processing time and reports its status.
 
     Args:
-        instance: Its id.
-        service: What it serves.
-        address: ``IP:PORT``.
-        control: Address of the node's control listener.
-        slots: That it reports.
-        work: Seconds of work of a request.
-        born: Unix milliseconds of its start.
-        reached: ``IP:PORT`` that it reports, where that is not its own.
+        instance: Instance id.
+        service: Name of the service.
+        address: ``IP:PORT`` to listen on.
+        control: ``IP:PORT`` of the node's control listener.
+        slots: Number of slots that it reports.
+        work: Processing time of a request in seconds.
+        start_time_ms: Reported start time in Unix milliseconds.
+        reached: ``IP:PORT`` that it reports if other than ``address``.
+
+    Attributes:
+        state: State that it reports, such as ``ready`` or ``draining``.
+        executed_request_ids: Ids of the requests that began to run.
+        cancelled: Number of requests that were cancelled while they ran.
+        seen: Headers of all requests, also of those refused as misdirected.
+        answer: Builds responses in place of the usual ones, or None.
     """
 
     def __init__(
@@ -62,7 +69,7 @@
             server.cancel()
 
     async def report(self) -> int:
-        """Send one status report and return the status of its answer, 0 for none."""
+        """Send a status report and return the response status, 0 for no response."""
         self._sequence += 1
         body = {
             "service": self.service,
@@ -78,11 +85,11 @@
         return await self.call_control("PUT", json.dumps(body).encode())
 
     async def leave(self) -> int:
-        """Say that it leaves, without a report before."""
+        """Deregister from the node and return the response status, 0 for none."""
         return await self.call_control("DELETE", b"")
 
     async def call_control(self, method: str, body: bytes) -> int:
-        """Call the node and return the status of its answer, 0 for none."""
+        """Send a control request and return the response status, 0 for no response."""
         head = (
             f"{method} /instances/{self.instance} HTTP/1.1\r\nHost: node\r\n"
             f"Content-Length: {len(body)}\r\n\r\n"
@@ -95,7 +102,7 @@
                 finally:
                     self._control.release(connection)
         except Exception:
-            # The node may be down; its absence shows in the status.
+            # The node may be down, which the caller sees as status 0.
             return 0
         return answer.status
 
@@ -119,7 +126,7 @@
         return self.build_answer(request_id, b"served by " + self.instance.encode())
 
     def build_answer(self, request_id: str, body: bytes) -> Reply:
-        """Return a whole answer with the signature."""
+        """Return a response with the request id and signature that nodes check."""
         head = (
             render_status_line(200)
             + f"X-Primroseglade-Request-Id: {request_id}\r\n".encode()
--- a/primroseglade/stand_ins/store.py
+++ b/primroseglade/stand_ins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's store, with the ways in which it may fail."""
+"""In-memory stand-in for the platform's store, with injected faults."""
 
 import asyncio
 import base64
@@ -17,12 +17,12 @@
 
 
 class Partition:
-    """The records of one partition.
+    """Records of one partition of a topic.
 
     Attributes:
-        records: Those that are kept, the oldest first.
-        first: Position of the oldest.
-        newest: Of each key, its value and position, in a keyed topic.
+        records: Retained records, the oldest first.
+        first_offset: Offset of the oldest retained record.
+        newest: In keyed topics, the latest value of each key and its offset.
     """
 
     __slots__ = ("first_offset", "newest", "records")
@@ -34,18 +34,18 @@
 
     @property
     def end_offset(self) -> int:
-        """Position after the newest record."""
+        """Offset that the next record gets."""
         return self.first_offset + len(self.records)
 
 
 class StoreFaults:
-    """What goes wrong, until it is changed.
+    """Faults that the store injects until they are reset.
 
     Attributes:
-        down: Status answered to all calls, such as 503; 0 for none.
-        silent: Whether calls get no answer at all.
-        slow: Seconds by which answers are late.
-        lose_answers: Whether writes are done and their connection then closed.
+        error_status: Status of all responses, such as 503; 0 for no such fault.
+        silent: Whether requests get no response.
+        delay_seconds: Delay of each response.
+        lose_answers: Whether writes are applied but never answered.
     """
 
     __slots__ = ("down", "lose_answers", "silent", "slow")
@@ -58,10 +58,10 @@
 
 
 class StoreStandIn:
-    """Keeps topics in memory and serves them as the platform's store does.
+    """Keeps topics in memory and serves them over the platform store's HTTP protocol.
 
     Args:
-        address: ``IP:PORT``.
+        address: ``IP:PORT`` to listen on.
     """
 
     def __init__(self, address: str):
@@ -76,24 +76,24 @@
         await self._server.run()
 
     def publish(self, configuration: dict[str, object]) -> None:
-        """Write the operator's configuration, as the operator does."""
+        """Write a new configuration to the operator's topic."""
         self.append("keyed.op", "config", json.dumps(configuration).encode())
 
     def append(self, topic: str, key: str, value: bytes) -> None:
-        """Write the newest record of a key."""
+        """Append a record to a keyed topic."""
         name = key.encode()
         self._append_records(
             self._get_partition(topic, 0), [bytes([len(name)]) + name + value], True
         )
 
     def forget_history(self) -> None:
-        """Delete all records; the newest of each key stays."""
+        """Delete all records; the latest value of each key can still be read."""
         for partition in self._partitions.values():
             partition.first_offset = partition.end_offset
             partition.records = []
 
     def read_newest(self, topic: str) -> dict[str, bytes]:
-        """Return the newest value of each key."""
+        """Return the latest value of each key."""
         partition = self._get_partition(topic, 0)
         return {key: value for key, (value, _) in partition.newest.items()}
 
@@ -169,7 +169,7 @@
             async with asyncio.timeout(wait), self._changed:
                 await self._changed.wait_for(lambda: partition.end_offset > start)
         except TimeoutError:
-            # Nothing came: the answer says so with its positions.
+            # No new records: the response holds only the offsets.
             pass
         if start < partition.first_offset:
             body = json.dumps({"first": partition.first_offset}).encode()
