--- a/primroseglade/demo/__init__.py
+++ b/primroseglade/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A whole deployment in one process, with failures, checked from outside."""
+"""Runs a deployment in one process, injects failures and checks its guarantees."""
--- a/primroseglade/demo/callers.py
+++ b/primroseglade/demo/callers.py
@@ -1,4 +1,4 @@
-"""Open-loop callers: a call leaves when it is due, whatever became of others."""
+"""Open-loop load generator: calls start on schedule, whether or not others ended."""
 
 import asyncio
 import json
@@ -11,20 +11,20 @@
 from .records import CallRecord
 
 TIMEOUT_SECONDS = 2.0
-# Uploads and issues are sent with POST, which must not run twice.
+# Fraction of calls sent with POST, which must not run twice.
 POST_RATIO = 0.3
 GREEDY_RATE_FACTOR = 4.0
 
 
 class Callers:
-    """All workspaces' callers.
+    """Sends the calls of all workspaces and records their outcomes.
 
     Args:
-        fleet: Whom they call.
+        fleet: Fleet to call.
         deployment: Services and workspaces.
-        rate: Calls a second in all.
-        greedy: A workspace that sends several times its part, or empty.
-        seed: Of what is random.
+        rate: Calls per second of all workspaces, without the excess of the greedy one.
+        greedy_workspace: Workspace that sends several times its share, or empty.
+        seed: Seed of all random choices.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
         self.records: list[CallRecord] = []
 
     async def run(self, until: float) -> None:
-        """Send calls until a time on the loop's clock, and wait for their answers."""
+        """Send calls until a time of the loop's clock and wait for all responses."""
         clock = asyncio.get_running_loop().time
         names = list(self._deployment.workspaces)
         weights = [
--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -1,4 +1,4 @@
-"""The brief's promises, checked from what callers and backend servers recorded."""
+"""Checks the guarantees against what callers and backend servers recorded."""
 
 import collections
 from collections.abc import Callable
@@ -8,23 +8,32 @@
 from .deployments import Deployment, get_key
 from .records import CallRecord
 
-# From the accepted edit, or the wish to drain, to the last effect of the old state.
+# Time after an accepted edit, or a drain request, in which the old state may still
+# have an effect.
 WITHDRAWAL_DEADLINE_SECONDS = 3.0
 DRAIN_DEADLINE_SECONDS = 3.0
 MAX_CALL_CHAIN_LENGTH = 2
-# Share by which the critical class may be served less than another by chance alone.
+# How far the critical class's served ratio may fall below another's by chance.
 SERVED_RATIO_TOLERANCE = 0.02
 
 
 class Evidence:
-    """Everything recorded outside the nodes.
+    """Everything that was recorded outside the nodes.
+
+    Times are those of ``time.monotonic``.
 
     Args:
-        deployment: What ran.
-        calls: What callers saw.
-        seen: By backend server's address, what it started.
-        rates: Calls a second and burst, by workspace.
-        retry_tokens: Retries that a root call may cost.
+        deployment: Deployment that ran.
+        calls: Root calls as callers saw them.
+        seen: Requests that each backend server started, by its address.
+        rates: Rate limit per second and burst, by workspace.
+        retry_tokens: Maximum number of retries per root call.
+
+    Attributes:
+        withdrawn: Workspace and number of the withdrawn key, and when it was withdrawn.
+        drained: Address of the drained backend server, and when the drain began.
+        stop: Start and end of the graceful stop.
+        overload: Start and end of the overload.
     """
 
     def __init__(
@@ -47,12 +56,12 @@
 
     @property
     def all_seen(self) -> list[ReceivedRequest]:
-        """What all backend servers started."""
+        """Requests that backend servers started, of all of them."""
         return [item for items in self.seen.values() for item in items]
 
 
 class Finding:
-    """A promise, how often it was looked at, and how often it was broken."""
+    """Result of the check of a guarantee: cases checked and violations found."""
 
     __slots__ = ("checked", "guarantee", "violations")
 
@@ -63,7 +72,7 @@
 
     @property
     def kept(self) -> bool:
-        """Whether it was never broken."""
+        """Whether there were no violations."""
         return not self.violations
 
 
@@ -72,7 +81,7 @@
 
 
 def guarantee(text: str) -> Callable[[Check], Check]:
-    """Register the check of a promise; it returns how many it looked at and broken."""
+    """Register a check, which returns the cases checked and the violations found."""
 
     def register(check: Check) -> Check:
         _checks[text] = check
@@ -82,7 +91,7 @@
 
 
 def check_guarantees(evidence: Evidence) -> list[Finding]:
-    """Check every promise."""
+    """Run all registered checks and return their findings."""
     return [Finding(text, *check(evidence)) for text, check in _checks.items()]
 
 
@@ -102,14 +111,14 @@
     start, end = evidence.overload
     served: dict[str, list[bool]] = collections.defaultdict(list)
     for call in evidence.calls:
-        # What the rate refused was not shed.
+        # Calls over the rate limit are refused for that, not shed.
         if start <= call.sent_at < end and call.outcome != "rate-exceeded":
             served[call.service].append(call.served)
     served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
     critical = evidence.deployment.critical_service
     deep = evidence.deployment.deep_service
     critical_ratio = served_ratios.pop(critical, 1.0)
-    # Against the slowed service itself: others do not need it, and are not shed.
+    # Compared only with the slow service: services that do not call it are not shed.
     return len(served.get(critical, ())), int(
         critical_ratio + SERVED_RATIO_TOLERANCE < served_ratios.get(deep, 0.0)
     )
@@ -167,8 +176,8 @@
 def _check_rates(evidence: Evidence) -> tuple[int, int]:
     violations = 0
     for workspace, (rate, burst) in evidence.rates.items():
-        # A call's token was spent between its first byte and its last, so calls that
-        # lie wholly inside a window were all charged inside it.
+        # A call's token is taken between its start and its end, so calls that lie
+        # wholly within a window have all taken theirs within it.
         charged = sorted(
             (call.sent_at, call.ended_at)
             for call in evidence.calls
@@ -242,8 +251,8 @@
     if evidence.withdrawn is None:
         return 0, 0
     workspace, key, at = evidence.withdrawn
-    # Once one caller was refused for the withdrawn key, no later call may be served
-    # by the instance that refused; seen from outside: none at all after the bound.
+    # An instance that has refused the withdrawn key must not serve it again. Callers
+    # do not see which instance that was: after the deadline none may serve the key.
     later = [
         call
         for call in evidence.calls
--- a/primroseglade/demo/deployments.py
+++ b/primroseglade/demo/deployments.py
@@ -1,25 +1,25 @@
-"""The two deployments of the demo, with the sizes of their documents."""
+"""The two deployments of the demo: their zones, services and workspaces."""
 
 from typing import Any
 
 from ..document.document import digest_key
 
-# One process runs all of it: slots are divided by this, so that its processor can
-# fill them, and everything that is relative to slots stays as it is.
+# The whole deployment shares one process, whose CPU could not fill the real slots.
+# All are divided alike, so that ratios between services stay the same.
 SLOTS_DIVISOR = 20
 MIN_SLOTS = 4
 
 
 class ServiceSize:
-    """A service's backend servers.
+    """Size of a service and its share of the load.
 
     Args:
-        servers: How many there are.
-        slots: Calls at once, each.
-        connections: Connections, each.
-        importance: Class of its calls.
-        part: Its part of all root calls.
-        nested: Calls that each of its calls makes first.
+        server_count: Number of backend servers.
+        slots: Concurrency limit of each backend server.
+        connections: Connection limit of each backend server.
+        importance: Importance class of its calls.
+        call_ratio: Fraction of all root calls that go to it.
+        nested: Paths of calls that each of its calls makes first.
     """
 
     __slots__ = (
@@ -49,13 +49,13 @@
 
 
 class Deployment:
-    """Zones, services and workspaces.
+    """Availability zones, services and workspaces of a deployment.
 
     Args:
-        name: Its name.
-        zones: Availability zones, each with the same share.
-        services: By name; the deepest first.
-        workspaces: By name, each with its part of all calls.
+        name: Name of the deployment.
+        zones: Availability zones, which get equal shares of each rate.
+        services: Services by name; the first is the end of the call chains.
+        workspaces: Fraction of all root calls that each workspace sends, by name.
     """
 
     __slots__ = ("name", "services", "workspaces", "zones")
@@ -74,12 +74,12 @@
 
     @property
     def deep_service(self) -> str:
-        """The service at the end of the call chains, which the demo slows down."""
+        """Service at the end of the call chains, which the demo slows down."""
         return next(iter(self.services))
 
     @property
     def critical_service(self) -> str:
-        """The service whose calls are shed last."""
+        """Service whose calls are shed last."""
         return next(
             name
             for name, size in self.services.items()
@@ -87,7 +87,7 @@
         )
 
     def build_document(self, rate: float, burst: float) -> dict[str, Any]:
-        """Return the document's kinds, with rates that add up to ``rate`` calls/s."""
+        """Return the document's sections; its rates add up to ``rate`` calls/s."""
         share = 1 / len(self.zones)
         return {
             "zones": {zone: {"share": share} for zone in self.zones},
@@ -114,7 +114,7 @@
 
 
 def build_key(workspace: str, number: int) -> dict[str, Any]:
-    """Return one of a workspace's keys as the document holds it."""
+    """Return a key's entry in the document, with its digest."""
     return {
         "id": f"{workspace}-{number}",
         "digest": digest_key(get_key(workspace, number)),
@@ -123,7 +123,7 @@
 
 
 def get_key(workspace: str, number: int) -> str:
-    """Return one of a workspace's keys as its callers hold it."""
+    """Return a workspace's key in plain text, as callers send it."""
     return f"demo-key-of-{workspace}-number-{number}"
 
 
--- a/primroseglade/demo/records.py
+++ b/primroseglade/demo/records.py
@@ -1,4 +1,4 @@
-"""What callers saw, kept for the checks."""
+"""Records of calls as their callers saw them."""
 
 import time
 
@@ -6,14 +6,21 @@
 
 
 class CallRecord:
-    """One root call as its caller saw it.
+    """A root call as its caller saw it.
 
     Args:
-        id: Unique; the backend server is shown it, and echoes it.
-        workspace: Whose key it carried.
-        key: Number of the key.
-        service: Root service.
+        id: Unique id, which is sent as a header and echoed by the backend server.
+        workspace: Workspace whose key the call carried.
+        key: Number of that key.
+        service: Service that was called.
         method: HTTP method.
+
+    Attributes:
+        sent_at: Start of the call, by ``time.monotonic``.
+        ended_at: End of the call, or 0 while it is in flight.
+        outcome: ``served``, ``status-`` and a 5xx status, or the code of the refusal.
+        verdict: Whether a refused call may have run; None for other calls.
+        is_complete: Whether the whole response to this very call arrived.
     """
 
     __slots__ = (
@@ -43,17 +50,17 @@
 
     @property
     def served(self) -> bool:
-        """Whether the caller got a whole answer of its own."""
+        """Whether the caller got the complete response to its own call."""
         return self.outcome == "served" and self.is_complete
 
     def record_response(self, status: int, is_complete: bool) -> None:
-        """Note an answer."""
+        """Record the end of the call by a response."""
         self.ended_at = time.monotonic()
         self.outcome = "served" if status < 500 else f"status-{status}"
         self.is_complete = is_complete
 
     def record_refusal(self, refusal: Refusal) -> None:
-        """Note a refusal."""
+        """Record the end of the call by a refusal."""
         self.ended_at = time.monotonic()
         self.outcome = refusal.reason.code
         self.verdict = refusal.verdict
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -1,4 +1,4 @@
-"""The measures of the brief, worked out from what callers saw."""
+"""Goodput, fairness and recovery time, computed from what callers saw."""
 
 import collections
 from typing import Any
@@ -12,7 +12,10 @@
 
 
 class Report:
-    """Measures and findings of one run."""
+    """Measurements and findings of one run.
+
+    Apart from ``outcomes``, they leave out calls sent with a withdrawn key.
+    """
 
     __slots__ = (
         "findings",
@@ -49,11 +52,11 @@
 
     @property
     def kept(self) -> bool:
-        """Whether no promise was broken."""
+        """Whether all guarantees held."""
         return all(finding.kept for finding in self.findings)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return the report for JSON."""
+        """Return the report as a JSON object."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         fields["findings"] = [
             {
@@ -68,7 +71,7 @@
         return fields
 
     def to_lines(self) -> list[str]:
-        """Return the report for people."""
+        """Return the report as lines of text."""
         recovery = self.recovery_seconds
         lines = [
             f"calls offered                 {self.offered}",
@@ -111,14 +114,16 @@
 def _measure_recovery(
     calls: list[CallRecord], overload: tuple[float, float] | None
 ) -> float | None:
-    """Return seconds from the trigger's end until calls are served as before.
+    """Return seconds from the end of the overload until calls are served as before.
 
-    Served share by the time calls were sent, over a sliding second.
+    That is when the served ratio of the calls sent within a sliding window of 1 s
+    reaches 95 % of its value before the overload. None if that never happens, or
+    without an overload.
     """
     if overload is None:
         return None
     start, end = overload
-    # What a workspace over its rate is refused belongs to no overload.
+    # Refusals of calls over the rate limit are not an effect of the overload.
     counted = [call for call in calls if call.outcome != "rate-exceeded"]
     before = [call.served for call in counted if call.sent_at < start]
     if not before:
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -1,4 +1,4 @@
-"""The demo's course: start, load, failures one after another, report."""
+"""Runs the demo: starts a fleet, sends load, injects failures and reports."""
 
 import asyncio
 import time
@@ -21,7 +21,7 @@
     "log": {"level": "warning"},
 }
 
-# Moments of the run, as shares of its length.
+# Times of the events, as fractions of the run's duration.
 WITHDRAW_AT_RATIO = 0.15
 DRAIN_AT_RATIO = 0.25
 SLOW_START_RATIO, SLOW_END_RATIO = 0.4, 0.55
@@ -31,13 +31,13 @@
 
 
 class Demo:
-    """One run.
+    """A single run of the demo.
 
     Args:
-        deployment: What runs.
-        seconds: How long calls are sent.
-        seed: Of what is random.
-        tell: Told of what happens.
+        deployment: Deployment to run.
+        seconds: Duration of the load in seconds.
+        seed: Seed of the callers' random choices.
+        report_progress: Called with a line of text at each event.
     """
 
     def __init__(
@@ -51,13 +51,13 @@
         self._seconds = seconds
         self._seed = seed
         self._report_progress = report_progress
-        # The last workspace sends several times its rate, the first loses a key.
+        # The last workspace sends several times its share, the first loses a key.
         names = list(deployment.workspaces)
         self._greedy_workspace = names[-1]
         self._withdrawn_key_workspace = names[0]
 
     async def run(self) -> Report:
-        """Run the deployment and check what it promised."""
+        """Run the deployment, check its guarantees and return the report."""
         async with EmbeddedFleet(FLEET_SETTINGS) as fleet:
             await self._start(fleet)
             callers = Callers(
