--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What several tests need: the program's result, a document, a fleet's settings."""
+"""Helpers of several tests: command line runs, a document and fast fleet settings."""
 
 import io
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 class ProgramResult:
-    """What a run of the program left."""
+    """Exit status and output of a run of the command line."""
 
     def __init__(self, status: ExitStatus, stdout: str, stderr: str):
         self.status = status
@@ -26,7 +26,7 @@
 
 
 def run_program(*arguments: str) -> ProgramResult:
-    """Run the command line in this process."""
+    """Run the command line in this process and return its result."""
     environment = Environment(io.StringIO(), io.StringIO())
     status = main(list(arguments), environment)
     return ProgramResult(
@@ -35,7 +35,7 @@
 
 
 def build_workspace(name: str, key: str, batch: str = "first") -> dict[str, Any]:
-    """Return a workspace of one key."""
+    """Return a workspace's value in the document, with one key."""
     return {"keys": [{"id": f"{name}-key", "digest": digest_key(key), "batch": batch}]}
 
 
@@ -45,7 +45,7 @@
     burst: float = 1000.0,
     services: tuple[str, ...] = ("archive",),
 ) -> dict[str, Any]:
-    """Return the kinds of a small document."""
+    """Return the sections of a small document, by kind and name."""
     return {
         "zones": {zone: {"share": 1 / len(zones)} for zone in zones},
         "workspaces": {"north": build_workspace("north", KEY)},
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: caller, node, backend server, and back."""
+"""The whole path of a call: caller, node, backend server, and back."""
 
 import asyncio
 import contextlib
@@ -139,10 +139,12 @@
     ],
 )
 async def test_ambiguous_framing_is_refused_and_forwards_nothing(request_bytes):
-    """A proxy in front and the backend server read a request's length differently.
+    """Guards against request smuggling.
 
-    What one takes for the body, the other takes for a further request that was never
-    checked. The node refuses and closes, and the backend server sees nothing.
+    If a proxy in front of the node and the backend server disagree on a request's
+    length, one takes for a body what the other takes for a further request, which was
+    never checked. The node refuses and closes the connection; the backend server
+    gets nothing.
     """
     async with run_fleet(("a", "archive", None)) as fleet:
         smuggled = request_bytes + "GET /archive/smuggled HTTP/1.1\r\nhost: n\r\n\r\n"
@@ -176,7 +178,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /archive/x HTTP/1.1\r\nhost: n\r\n"])
 async def test_connection_without_a_whole_head_is_closed(sent, monkeypatch):
-    """Someone opens connections, sends little or nothing, and never closes them."""
+    """Guards against slow clients that hold connections without a complete head."""
     monkeypatch.setattr(http_guard, "HEAD_SECONDS", 0.2)
     async with run_fleet(("a", "archive", None)) as fleet:
         assert await send_raw(fleet.places[0].callers, sent) == b""
@@ -197,10 +199,10 @@
 @pytest.mark.parametrize("size", [1_000, 500_000])
 @pytest.mark.parametrize("entry", [0, 1], ids=["own backend", "relayed"])
 async def test_answer_that_breaks_off_is_never_passed_for_whole(size, entry):
-    """A sweeper downloads a photo; the imagery server dies in the middle of it.
+    """A backend server dies in the middle of a response.
 
-    The answer's first half has been sent on already. Were it ended properly, half a
-    photo would be stored as the whole one.
+    Its first half has been forwarded already. If the node ended the response properly,
+    the caller would store half a photo as a complete one.
     """
     behaviour = Behaviour(answer_bytes=size)
     behaviour.cut_answers = 100
@@ -212,7 +214,7 @@
 
 
 async def test_caller_that_leaves_cancels_the_call():
-    """A dispatcher closes the page; nobody waits for the answer any more."""
+    """A caller disconnects; its call must not go on occupying a slot."""
     slow = Behaviour(work=30)
     async with run_fleet(("a", "archive", slow)) as fleet:
         place = fleet.places[0]
@@ -243,7 +245,7 @@
 
 
 async def test_planned_stop_cuts_off_no_call():
-    """A node is replaced while a certificate is being issued behind it."""
+    """A node is stopped gracefully while non-idempotent calls are in flight."""
     slow = Behaviour(work=0.5, spread=0)
     async with run_fleet(("a", "archive", slow), ("a", "archive", slow)) as fleet:
         place = fleet.places[0]
