--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 100, 65_537, 3_000_000])
-async def test_bodies_of_all_sizes_arrive_whole(size):
+async def test_bodies_of_all_sizes_arrive_complete(size):
     big = Behaviour(answer_bytes=max(size, 200))
     async with run_fleet(("a", "archive", big), ("b", "imagery", None)) as fleet:
         for place in fleet.places:
@@ -97,7 +97,7 @@
         ),
     ],
 )
-async def test_refusals_say_why_and_that_nothing_ran(headers, path, reason):
+async def test_refusals_state_the_reason_and_that_nothing_ran(headers, path, reason):
     async with run_fleet(("a", "archive", None)) as fleet:
         url = f"http://{fleet.places[0].callers}{path}"
         async with aiohttp.ClientSession() as session:
@@ -177,14 +177,14 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /archive/x HTTP/1.1\r\nhost: n\r\n"])
-async def test_connection_without_a_whole_head_is_closed(sent, monkeypatch):
+async def test_connection_without_a_complete_head_is_closed(sent, monkeypatch):
     """Guards against slow clients that hold connections without a complete head."""
     monkeypatch.setattr(http_guard, "HEAD_SECONDS", 0.2)
     async with run_fleet(("a", "archive", None)) as fleet:
         assert await send_raw(fleet.places[0].callers, sent) == b""
 
 
-async def test_body_that_never_comes_is_given_up_at_the_deadline():
+async def test_missing_body_times_out_at_the_deadline():
     async with run_fleet(("a", "archive", None)) as fleet:
         head = HEAD + "primroseglade-timeout-ms: 200\r\ncontent-length: 9\r\n\r\n"
         host, port = fleet.places[0].callers.split(":")
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("size", [1_000, 500_000])
 @pytest.mark.parametrize("entry", [0, 1], ids=["own backend", "relayed"])
-async def test_answer_that_breaks_off_is_never_passed_for_whole(size, entry):
+async def test_truncated_response_is_never_passed_off_as_complete(size, entry):
     """A backend server dies in the middle of a response.
 
     Its first half has been forwarded already. If the node ended the response properly,
@@ -213,7 +213,7 @@
     assert caught.value.verdict is Verdict.MAY_HAVE_RUN
 
 
-async def test_caller_that_leaves_cancels_the_call():
+async def test_caller_disconnect_cancels_the_call():
     """A caller disconnects; its call must not go on occupying a slot."""
     slow = Behaviour(work=30)
     async with run_fleet(("a", "archive", slow)) as fleet:
@@ -244,7 +244,7 @@
         await fleet.wait(lambda: all(item.cancelled for item in backend.seen))
 
 
-async def test_planned_stop_cuts_off_no_call():
+async def test_graceful_stop_cuts_off_no_call():
     """A node is stopped gracefully while non-idempotent calls are in flight."""
     slow = Behaviour(work=0.5, spread=0)
     async with run_fleet(("a", "archive", slow), ("a", "archive", slow)) as fleet:
