--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -8,8 +8,8 @@
 from .deployments import Deployment, get_key
 from .records import CallRecord
 
-# Time after an accepted edit, or a drain request, in which the old state may still
-# have an effect.
+# Maximum time from an accepted edit, or a drain request, to the last effect of the
+# old state.
 WITHDRAWAL_DEADLINE_SECONDS = 3.0
 DRAIN_DEADLINE_SECONDS = 3.0
 MAX_CALL_CHAIN_LENGTH = 2
@@ -56,7 +56,7 @@
 
     @property
     def all_seen(self) -> list[ReceivedRequest]:
-        """Requests that backend servers started, of all of them."""
+        """Requests started by all backend servers."""
         return [item for items in self.seen.values() for item in items]
 
 
@@ -81,7 +81,13 @@
 
 
 def guarantee(text: str) -> Callable[[Check], Check]:
-    """Register a check, which returns the cases checked and the violations found."""
+    """Return a decorator that registers the check of a guarantee.
+
+    A check returns the number of cases checked and the number of violations.
+
+    Args:
+        text: The guarantee in words, as the report prints it.
+    """
 
     def register(check: Check) -> Check:
         _checks[text] = check
--- a/primroseglade/demo/deployments.py
+++ b/primroseglade/demo/deployments.py
@@ -4,8 +4,8 @@
 
 from ..document.document import digest_key
 
-# The whole deployment shares one process, whose CPU could not fill the real slots.
-# All are divided alike, so that ratios between services stay the same.
+# Divides the slots of all backend servers: they share one process, which could not
+# fill them otherwise. Limits that are relative to slots stay in proportion.
 SLOTS_DIVISOR = 20
 MIN_SLOTS = 4
 
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -14,7 +14,7 @@
 class Report:
     """Measurements and findings of one run.
 
-    Apart from ``outcomes``, they leave out calls sent with a withdrawn key.
+    Except in ``outcomes``, calls sent with a withdrawn key are not counted.
     """
 
     __slots__ = (
