--- a/primroseglade/demo/records.py
+++ b/primroseglade/demo/records.py
@@ -1,4 +1,4 @@
-"""What callers saw, kept for the checks."""
+"""Records of calls as their callers saw them."""
 
 import time
 
@@ -6,26 +6,33 @@
 
 
 class CallRecord:
-    """One root call as its caller saw it.
+    """A root call as its caller saw it.
 
     Args:
-        id: Unique; the backend server is shown it, and echoes it.
-        workspace: Whose key it carried.
-        key: Number of the key.
-        service: Root service.
+        id: Unique id, which is sent as a header and echoed by the backend server.
+        workspace: Workspace whose key the call carried.
+        key: Number of that key.
+        service: Service that was called.
         method: HTTP method.
+
+    Attributes:
+        sent_at: Start of the call, by ``time.monotonic``.
+        ended_at: End of the call, or 0 while it is in flight.
+        outcome: ``served``, ``status-`` and a 5xx status, or the code of the refusal.
+        verdict: Whether a refused call may have run; None for other calls.
+        is_complete: Whether the whole response to this very call arrived.
     """
 
     __slots__ = (
-        "ended",
+        "ended_at",
         "id",
+        "is_complete",
         "key",
         "method",
         "outcome",
-        "sent",
+        "sent_at",
         "service",
         "verdict",
-        "whole",
         "workspace",
     )
 
@@ -35,25 +42,25 @@
         self.key = key
         self.service = service
         self.method = method
-        self.sent = time.monotonic()
-        self.ended = 0.0
+        self.sent_at = time.monotonic()
+        self.ended_at = 0.0
         self.outcome = ""
         self.verdict: Verdict | None = None
-        self.whole = False
+        self.is_complete = False
 
     @property
     def served(self) -> bool:
-        """Whether the caller got a whole answer of its own."""
-        return self.outcome == "served" and self.whole
+        """Whether the caller got the complete response to its own call."""
+        return self.outcome == "served" and self.is_complete
 
-    def note_answer(self, status: int, whole: bool) -> None:
-        """Note an answer."""
-        self.ended = time.monotonic()
+    def record_response(self, status: int, is_complete: bool) -> None:
+        """Record the end of the call by a response."""
+        self.ended_at = time.monotonic()
         self.outcome = "served" if status < 500 else f"status-{status}"
-        self.whole = whole
+        self.is_complete = is_complete
 
-    def note_refusal(self, refusal: Refusal) -> None:
-        """Note a refusal."""
-        self.ended = time.monotonic()
+    def record_refusal(self, refusal: Refusal) -> None:
+        """Record the end of the call by a refusal."""
+        self.ended_at = time.monotonic()
         self.outcome = refusal.reason.code
         self.verdict = refusal.verdict
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet in one process: the log, nodes, and a backend server beside each."""
+"""A small fleet in one process: the log, nodes and their backend servers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,12 +12,12 @@
 from .backend import BackendStandIn, Behaviour
 from .log import LogStandIn
 
-POLL_SECONDS = 0.02
-SECRET = "a secret that only this embedded fleet knows"
+POLL_INTERVAL_SECONDS = 0.02
+FLEET_SECRET = "a secret that only this embedded fleet knows"
 
 
 class Place:
-    """A node, the backend server beside it, and the links that the node sees."""
+    """A node with its own network and the backend server beside it, if any."""
 
     def __init__(
         self, node: Node, network: PartitionableNetwork, backend: BackendStandIn | None
@@ -29,26 +29,26 @@
 
     @property
     def zone(self) -> str:
-        """Availability zone of both."""
+        """Availability zone of the node and its backend server."""
         return self.node.settings.zone
 
     @property
     def callers(self) -> str:
-        """Callers' address of the node."""
+        """``IP:PORT`` of the node for callers."""
         return self.node.listeners["callers"]
 
     @property
-    def addresses(self) -> set[str]:
-        """Addresses at which other nodes reach the node."""
+    def internal_addresses(self) -> set[str]:
+        """Addresses of the node for other nodes: relayed calls and control traffic."""
         return {self.node.listeners["relay"], self.node.listeners["control"]}
 
 
 class EmbeddedFleet:
-    """Starts, cuts and stops the parts of a fleet.
+    """Starts, partitions and stops the parts of a fleet.
 
     Args:
-        settings: Groups of node settings that differ from their defaults.
-        retention: Records that the log keeps.
+        settings: Groups of node settings that replace the defaults.
+        retention: Maximum number of records per topic of the log.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
     ):
         self._settings = settings or {}
         self._tasks: list[asyncio.Task[None]] = []
-        self._started = 0
+        self._started_nodes = 0
         self.log = LogStandIn(retention=retention)
         self.places: list[Place] = []
 
     async def __aenter__(self) -> "EmbeddedFleet":
-        self._run(self.log.run())
+        self._start_task(self.log.run())
         await self.log.wait_started()
         return self
 
@@ -76,18 +76,18 @@
 
     @property
     def nodes(self) -> list[Node]:
-        """Nodes that were not stopped."""
+        """Nodes that have not been stopped or killed."""
         return [place.node for place in self.places if not place.stopped]
 
     async def publish(self, author: str = "operator", **kinds: dict[str, Any]) -> int:
-        """Append an edit, based on the log's own fold at the first node.
+        """Append an edit based on the section versions that the first node applied.
 
         Args:
-            author: Who publishes.
-            **kinds: Section kind to name to value.
+            author: Name of the operator who publishes.
+            **kinds: New section values by kind and name.
 
         Returns:
-            The record's offset.
+            Offset of the record.
         """
         known = self.nodes[0].configuration.document.sections if self.nodes else {}
         edits = []
@@ -108,14 +108,14 @@
         instance: str = "",
         **settings: Any,
     ) -> Place:
-        """Start a node, and a backend server beside it if a service is named."""
-        self._started += 1
-        instance = instance or f"{zone}-{service or 'node'}-{self._started}"
+        """Start a node, and a backend server beside it if ``service`` is given."""
+        self._started_nodes += 1
+        instance = instance or f"{zone}-{service or 'node'}-{self._started_nodes}"
         fields = {
             "instance": instance,
             "zone": zone,
             "platform": self.log.address,
-            "fleet_secret": SECRET,
+            "fleet_secret": FLEET_SECRET,
         }
         network = PartitionableNetwork()
         fields |= self._settings | settings
@@ -124,16 +124,16 @@
         backend = None
         if service:
             backend = BackendStandIn(
-                service, node.listeners["backend"], behaviour, seed=self._started
+                service, node.listeners["backend"], behaviour, seed=self._started_nodes
             )
-            self._run(backend.run())
+            self._start_task(backend.run())
             await backend.wait_started()
         place = Place(node, network, backend)
         self.places.append(place)
         return place
 
     async def stop(self, place: Place) -> None:
-        """Stop a place as planned: the backend server goes when its node has gone."""
+        """Drain and stop an instance gracefully, the node before its backend server."""
         place.stopped = True
         if place.backend is not None:
             await place.backend.drain()
@@ -142,7 +142,7 @@
             place.backend.stop()
 
     async def kill(self, place: Place) -> None:
-        """Lose a place without a word."""
+        """Kill an instance without draining it."""
         place.stopped = True
         if place.backend is not None:
             place.backend.kill()
@@ -157,11 +157,11 @@
                 place.network.cut({self.log.address})
             if from_zones:
                 for other in outside:
-                    place.network.cut(other.addresses)
-                    other.network.cut(place.addresses)
+                    place.network.cut(other.internal_addresses)
+                    other.network.cut(place.internal_addresses)
 
     def heal(self) -> None:
-        """Bring every link back."""
+        """Restore all network connectivity."""
         for place in self.places:
             place.network.heal()
 
@@ -170,25 +170,36 @@
     ) -> None:
         """Wait until a condition holds.
 
+        Args:
+            condition: Polled until it returns True.
+            timeout: Maximum wait in seconds.
+            what: Description of the condition for the error message.
+
         Raises:
-            TimeoutError: It did not.
+            TimeoutError: The condition did not hold in time.
         """
         try:
             async with asyncio.timeout(timeout):
                 while not condition():
-                    await asyncio.sleep(POLL_SECONDS)
+                    await asyncio.sleep(POLL_INTERVAL_SECONDS)
         except TimeoutError:
-            raise TimeoutError(f"waited {timeout} s for {what or condition}") from None
+            raise TimeoutError(
+                f"timed out after {timeout} s waiting for {what or condition}"
+            ) from None
 
     async def wait_ready(self) -> None:
-        """Wait until all know all, backend servers serve, and rates have holders."""
-        await self.wait(self._is_ready, what="a fleet that is ready")
+        """Wait until the fleet is ready.
+
+        Nodes know each other, backend servers serve, and each rate has a lease holder
+        in every zone that has a share.
+        """
+        await self.wait(self._is_ready, what="the fleet to be ready")
 
     async def wait_offset(self, next_offset: int) -> None:
-        """Wait until every node has folded everything before an offset."""
+        """Wait until every node has applied all records before an offset."""
         await self.wait(
             lambda: all(n.configuration.next_offset >= next_offset for n in self.nodes),
-            what=f"offset {next_offset} everywhere",
+            what=f"all nodes to reach offset {next_offset}",
         )
 
     def _is_ready(self) -> bool:
@@ -204,10 +215,10 @@
             known = [node.members.get(name) for node in nodes]
             if not all(member and member.serving for member in known):
                 return False
-        return self._has_holders()
+        return self._has_rate_lease_holders()
 
-    def _has_holders(self) -> bool:
-        """Whether every zone with a share has a holder for every rate's partition."""
+    def _has_rate_lease_holders(self) -> bool:
+        """Return whether each zone with a share has a lease holder for every rate."""
         nodes = self.nodes
         document = nodes[0].configuration.document
         for zone in {node.settings.zone for node in nodes}:
@@ -219,5 +230,5 @@
                     return False
         return True
 
-    def _run(self, work: Awaitable[None]) -> None:
-        self._tasks.append(asyncio.ensure_future(work))
+    def _start_task(self, awaitable: Awaitable[None]) -> None:
+        self._tasks.append(asyncio.ensure_future(awaitable))
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -1,4 +1,4 @@
-"""Stand-in for what lies between two ends, and may forget their connections."""
+"""Stand-in for a NAT or firewall that may lose track of open connections."""
 
 import asyncio
 
@@ -6,15 +6,18 @@
 
 
 class Link:
-    """Forwards TCP to a target, until told to lose track of open connections.
+    """Forwards TCP connections to a target and can blackhole the open ones.
 
     Args:
-        target: ``IP:PORT``.
+        target: ``IP:PORT`` to forward to.
+
+    Attributes:
+        address: ``IP:PORT`` that it listens on, empty before the start.
     """
 
     def __init__(self, target: str):
         self._host, self._port = parse_address(target)
-        self._frozen: set[asyncio.Event] = set()
+        self._blackholed: set[asyncio.Event] = set()
         self._open: set[asyncio.Event] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
@@ -22,16 +25,16 @@
 
     @property
     def connections(self) -> int:
-        """Connections that are open and forwarded."""
+        """Number of open connections that are forwarded."""
         return len(self._open)
 
     async def start(self) -> None:
-        """Listen on loopback."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = join_address(*self._server.sockets[0].getsockname()[:2])
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close the listener and all connections."""
         assert self._server is not None
         self._server.close()
         for task in list(self._tasks):
@@ -39,10 +42,13 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def forget_connections(self) -> int:
-        """Drop what is sent on the open connections from now on, without a sign."""
+        """Drop all further data on open connections and return how many there are.
+
+        They stay open, so that neither end gets an error.
+        """
         count = len(self._open)
-        for frozen in self._open:
-            frozen.set()
+        for blackholed in self._open:
+            blackholed.set()
         self._open.clear()
         return count
 
@@ -53,35 +59,37 @@
         assert task is not None
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        frozen = asyncio.Event()
-        self._open.add(frozen)
+        blackholed = asyncio.Event()
+        self._open.add(blackholed)
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            upstream_reader, upstream_writer = await asyncio.open_connection(
                 self._host, self._port
             )
             try:
                 async with asyncio.TaskGroup() as group:
-                    group.create_task(_pump(reader, far_writer, frozen))
-                    group.create_task(_pump(far_reader, writer, frozen))
+                    group.create_task(_forward(reader, upstream_writer, blackholed))
+                    group.create_task(_forward(upstream_reader, writer, blackholed))
             finally:
-                far_writer.transport.abort()
+                upstream_writer.transport.abort()
         except OSError:
             return
         except asyncio.CancelledError:
-            # The link stops; asyncio would log a cancelled connection as an error.
+            # From stop(); asyncio would log a cancelled connection as an error.
             return
         finally:
-            self._open.discard(frozen)
+            self._open.discard(blackholed)
             writer.transport.abort()
 
 
-async def _pump(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, frozen: asyncio.Event
+async def _forward(
+    reader: asyncio.StreamReader,
+    writer: asyncio.StreamWriter,
+    blackholed: asyncio.Event,
 ) -> None:
     while True:
         data = await reader.read(65536)
-        if frozen.is_set():
-            # Swallowed; the sender's kernel had its acknowledgement from this end.
+        if blackholed.is_set():
+            # Discarded; this end's kernel has acknowledged the data to the sender.
             if not data:
                 return
             continue
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What several tests need: the program's result, a document, a fleet's settings."""
+"""Helpers of several tests: command line runs, a document and fast fleet settings."""
 
 import io
 from typing import Any
@@ -16,8 +16,8 @@
 }
 
 
-class Result:
-    """What a run of the program left."""
+class ProgramResult:
+    """Exit status and output of a run of the command line."""
 
     def __init__(self, status: ExitStatus, stdout: str, stderr: str):
         self.status = status
@@ -25,15 +25,17 @@
         self.stderr = stderr
 
 
-def run_program(*arguments: str) -> Result:
-    """Run the command line in this process."""
+def run_program(*arguments: str) -> ProgramResult:
+    """Run the command line in this process and return its result."""
     environment = Environment(io.StringIO(), io.StringIO())
     status = main(list(arguments), environment)
-    return Result(status, environment.stdout.getvalue(), environment.stderr.getvalue())
+    return ProgramResult(
+        status, environment.stdout.getvalue(), environment.stderr.getvalue()
+    )
 
 
 def build_workspace(name: str, key: str, batch: str = "first") -> dict[str, Any]:
-    """Return a workspace of one key."""
+    """Return a workspace's value in the document, with one key."""
     return {"keys": [{"id": f"{name}-key", "digest": digest_key(key), "batch": batch}]}
 
 
@@ -43,7 +45,7 @@
     burst: float = 1000.0,
     services: tuple[str, ...] = ("archive",),
 ) -> dict[str, Any]:
-    """Return the kinds of a small document."""
+    """Return the sections of a small document, by kind and name."""
     return {
         "zones": {zone: {"share": 1 / len(zones)} for zone in zones},
         "workspaces": {"north": build_workspace("north", KEY)},
