--- a/primroseglade/fleet/configuration.py
+++ b/primroseglade/fleet/configuration.py
@@ -22,7 +22,7 @@
     LogRecord,
 )
 
-RECORDS_KEPT = 512
+MAX_RECENT_RECORDS = 512
 
 OnOutcome = Callable[[Outcome], None]
 
@@ -41,9 +41,11 @@
         self._fold = Fold(secret)
         self._journal = journal
         self._metrics = metrics
-        self._recent: collections.OrderedDict[int, bytes] = collections.OrderedDict()
-        self._known_at = -float("inf")
-        self._started = False
+        self._recent_records: collections.OrderedDict[int, bytes] = (
+            collections.OrderedDict()
+        )
+        self._confirmed_at = -float("inf")
+        self._initialized = False
         self._changed = asyncio.Condition()
         self._watchers: list[OnOutcome] = []
 
@@ -65,12 +67,12 @@
     @property
     def ready(self) -> bool:
         """Whether a state is known at all; until then every call is refused."""
-        return self._started
+        return self._initialized
 
     @property
     def age(self) -> float:
         """Seconds since the end of the log was last known, here or at a peer."""
-        return time.monotonic() - self._known_at
+        return time.monotonic() - self._confirmed_at
 
     def watch(self, watcher: OnOutcome) -> None:
         """Call ``watcher`` with the outcome of every record."""
@@ -85,32 +87,32 @@
             if record.offset < self.next_offset:
                 continue
             outcome = self._fold.apply(record.offset, record.value)
-            self._keep(record)
-            self._tell(outcome)
+            self._store_record(record)
+            self._report_outcome(outcome)
         if records:
-            self._started = True
-            self._note_offset()
+            self._initialized = True
+            self._notify_offset_change()
 
     def load(self, parts: list[SnapshotPart]) -> bool:
         """Start from a snapshot; False where the fold is as far already."""
         if not self._fold.load(parts):
             return False
-        self._recent.clear()
-        self._started = True
+        self._recent_records.clear()
+        self._initialized = True
         self._journal.emit(SNAPSHOT_LOADED, next_offset=self.next_offset)
         outcome = Outcome(self.next_offset - 1, "", True, "snapshot")
         for watcher in self._watchers:
             watcher(outcome)
-        self._note_offset()
+        self._notify_offset_change()
         return True
 
-    def confirm_age(self, age: float) -> None:
+    def update_age(self, age: float) -> None:
         """Note that the end of the log was known ``age`` seconds ago."""
-        self._known_at = max(self._known_at, time.monotonic() - age)
+        self._confirmed_at = max(self._confirmed_at, time.monotonic() - age)
 
-    def confirm_empty(self) -> None:
+    def mark_initialized(self) -> None:
         """Note that the stream holds nothing yet: that, too, is a state."""
-        self._started = True
+        self._initialized = True
 
     async def wait_offset(self, next_offset: int) -> None:
         """Wait until everything before ``next_offset`` is folded in."""
@@ -121,10 +123,10 @@
         """Return kept records from an offset on, or None where they are gone."""
         if from_offset >= self.next_offset:
             return []
-        if from_offset not in self._recent:
+        if from_offset not in self._recent_records:
             return None
         return [
-            LogRecord(offset, json.loads(self._recent[offset]))
+            LogRecord(offset, json.loads(self._recent_records[offset]))
             for offset in range(from_offset, self.next_offset)
         ]
 
@@ -132,7 +134,7 @@
         """Return the signed parts of a snapshot of the present state."""
         return [part.to_value(self._secret) for part in self._fold.build_snapshot()]
 
-    def read_snapshot(self, values: list[Any]) -> list[SnapshotPart]:
+    def parse_snapshot(self, values: list[Any]) -> list[SnapshotPart]:
         """Check the parts of a snapshot.
 
         Raises:
@@ -146,14 +148,14 @@
             raise InputError("snapshot", "", "is not whole")
         return sorted(parts, key=lambda part: part.part)
 
-    def _keep(self, record: LogRecord) -> None:
-        self._recent[record.offset] = json.dumps(record.value).encode()
-        while len(self._recent) > RECORDS_KEPT:
-            self._recent.popitem(last=False)
+    def _store_record(self, record: LogRecord) -> None:
+        self._recent_records[record.offset] = json.dumps(record.value).encode()
+        while len(self._recent_records) > MAX_RECENT_RECORDS:
+            self._recent_records.popitem(last=False)
 
-    def _tell(self, outcome: Outcome) -> None:
-        verdict = "accepted" if outcome.accepted else "refused"
-        self._metrics.edits.labels(verdict).inc()
+    def _report_outcome(self, outcome: Outcome) -> None:
+        outcome_label = "accepted" if outcome.accepted else "refused"
+        self._metrics.edits.labels(outcome_label).inc()
         if outcome.reason != "snapshot":
             event = EDIT_ACCEPTED if outcome.accepted else EDIT_REFUSED
             fields = {"reason": outcome.reason} if outcome.reason else {}
@@ -167,11 +169,11 @@
         for watcher in self._watchers:
             watcher(outcome)
 
-    def _note_offset(self) -> None:
+    def _notify_offset_change(self) -> None:
         self._metrics.next_offset.set(self.next_offset)
-        task = asyncio.get_running_loop().create_task(self._notify())
-        self._notifying = task
+        task = asyncio.get_running_loop().create_task(self._wake_waiters())
+        self._notify_task = task
 
-    async def _notify(self) -> None:
+    async def _wake_waiters(self) -> None:
         async with self._changed:
             self._changed.notify_all()
--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -15,10 +15,10 @@
 FANOUT = 8
 # Of its time a node keeps this share, so that its own answer is in time although
 # one below it is not.
-TIMEOUT_SHARE = 0.8
+CHILD_TIMEOUT_RATIO = 0.8
 
 
-class Status:
+class ConfirmationStatus:
     """Who is how far.
 
     Args:
@@ -63,7 +63,7 @@
         """Answer for this node and those below it."""
         server.register("Confirm", self._answer)
 
-    async def ask(self, timeout: float) -> Status:
+    async def ask(self, timeout: float) -> ConfirmationStatus:
         """Ask every member that has not left.
 
         Args:
@@ -77,41 +77,47 @@
         }
         # Dead members are listed as silent without being asked for long: an instance
         # that is cut off is dead to this one, and may well be serving.
-        reply = await self._ask_groups(sorted(others), timeout)
+        reply = await self._collect_groups(sorted(others), timeout)
         offsets = {item.instance: item.next_offset for item in reply.confirmations}
         offsets[own] = self._configuration.next_offset
         silent = {others[control] for control in reply.silent if control in others}
-        return Status(offsets, sorted(silent))
+        return ConfirmationStatus(offsets, sorted(silent))
 
     async def _answer(self, request: pb.ConfirmRequest, _: str) -> pb.ConfirmReply:
-        timeout = request.timeout_ms / 1000 * TIMEOUT_SHARE
-        reply = await self._ask_groups(list(request.controls), timeout)
+        timeout = request.timeout_ms / 1000 * CHILD_TIMEOUT_RATIO
+        reply = await self._collect_groups(list(request.controls), timeout)
         reply.confirmations.add(
             instance=self._members.own.instance,
             next_offset=self._configuration.next_offset,
         )
         return reply
 
-    async def _ask_groups(self, controls: list[str], timeout: float) -> pb.ConfirmReply:
+    async def _collect_groups(
+        self, controls: list[str], timeout: float
+    ) -> pb.ConfirmReply:
         groups = [controls[start::FANOUT] for start in range(FANOUT)]
-        asked = [self._ask_group(group, timeout) for group in groups if group]
-        whole = pb.ConfirmReply()
-        for reply in await asyncio.gather(*asked):
-            whole.MergeFrom(reply)
-        return whole
+        requests = [self._collect_group(group, timeout) for group in groups if group]
+        merged = pb.ConfirmReply()
+        for reply in await asyncio.gather(*requests):
+            merged.MergeFrom(reply)
+        return merged
 
-    async def _ask_group(self, group: list[str], timeout: float) -> pb.ConfirmReply:
+    async def _collect_group(self, group: list[str], timeout: float) -> pb.ConfirmReply:
         """Ask the group's first node for all; where it is silent, the next one."""
         clock = asyncio.get_running_loop().time
-        ends_at = clock() + timeout
+        deadline = clock() + timeout
         silent: list[str] = []
-        while group and clock() < ends_at:
+        while group and clock() < deadline:
             first, *rest = group
             # Half of what is left: a silent node must leave time for the next.
-            bound = (ends_at - clock()) / (2 if rest else 1)
-            request = pb.ConfirmRequest(controls=rest, timeout_ms=int(bound * 1000))
+            timeout_of_first = (deadline - clock()) / (2 if rest else 1)
+            request = pb.ConfirmRequest(
+                controls=rest, timeout_ms=int(timeout_of_first * 1000)
+            )
             try:
-                reply = await self._client.call(first, "Confirm", request, bound)
+                reply = await self._client.call(
+                    first, "Confirm", request, timeout_of_first
+                )
             except PeerError:
                 silent.append(first)
                 group = rest
--- a/primroseglade/fleet/control.py
+++ b/primroseglade/fleet/control.py
@@ -17,8 +17,8 @@
 from .seal import Sealer, SealError
 
 SERVICE = "primroseglade.control.Control"
-MESSAGE_BYTES = 8 << 20
-CHANNELS_KEPT = 48
+MAX_MESSAGE_BYTES = 8 << 20
+MAX_CHANNELS = 48
 
 # A path between two nodes may go silent while its connection stays open. The
 # keep-alive finds it within about three seconds, and the channel dials anew.
@@ -30,13 +30,13 @@
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
-    ("grpc.max_receive_message_length", MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.enable_http_proxy", 0),
     ("grpc.use_local_subchannel_pool", 1),
 ]
 SERVER_OPTIONS = [
     ("grpc.so_reuseport", 0),
-    ("grpc.max_receive_message_length", MESSAGE_BYTES),
+    ("grpc.max_receive_message_length", MAX_MESSAGE_BYTES),
     ("grpc.http2.min_ping_interval_without_data_ms", 1000),
     ("grpc.http2.max_ping_strikes", 0),
 ]
@@ -98,7 +98,9 @@
     async def run(self) -> None:
         """Serve until cancelled."""
         calls = {
-            method: grpc.unary_unary_rpc_method_handler(self._build(method, handler))
+            method: grpc.unary_unary_rpc_method_handler(
+                self._build_method(method, handler)
+            )
             for method, handler in self._handlers.items()
         }
         generic = grpc.method_handlers_generic_handler(SERVICE, calls)
@@ -109,7 +111,7 @@
         finally:
             await self._server.stop(0)
 
-    def _build(self, method: str, handler: Handler) -> Any:
+    def _build_method(self, method: str, handler: Handler) -> Any:
         request_type, _ = METHODS[method]
 
         async def answer(raw: bytes, context: grpc.aio.ServicerContext) -> bytes:
@@ -154,7 +156,7 @@
         self._channels: collections.OrderedDict[str, grpc.aio.Channel] = (
             collections.OrderedDict()
         )
-        self._closing: set[asyncio.Task[None]] = set()
+        self._closing_tasks: set[asyncio.Task[None]] = set()
 
     async def call(
         self,
@@ -199,7 +201,7 @@
         self._channels.clear()
         for channel in channels:
             await channel.close()
-        await asyncio.gather(*self._closing, return_exceptions=True)
+        await asyncio.gather(*self._closing_tasks, return_exceptions=True)
 
     def _get_channel(self, address: str) -> grpc.aio.Channel:
         channel = self._channels.get(address)
@@ -207,9 +209,9 @@
             channel = grpc.aio.insecure_channel(address, options=CHANNEL_OPTIONS)
             self._channels[address] = channel
         self._channels.move_to_end(address)
-        while len(self._channels) > CHANNELS_KEPT:
+        while len(self._channels) > MAX_CHANNELS:
             _, oldest = self._channels.popitem(last=False)
             task = asyncio.create_task(oldest.close(grace=1.0))
-            self._closing.add(task)
-            task.add_done_callback(self._closing.discard)
+            self._closing_tasks.add(task)
+            task.add_done_callback(self._closing_tasks.discard)
         return channel
--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -18,24 +18,24 @@
 from ..supervisor import Supervisor
 from .control import ControlClient, ControlServer, PeerError
 from .hashing import rank
-from .members import Member, Members, read_member, State
+from .members import Member, Members, parse_member, State
 
 # Neighbours: the ring makes sure that every member of a zone is watched by some;
 # the random ones make news cross a large fleet in a few hops; the ones in other
 # zones carry it out.
-RING_NEIGHBOURS = 2
-RANDOM_NEIGHBOURS = 2
-OTHER_ZONE_NEIGHBOURS = 2
-UPDATES_A_MESSAGE = 40
+RING_NEIGHBORS = 2
+RANDOM_NEIGHBORS = 2
+CROSS_ZONE_NEIGHBORS = 2
+MAX_UPDATES_PER_MESSAGE = 40
 EXCHANGE_TIMEOUT_SECONDS = 1.0
 PROBE_TIMEOUT_SECONDS = 2.0
 # Others asked to reach a member before it is suspected: one bad link is no death.
 INDIRECT_PROBES = 2
 # News is held this long, so that one message carries what arrives together.
-GATHER_SECONDS = 0.01
-COMPARE_EVERY = 10
+BATCH_DELAY_SECONDS = 0.01
+COMPARE_INTERVAL_ROUNDS = 10
 # Told for a configuration that has never been known to be fresh.
-OLDEST_SECONDS = 1e6
+MAX_SENT_AGE_SECONDS = 1e6
 
 OnOffset = Callable[[int, float, str], None]
 
@@ -60,8 +60,8 @@
         client: ControlClient,
         journal: Journal,
         metrics: Metrics,
-        period: float,
-        suspicion: float,
+        period_seconds: float,
+        suspicion_seconds: float,
         get_offset: Callable[[], tuple[int, float]],
         on_offset: OnOffset,
     ):
@@ -69,15 +69,15 @@
         self._client = client
         self._journal = journal
         self._metrics = metrics
-        self._period = period
-        self._suspicion = suspicion
+        self._period_seconds = period_seconds
+        self._suspicion_seconds = suspicion_seconds
         self._get_offset = get_offset
         self._on_offset = on_offset
         self._supervisor = Supervisor("gossip", journal)
         self._wakeups: dict[str, asyncio.Event] = {}
-        self._pick_again = asyncio.Event()
-        self._pick_again.set()
-        members.watch(self._tell)
+        self._neighbors_outdated = asyncio.Event()
+        self._neighbors_outdated.set()
+        members.watch(self._on_member_change)
 
     def register(self, server: ControlServer) -> None:
         """Answer the messages that gossip needs."""
@@ -88,21 +88,23 @@
         """Keep one task for each neighbour; choose anew when the table changes."""
         try:
             while True:
-                if self._pick_again.is_set():
+                if self._neighbors_outdated.is_set():
                     # Not each time: ranking a large fleet takes tens of milliseconds.
-                    self._pick_again.clear()
-                    await self._match_neighbours()
-                self._members.expire(self._suspicion)
-                self._count()
+                    self._neighbors_outdated.clear()
+                    await self._update_neighbor_tasks()
+                self._members.expire(self._suspicion_seconds)
+                self._update_metrics()
                 try:
-                    await asyncio.wait_for(self._pick_again.wait(), self._period)
-                    await asyncio.sleep(GATHER_SECONDS)
+                    await asyncio.wait_for(
+                        self._neighbors_outdated.wait(), self._period_seconds
+                    )
+                    await asyncio.sleep(BATCH_DELAY_SECONDS)
                 except TimeoutError:
                     pass
         finally:
             await self._supervisor.close()
 
-    async def introduce(self, addresses: list[str], most: int = 3) -> int:
+    async def introduce(self, addresses: list[str], max_answers: int = 3) -> int:
         """Ask nodes at these addresses for their tables.
 
         Returns:
@@ -117,7 +119,7 @@
                 answered += 1
             except PeerError:
                 continue
-            if answered >= most:
+            if answered >= max_answers:
                 break
         return answered
 
@@ -131,28 +133,28 @@
         self._members.change_own(**changes)
         exchanges = [
             self._exchange(member.control, receiver=member.instance)
-            for member in self._choose_neighbours()
+            for member in self._choose_neighbors()
         ]
         await asyncio.gather(*exchanges, return_exceptions=True)
 
-    def _choose_neighbours(self) -> list[Member]:
+    def _choose_neighbors(self) -> list[Member]:
         own = self._members.own
         reachable = {
             member.instance: member
             for member in self._members.get_reachable()
             if member.instance != own.instance
         }
-        local = sorted(name for name, m in reachable.items() if m.zone == own.zone)
-        others = [name for name, m in reachable.items() if m.zone != own.zone]
-        after = [name for name in local if name > own.instance]
-        ring = (after + local)[:RING_NEIGHBOURS]
+        same_zone = sorted(name for name, m in reachable.items() if m.zone == own.zone)
+        cross_zone = [name for name, m in reachable.items() if m.zone != own.zone]
+        after = [name for name in same_zone if name > own.instance]
+        ring = (after + same_zone)[:RING_NEIGHBORS]
         chosen = set(ring)
-        chosen.update(rank(own.instance, local, RANDOM_NEIGHBOURS))
-        chosen.update(rank(own.instance, others, OTHER_ZONE_NEIGHBOURS))
+        chosen.update(rank(own.instance, same_zone, RANDOM_NEIGHBORS))
+        chosen.update(rank(own.instance, cross_zone, CROSS_ZONE_NEIGHBORS))
         return [reachable[name] for name in sorted(chosen)]
 
-    async def _match_neighbours(self) -> None:
-        wanted = {member.instance: member for member in self._choose_neighbours()}
+    async def _update_neighbor_tasks(self) -> None:
+        wanted = {member.instance: member for member in self._choose_neighbors()}
         for name in self._supervisor.children:
             if name not in wanted:
                 self._wakeups.pop(name, None)
@@ -160,46 +162,48 @@
         for name in wanted:
             if name not in self._supervisor.children:
                 self._wakeups[name] = asyncio.Event()
-                self._supervisor.start(name, self._build_neighbour(name))
+                self._supervisor.start(name, self._build_exchange_loop(name))
 
-    def _build_neighbour(self, name: str) -> Callable[[], Awaitable[None]]:
+    def _build_exchange_loop(self, name: str) -> Callable[[], Awaitable[None]]:
         async def keep_exchanging() -> None:
             wakeup = self._wakeups[name]
-            rounds = random.randrange(COMPARE_EVERY)
+            rounds = random.randrange(COMPARE_INTERVAL_ROUNDS)
             while True:
                 member = self._members.get(name)
                 if member is None or not member.reachable:
                     return
                 rounds += 1
-                await self._try_neighbour(member, rounds % COMPARE_EVERY == 0)
-                pause = self._period * random.uniform(0.8, 1.2)
+                await self._exchange_or_suspect(
+                    member, rounds % COMPARE_INTERVAL_ROUNDS == 0
+                )
+                pause = self._period_seconds * random.uniform(0.8, 1.2)
                 try:
                     await asyncio.wait_for(wakeup.wait(), pause)
-                    await asyncio.sleep(GATHER_SECONDS)
+                    await asyncio.sleep(BATCH_DELAY_SECONDS)
                 except TimeoutError:
                     pass
                 wakeup.clear()
 
         return keep_exchanging
 
-    async def _try_neighbour(self, member: Member, compare: bool) -> None:
+    async def _exchange_or_suspect(self, member: Member, compare: bool) -> None:
         try:
             await self._exchange(member.control, compare, member.instance)
         except PeerError:
-            if not await self._probe_through_others(member):
+            if not await self._probe_indirectly(member):
                 self._members.suspect(member.instance)
                 self.spread()
 
     async def _exchange(
         self, address: str, compare: bool = False, receiver: str = ""
     ) -> None:
-        next_offset, age = self._read_offset()
+        next_offset, age = self._get_sent_offset()
         request = pb.ExchangeRequest(
             sender=self._members.own.to_proto(),
             updates=self._take_updates(),
             next_offset=next_offset,
             configuration_age_ms=int(age * 1000),
-            buckets=self._members.hash_buckets() if compare else [],
+            buckets=self._members.get_bucket_hashes() if compare else [],
         )
         sent_at = time.monotonic()
         reply = await self._client.call(
@@ -217,11 +221,11 @@
         age = request.configuration_age_ms / 1000
         self._on_offset(request.next_offset, age, request.sender.control)
         if request.buckets:
-            differing = self._members.find_differing(request.buckets)
+            differing = self._members.find_differing_members(request.buckets)
             updates = [self._members.to_proto(member) for member in differing]
         else:
             updates = self._take_updates()
-        next_offset, age = self._read_offset()
+        next_offset, age = self._get_sent_offset()
         return pb.ExchangeReply(
             sender=self._members.own.to_proto(),
             updates=updates,
@@ -236,7 +240,7 @@
             return pb.ProbeReply(answered=False)
         return pb.ProbeReply(answered=True)
 
-    async def _probe_through_others(self, member: Member) -> bool:
+    async def _probe_indirectly(self, member: Member) -> bool:
         """Ask others to reach a member; a link may be bad while the member is well."""
         others = [
             other
@@ -258,26 +262,26 @@
             not isinstance(reply, BaseException) and reply.answered for reply in replies
         )
 
-    def _read_offset(self) -> tuple[int, float]:
+    def _get_sent_offset(self) -> tuple[int, float]:
         """Return the configuration's next offset, and its age as it can be told."""
         next_offset, age = self._get_offset()
-        return next_offset, min(age, OLDEST_SECONDS)
+        return next_offset, min(age, MAX_SENT_AGE_SECONDS)
 
     def _take_updates(self) -> list[pb.Member]:
-        updates = self._members.take_updates(UPDATES_A_MESSAGE)
+        updates = self._members.take_updates(MAX_UPDATES_PER_MESSAGE)
         return [self._members.to_proto(member) for member in updates]
 
     def _merge(self, messages: list[pb.Member]) -> None:
-        news = [
-            self._members.merge(read_member(message), message.state_age_ms / 1000)
+        changed = [
+            self._members.merge(parse_member(message), message.state_age_ms / 1000)
             for message in messages
         ]
-        if any(news):
+        if any(changed):
             self.spread()
 
-    def _tell(self, member: Member, previous: Member | None) -> None:
+    def _on_member_change(self, member: Member, previous: Member | None) -> None:
         if previous is None or previous.reachable != member.reachable:
-            self._pick_again.set()
+            self._neighbors_outdated.set()
         if member.instance == self._members.own.instance:
             if previous is not None and previous.sequence + 1 < member.sequence:
                 self._journal.emit(MEMBER_REFUTED)
@@ -295,6 +299,6 @@
         if event is not None:
             self._journal.emit(event, member=member.instance, of_zone=member.zone)
 
-    def _count(self) -> None:
-        for state, count in self._members.count_states().items():
+    def _update_metrics(self) -> None:
+        for state, count in self._members.count_by_state().items():
             self._metrics.members.labels(state.name.lower()).set(count)
--- a/primroseglade/fleet/hashing.py
+++ b/primroseglade/fleet/hashing.py
@@ -5,7 +5,7 @@
 
 from .members import Members
 
-RANKINGS_KEPT = 4096
+MAX_CACHED_RANKINGS = 4096
 
 
 def score(key: str, name: str) -> int:
@@ -28,25 +28,25 @@
         self._members = members
         self._ranked: dict[tuple[str, str], tuple[int, list[str]]] = {}
 
-    def get(self, zone: str, key: str, most: int) -> list[str]:
+    def get(self, zone: str, key: str, limit: int) -> list[str]:
         """Return the first ``most`` reachable instances of a zone for a key."""
         version = self._members.get_zone_version(zone)
-        known = self._ranked.get((zone, key))
-        if known is not None and known[0] == version:
-            return known[1]
+        cached = self._ranked.get((zone, key))
+        if cached is not None and cached[0] == version:
+            return cached[1]
         names = [member.instance for member in self._members.get_reachable(zone)]
-        ranked = rank(f"{key}/{zone}", names, most)
-        if len(self._ranked) >= RANKINGS_KEPT:
+        ranked = rank(f"{key}/{zone}", names, limit)
+        if len(self._ranked) >= MAX_CACHED_RANKINGS:
             self._ranked.clear()
         self._ranked[zone, key] = (version, ranked)
         return ranked
 
 
-def rank(key: str, names: Iterable[str], most: int | None = None) -> list[str]:
+def rank(key: str, names: Iterable[str], limit: int | None = None) -> list[str]:
     """Return names by falling weight for the key.
 
     >>> rank("k", ["a", "b", "c"]) == rank("k", ["c", "a", "b"])
     True
     """
     ordered = sorted(names, key=lambda name: score(key, name), reverse=True)
-    return ordered[:most]
+    return ordered[:limit]
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -25,13 +25,13 @@
 from .hashing import ZoneRanking
 from .members import Members
 
-POLL_SECONDS = 5.0
-FIRST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 2.0
-OTHERS_RETRY_SECONDS = (15.0, 45.0)
+LONG_POLL_SECONDS = 5.0
+INITIAL_RETRY_SECONDS = 0.1
+MAX_RETRY_SECONDS = 2.0
+NON_READER_RETRY_SECONDS = (15.0, 45.0)
 # A node that does not follow the log itself looks at it when no neighbour has known
 # its end for this long: the readers of its zone may all be gone.
-LOOK_AFTER_SECONDS = 6.0
+FALLBACK_READ_AGE_SECONDS = 6.0
 
 
 class LogReader:
@@ -50,32 +50,32 @@
         configuration: Configuration,
         log: LogClient,
         members: Members,
-        readers: int,
+        reader_count: int,
         journal: Journal,
     ):
         self._configuration = configuration
         self._log = log
         self._members = members
         self._ranking = ZoneRanking(members)
-        self._readers = readers
+        self._reader_count = reader_count
         self._journal = journal
-        self._lost = False
+        self._log_unavailable = False
 
     async def run(self) -> None:
         """Read whenever it is this node's turn, or nobody's it seems."""
-        delay = FIRST_RETRY_SECONDS
+        delay = INITIAL_RETRY_SECONDS
         while True:
-            if not self._is_due():
+            if not self._should_read():
                 await asyncio.sleep(random.uniform(0.5, 1.0))
                 continue
             try:
                 await self._read_once()
-                delay = FIRST_RETRY_SECONDS
-                self._note_back()
+                delay = INITIAL_RETRY_SECONDS
+                self._record_available()
             except LogUnavailableError as error:
-                self._note_lost(error)
+                self._record_unavailable(error)
                 await asyncio.sleep(self._choose_pause(delay))
-                delay = min(LONGEST_RETRY_SECONDS, delay * 2)
+                delay = min(MAX_RETRY_SECONDS, delay * 2)
 
     def _choose_pause(self, delay: float) -> float:
         """Return seconds to wait after the log did not answer.
@@ -86,12 +86,12 @@
         """
         if self.is_reader() or not self._configuration.ready:
             return random.uniform(delay / 2, delay)
-        return random.uniform(*OTHERS_RETRY_SECONDS)
+        return random.uniform(*NON_READER_RETRY_SECONDS)
 
     def is_reader(self) -> bool:
         """Whether this node is one of its zone's readers, as it sees the zone."""
         own = self._members.own
-        readers = self._ranking.get(own.zone, "log-reader", self._readers)
+        readers = self._ranking.get(own.zone, "log-reader", self._reader_count)
         return own.instance in readers
 
     async def start(self) -> None:
@@ -102,24 +102,24 @@
         """
         first, end = await self._log.get_range(CONFIGURATION)
         if end == 0:
-            self._configuration.confirm_empty()
+            self._configuration.mark_initialized()
         elif first > self._configuration.next_offset:
             await self._start_from_snapshot(first, end)
         else:
             await self._read_up_to(end)
-        self._configuration.confirm_age(0.0)
+        self._configuration.update_age(0.0)
 
-    def _is_due(self) -> bool:
-        return self.is_reader() or self._configuration.age > LOOK_AFTER_SECONDS
+    def _should_read(self) -> bool:
+        return self.is_reader() or self._configuration.age > FALLBACK_READ_AGE_SECONDS
 
     async def _read_once(self) -> None:
         if not self._configuration.ready:
             await self.start()
             return
         offset = self._configuration.next_offset
-        asked_at = time.monotonic()
+        requested_at = time.monotonic()
         try:
-            records = await self._log.read(CONFIGURATION, offset, POLL_SECONDS)
+            records = await self._log.read(CONFIGURATION, offset, LONG_POLL_SECONDS)
         except OffsetGoneError:
             first, end = await self._log.get_range(CONFIGURATION)
             if end < offset:
@@ -130,8 +130,8 @@
             return
         self._configuration.apply(records)
         # A long poll that came back empty knew the end until it came back.
-        age = time.monotonic() - asked_at if records else 0.0
-        self._configuration.confirm_age(age)
+        age = time.monotonic() - requested_at if records else 0.0
+        self._configuration.update_age(age)
 
     async def _read_up_to(self, end: int) -> None:
         while self._configuration.next_offset < end:
@@ -170,21 +170,23 @@
         best: list[SnapshotPart] | None = None
         for values in groups.values():
             try:
-                parts = self._configuration.read_snapshot(values)
+                parts = self._configuration.parse_snapshot(values)
             except InputError as error:
                 self._journal.emit(SNAPSHOT_REFUSED, reason=str(error))
                 continue
-            reaches = parts[0].next_offset >= first
-            if reaches and (best is None or parts[0].next_offset > best[0].next_offset):
+            reaches_log = parts[0].next_offset >= first
+            if reaches_log and (
+                best is None or parts[0].next_offset > best[0].next_offset
+            ):
                 best = parts
         return best
 
-    def _note_lost(self, error: Exception) -> None:
-        if not self._lost:
+    def _record_unavailable(self, error: Exception) -> None:
+        if not self._log_unavailable:
             self._journal.emit(LOG_LOST, error=str(error))
-        self._lost = True
+        self._log_unavailable = True
 
-    def _note_back(self) -> None:
-        if self._lost:
+    def _record_available(self) -> None:
+        if self._log_unavailable:
             self._journal.emit(LOG_BACK)
-        self._lost = False
+        self._log_unavailable = False
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -11,10 +11,10 @@
 
 # How long a dead or departed member is remembered, so that old news of it being
 # alive is known to be old, and so that a cut-off part of a zone keeps counting it.
-TOMBSTONE_SECONDS = 600.0
-BUCKETS = 32
+TOMBSTONE_RETENTION_SECONDS = 600.0
+BUCKET_COUNT = 32
 # Each news is sent this many times the logarithm of the fleet's size, as in SWIM.
-SENDS_FACTOR = 3
+RETRANSMIT_MULTIPLIER = 3
 
 
 class State(enum.IntEnum):
@@ -84,7 +84,7 @@
         self.share: float = rest.get("share", -1.0)
 
     @property
-    def rank(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """What decides between two reports of one member: the higher wins."""
         return (self.incarnation, self.sequence, self.state)
 
@@ -110,7 +110,7 @@
         return fields | {"state": self.state.name.lower()}
 
 
-def read_member(message: pb.Member) -> Member:
+def parse_member(message: pb.Member) -> Member:
     """Return the member that a message tells of."""
     fields = {name: getattr(message, name) for name in Member.__slots__}
     # A state of a later version is one that this version cannot serve with.
@@ -119,7 +119,7 @@
     return Member(**fields)
 
 
-OnChange = Callable[[Member, Member | None], None]
+OnMemberChange = Callable[[Member, Member | None], None]
 
 
 class Members:
@@ -134,16 +134,16 @@
         self._own = own
         self._clock = clock
         self._table: dict[str, Member] = {own.instance: own}
-        self._changed_at: dict[str, float] = {own.instance: clock()}
-        self._sends: dict[str, int] = {own.instance: 1}
-        self._watchers: list[OnChange] = []
+        self._state_since: dict[str, float] = {own.instance: clock()}
+        self._remaining_sends: dict[str, int] = {own.instance: 1}
+        self._watchers: list[OnMemberChange] = []
         self._version = 0
         self._by_control: dict[str, str] = {own.control: own.instance}
         self._zones: dict[str, dict[str, Member]] = {own.zone: {own.instance: own}}
         self._zone_versions: dict[str, int] = {own.zone: 1}
-        self._ending: set[str] = set()
-        self._buckets = [0] * BUCKETS
-        self._mix_into_buckets(own)
+        self._not_alive: set[str] = set()
+        self._buckets = [0] * BUCKET_COUNT
+        self._toggle_in_bucket_hash(own)
 
     @property
     def own(self) -> Member:
@@ -165,14 +165,14 @@
         """Return the member of this name."""
         return self._table.get(instance)
 
-    def watch(self, watcher: OnChange) -> None:
+    def watch(self, watcher: OnMemberChange) -> None:
         """Call ``watcher`` with each new report and the one before it."""
         self._watchers.append(watcher)
 
     @property
     def zones(self) -> list[str]:
         """Availability zones with a member that may be asked."""
-        return [zone for zone, inside in self._zones.items() if inside]
+        return [zone for zone, zone_members in self._zones.items() if zone_members]
 
     def get_zone_version(self, zone: str) -> int:
         """Return a number that grows when a zone's reachable members change."""
@@ -182,7 +182,11 @@
         """Return members that may be asked, of one zone or of all."""
         if zone:
             return list(self._zones.get(zone, {}).values())
-        return [member for inside in self._zones.values() for member in inside.values()]
+        return [
+            member
+            for zone_members in self._zones.values()
+            for member in zone_members.values()
+        ]
 
     def count_electorate(self, zone: str) -> tuple[int, int]:
         """Return how many members of a zone are reachable, and of how many.
@@ -191,22 +195,22 @@
         a part of a zone that is cut off from the rest does not take itself for all.
         """
         reachable = len(self._zones.get(zone, {}))
-        ending = (self._table[instance] for instance in self._ending)
-        dead = sum(m.zone == zone and m.state is State.DEAD for m in ending)
+        not_alive = (self._table[instance] for instance in self._not_alive)
+        dead = sum(m.zone == zone and m.state is State.DEAD for m in not_alive)
         return reachable, reachable + dead
 
-    def count_states(self) -> dict[State, int]:
+    def count_by_state(self) -> dict[State, int]:
         """Return how many members there are in each state."""
         counts = dict.fromkeys(State, 0)
-        for instance in self._ending:
+        for instance in self._not_alive:
             counts[self._table[instance].state] += 1
-        counts[State.ALIVE] = len(self._table) - len(self._ending)
+        counts[State.ALIVE] = len(self._table) - len(self._not_alive)
         return counts
 
     def change_own(self, **changes: Any) -> None:
         """Change what this instance says of itself."""
         sequence = self._own.sequence + 1
-        self._put(self._own.replace(sequence=sequence, **changes))
+        self._store(self._own.replace(sequence=sequence, **changes))
 
     def merge(self, report: Member, age: float = 0.0) -> bool:
         """Take a report in, unless a better one is known.
@@ -221,14 +225,14 @@
         if report.instance == self._own.instance:
             return self._refute(report)
         known = self._table.get(report.instance)
-        if known is not None and report.rank <= known.rank:
+        if known is not None and report.precedence <= known.precedence:
             return False
-        if not report.reachable and age > TOMBSTONE_SECONDS:
+        if not report.reachable and age > TOMBSTONE_RETENTION_SECONDS:
             # Others are about to forget it; taken in anew, it would travel in
             # circles for ever.
             return False
-        self._put(report, age)
-        self._end_predecessors(report)
+        self._store(report, age)
+        self._end_predecessor(report)
         return True
 
     def suspect(self, instance: str) -> None:
@@ -239,137 +243,143 @@
         """Mark a member that did not refute a suspicion."""
         self._change_state(instance, State.SUSPECT, State.DEAD)
 
-    def expire(self, suspicion: float) -> None:
+    def expire(self, suspicion_seconds: float) -> None:
         """End suspicions older than ``suspicion`` seconds; forget old tombstones."""
         now = self._clock()
-        for member in [self._table[instance] for instance in self._ending]:
-            age = now - self._changed_at[member.instance]
-            if member.state is State.SUSPECT and age > suspicion:
+        for member in [self._table[instance] for instance in self._not_alive]:
+            age = now - self._state_since[member.instance]
+            if member.state is State.SUSPECT and age > suspicion_seconds:
                 self.declare_dead(member.instance)
-            elif not member.reachable and age > TOMBSTONE_SECONDS:
-                self._forget(member.instance)
+            elif not member.reachable and age > TOMBSTONE_RETENTION_SECONDS:
+                self._remove(member.instance)
 
     def to_proto(self, member: Member) -> pb.Member:
         """Return the message that tells of a member, and how old its state is."""
-        return member.to_proto(self._clock() - self._changed_at[member.instance])
+        return member.to_proto(self._clock() - self._state_since[member.instance])
 
-    def take_updates(self, most: int) -> list[Member]:
+    def take_updates(self, max_count: int) -> list[Member]:
         """Return the news to send next, the least sent first."""
-        chosen = sorted(self._sends, key=self._sends.__getitem__, reverse=True)[:most]
+        chosen = sorted(
+            self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
+        )[:max_count]
         updates = []
         for instance in chosen:
             updates.append(self._table[instance])
-            self._sends[instance] -= 1
-            if self._sends[instance] <= 0:
-                del self._sends[instance]
+            self._remaining_sends[instance] -= 1
+            if self._remaining_sends[instance] <= 0:
+                del self._remaining_sends[instance]
         return updates
 
     @property
     def has_updates(self) -> bool:
         """Whether there is news to send."""
-        return bool(self._sends)
+        return bool(self._remaining_sends)
 
-    def hash_buckets(self) -> list[int]:
+    def get_bucket_hashes(self) -> list[int]:
         """Return a hash for each part of the table; equal tables hash alike."""
         return list(self._buckets)
 
-    def find_differing(self, buckets: Iterable[int]) -> list[Member]:
+    def find_differing_members(self, buckets: Iterable[int]) -> list[Member]:
         """Return the members of the parts whose hash is another."""
-        mine = self.hash_buckets()
-        theirs = list(buckets)
-        if len(theirs) != BUCKETS:
+        own_hashes = self.get_bucket_hashes()
+        peer_hashes = list(buckets)
+        if len(peer_hashes) != BUCKET_COUNT:
             return []
         return [
             member
             for member in self._table.values()
-            if theirs[_bucket_of(member.instance)] != mine[_bucket_of(member.instance)]
+            if peer_hashes[_get_bucket(member.instance)]
+            != own_hashes[_get_bucket(member.instance)]
         ]
 
     def _refute(self, report: Member) -> bool:
-        if report.rank <= self._own.rank:
+        if report.precedence <= self._own.precedence:
             return False
         if self._own.state is State.LEFT:
             return False
         incarnation = max(report.incarnation, self._own.incarnation)
-        self._put(
+        self._store(
             self._own.replace(incarnation=incarnation, sequence=report.sequence + 1)
         )
         return True
 
-    def _end_predecessors(self, report: Member) -> None:
+    def _end_predecessor(self, report: Member) -> None:
         """End members whose address a newer member has taken over."""
         if report.state is not State.ALIVE:
             return
-        before = self._table.get(self._by_control.get(report.control, ""))
+        predecessor = self._table.get(self._by_control.get(report.control, ""))
         self._by_control[report.control] = report.instance
-        if before is None or before.instance in (report.instance, self._own.instance):
+        if predecessor is None or predecessor.instance in (
+            report.instance,
+            self._own.instance,
+        ):
             return
-        if before.reachable and before.incarnation < report.incarnation:
-            self._put(before.replace(state=State.DEAD))
+        if predecessor.reachable and predecessor.incarnation < report.incarnation:
+            self._store(predecessor.replace(state=State.DEAD))
 
     def _change_state(self, instance: str, before: State, after: State) -> None:
         member = self._table.get(instance)
         if member is not None and member.state is before and member is not self._own:
-            self._put(member.replace(state=after))
+            self._store(member.replace(state=after))
 
-    def _put(self, member: Member, age: float = 0.0) -> None:
+    def _store(self, member: Member, age: float = 0.0) -> None:
         previous = self._table.get(member.instance)
         self._table[member.instance] = member
-        self._changed_at[member.instance] = self._clock() - age
-        self._sends[member.instance] = self._count_sends()
+        self._state_since[member.instance] = self._clock() - age
+        self._remaining_sends[member.instance] = self._get_max_sends()
         self._version += 1
         if previous is not None:
-            self._mix_into_buckets(previous)
-        self._mix_into_buckets(member)
-        self._index(member, previous)
+            self._toggle_in_bucket_hash(previous)
+        self._toggle_in_bucket_hash(member)
+        self._update_indexes(member, previous)
         if member.instance == self._own.instance:
             self._own = member
         for watcher in self._watchers:
             watcher(member, previous)
 
-    def _index(self, member: Member, previous: Member | None) -> None:
+    def _update_indexes(self, member: Member, previous: Member | None) -> None:
         """Keep what is asked for often from costing a walk through the table."""
         if member.state is State.ALIVE:
-            self._ending.discard(member.instance)
+            self._not_alive.discard(member.instance)
         else:
-            self._ending.add(member.instance)
+            self._not_alive.add(member.instance)
         if previous is not None and previous.zone != member.zone:
-            self._drop_from_zone(previous)
+            self._remove_from_zone(previous)
         if member.reachable:
-            inside = self._zones.setdefault(member.zone, {})
-            if member.instance not in inside:
-                self._raise_zone_version(member.zone)
-            inside[member.instance] = member
+            zone_members = self._zones.setdefault(member.zone, {})
+            if member.instance not in zone_members:
+                self._increment_zone_version(member.zone)
+            zone_members[member.instance] = member
         else:
-            self._drop_from_zone(member)
+            self._remove_from_zone(member)
 
-    def _drop_from_zone(self, member: Member) -> None:
-        inside = self._zones.get(member.zone, {})
-        if inside.pop(member.instance, None) is not None:
-            self._raise_zone_version(member.zone)
+    def _remove_from_zone(self, member: Member) -> None:
+        zone_members = self._zones.get(member.zone, {})
+        if zone_members.pop(member.instance, None) is not None:
+            self._increment_zone_version(member.zone)
 
-    def _raise_zone_version(self, zone: str) -> None:
+    def _increment_zone_version(self, zone: str) -> None:
         self._zone_versions[zone] = self._zone_versions.get(zone, 0) + 1
 
-    def _count_sends(self) -> int:
-        return SENDS_FACTOR * math.ceil(math.log2(len(self._table) + 1))
+    def _get_max_sends(self) -> int:
+        return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(len(self._table) + 1))
 
-    def _mix_into_buckets(self, member: Member) -> None:
+    def _toggle_in_bucket_hash(self, member: Member) -> None:
         """Add a report to its bucket's hash; a second time takes it out again."""
-        text = f"{member.instance}|{member.rank}"
-        self._buckets[_bucket_of(member.instance)] ^= zlib.crc32(text.encode())
+        text = f"{member.instance}|{member.precedence}"
+        self._buckets[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
 
-    def _forget(self, instance: str) -> None:
+    def _remove(self, instance: str) -> None:
         member = self._table.pop(instance)
-        self._ending.discard(instance)
-        self._drop_from_zone(member)
-        self._mix_into_buckets(member)
+        self._not_alive.discard(instance)
+        self._remove_from_zone(member)
+        self._toggle_in_bucket_hash(member)
         if self._by_control.get(member.control) == instance:
             del self._by_control[member.control]
-        del self._changed_at[instance]
-        self._sends.pop(instance, None)
+        del self._state_since[instance]
+        self._remaining_sends.pop(instance, None)
         self._version += 1
 
 
-def _bucket_of(instance: str) -> int:
-    return zlib.crc32(instance.encode()) % BUCKETS
+def _get_bucket(instance: str) -> int:
+    return zlib.crc32(instance.encode()) % BUCKET_COUNT
--- a/primroseglade/fleet/puller.py
+++ b/primroseglade/fleet/puller.py
@@ -26,12 +26,12 @@
         self,
         configuration: Configuration,
         client: ControlClient,
-        on_news: Callable[[], None],
+        on_records: Callable[[], None],
     ):
         self._configuration = configuration
         self._client = client
-        self._on_news = on_news
-        self._ahead: asyncio.Queue[str] = asyncio.Queue(maxsize=1)
+        self._on_records = on_records
+        self._peers_ahead: asyncio.Queue[str] = asyncio.Queue(maxsize=1)
 
     def register(self, server: ControlServer) -> None:
         """Answer peers that are behind."""
@@ -39,18 +39,20 @@
 
     def note_offset(self, next_offset: int, age: float, control: str) -> None:
         """Take a neighbour's word on how far and how fresh it is."""
-        mine = self._configuration.next_offset
-        if next_offset > mine or (next_offset == 0 and not self._configuration.ready):
-            if not self._ahead.full():
-                self._ahead.put_nowait(control)
-        elif next_offset == mine and age < self._configuration.age:
+        own_offset = self._configuration.next_offset
+        if next_offset > own_offset or (
+            next_offset == 0 and not self._configuration.ready
+        ):
+            if not self._peers_ahead.full():
+                self._peers_ahead.put_nowait(control)
+        elif next_offset == own_offset and age < self._configuration.age:
             # Equal states: what the neighbour knows of their age holds here too.
-            self._configuration.confirm_age(age)
+            self._configuration.update_age(age)
 
     async def run(self) -> None:
         """Pull from whoever is ahead."""
         while True:
-            control = await self._ahead.get()
+            control = await self._peers_ahead.get()
             try:
                 await self.pull(control)
             except (PeerError, InputError):
@@ -70,14 +72,14 @@
         )
         if reply.snapshot:
             values = json.loads(reply.snapshot)
-            parts = self._configuration.read_snapshot(values)
+            parts = self._configuration.parse_snapshot(values)
             self._configuration.load(parts)
         records = [
             LogRecord(item.offset, json.loads(item.value)) for item in reply.records
         ]
         self._configuration.apply(records)
         if self._configuration.next_offset > before:
-            self._on_news()
+            self._on_records()
 
     async def _answer(self, request: pb.RecordsRequest, _: str) -> pb.RecordsReply:
         records = self._configuration.get_records(request.from_offset)
--- a/primroseglade/fleet/seal.py
+++ b/primroseglade/fleet/seal.py
@@ -12,7 +12,7 @@
 NONCE_BYTES = 16
 # Clocks of instances may differ, and messages may wait: what is older is refused,
 # and what is younger is remembered, so that no message is taken twice.
-ACCEPTED_AGE_MS = 30_000
+MAX_MESSAGE_AGE_MS = 30_000
 
 
 class SealError(Exception):
@@ -44,9 +44,9 @@
     def __init__(self, secret: bytes, instance: str):
         self._key = derive_key(secret, "control")
         self._instance = instance
-        self._seen: set[bytes] = set()
-        self._seen_before: set[bytes] = set()
-        self._turned_at = time.monotonic()
+        self._nonces: set[bytes] = set()
+        self._previous_nonces: set[bytes] = set()
+        self._rotated_at = time.monotonic()
 
     def seal(
         self, method: str, body: bytes, receiver: str = "", nonce: bytes = b""
@@ -92,23 +92,23 @@
             raise SealError("forged", sealed.sender)
         if sealed.method != method or sealed.receiver not in ("", self._instance):
             raise SealError("misdirected", sealed.sender)
-        if abs(time.time() * 1000 - sealed.sent_at_ms) > ACCEPTED_AGE_MS:
+        if abs(time.time() * 1000 - sealed.sent_at_ms) > MAX_MESSAGE_AGE_MS:
             raise SealError("late", sealed.sender)
         if nonce:
             if sealed.nonce != nonce:
                 raise SealError("misdirected", sealed.sender)
         else:
-            self._refuse_replay(sealed)
+            self._check_replay(sealed)
         return sealed
 
-    def _refuse_replay(self, sealed: Sealed) -> None:
+    def _check_replay(self, sealed: Sealed) -> None:
         now = time.monotonic()
-        if now - self._turned_at > 2 * ACCEPTED_AGE_MS / 1000:
-            self._seen_before, self._seen = self._seen, set()
-            self._turned_at = now
-        if sealed.nonce in self._seen or sealed.nonce in self._seen_before:
+        if now - self._rotated_at > 2 * MAX_MESSAGE_AGE_MS / 1000:
+            self._previous_nonces, self._nonces = self._nonces, set()
+            self._rotated_at = now
+        if sealed.nonce in self._nonces or sealed.nonce in self._previous_nonces:
             raise SealError("replayed", sealed.sender)
-        self._seen.add(sealed.nonce)
+        self._nonces.add(sealed.nonce)
 
     def _sign(self, sealed: Sealed) -> bytes:
         fields = (
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -10,7 +10,7 @@
 from .log_reader import LogReader
 
 # A snapshot is also due after this many records, whatever the clock says.
-SNAPSHOT_RECORDS = 2000
+MAX_RECORDS_BETWEEN_SNAPSHOTS = 2000
 
 
 class SnapshotWriter:
@@ -29,35 +29,37 @@
         configuration: Configuration,
         log: LogClient,
         reader: LogReader,
-        seconds: float,
+        interval_seconds: float,
         journal: Journal,
     ):
         self._configuration = configuration
         self._log = log
         self._reader = reader
-        self._seconds = seconds
+        self._interval_seconds = interval_seconds
         self._journal = journal
-        self._seen = -1
-        self._seen_at = time.monotonic()
+        self._latest_offset = -1
+        self._latest_seen_at = time.monotonic()
 
     async def run(self) -> None:
         """Write whenever one is due and nobody else has written it meanwhile."""
         while True:
             # The jitter decides who writes: whoever wakes first, and the others see
             # that snapshot in the stream before their own turn.
-            await asyncio.sleep(random.uniform(0.05, 0.15) * self._seconds)
+            await asyncio.sleep(random.uniform(0.05, 0.15) * self._interval_seconds)
             if self._is_due():
                 await self._write()
 
     def _is_due(self) -> bool:
         latest = self._configuration.fold.latest_snapshot_offset
-        if latest != self._seen:
-            self._seen = latest
-            self._seen_at = time.monotonic()
-        news = self._configuration.next_offset - max(latest, 0)
+        if latest != self._latest_offset:
+            self._latest_offset = latest
+            self._latest_seen_at = time.monotonic()
+        new_records = self._configuration.next_offset - max(latest, 0)
         # Without any edit, too: the last snapshot will be forgotten like any record.
-        overdue = time.monotonic() - self._seen_at > self._seconds
-        due = news > 0 and (overdue or news > SNAPSHOT_RECORDS)
+        overdue = time.monotonic() - self._latest_seen_at > self._interval_seconds
+        due = new_records > 0 and (
+            overdue or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
+        )
         return due and self._reader.is_reader()
 
     async def _write(self) -> None:
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -21,11 +21,11 @@
 
 FORMAT = 1
 # A start reads the stream's end only: a few nodes that answer give the whole table.
-RECORDS_READ = 200
-FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 5.0
-FIRST_LOOK_SECONDS = 0.5
-CONTACTS_ASKED = 3
+MAX_RECORDS_READ = 200
+INITIAL_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 5.0
+INITIAL_DISCOVERY_SECONDS = 0.5
+MAX_CONTACTS_PER_ROUND = 3
 
 
 Introduce = Callable[[list[str]], Awaitable[int]]
@@ -40,10 +40,12 @@
         discovery: Seconds between two looks for nodes that this one has not met.
     """
 
-    def __init__(self, log: LogClient, renewal: float, discovery: float):
+    def __init__(
+        self, log: LogClient, renewal_seconds: float, discovery_seconds: float
+    ):
         self._log = log
-        self._renewal = renewal
-        self._discovery = discovery
+        self._renewal_seconds = renewal_seconds
+        self._discovery_seconds = discovery_seconds
 
     async def find_contacts(self) -> list[str]:
         """Return control addresses of the nodes that joined or renewed last.
@@ -53,7 +55,7 @@
         """
         try:
             first, end = await self._log.get_range(MEMBERSHIP)
-            start = max(first, end - RECORDS_READ)
+            start = max(first, end - MAX_RECORDS_READ)
             if start >= end:
                 return []
             records = await self._log.read(MEMBERSHIP, start, 0.0)
@@ -64,17 +66,17 @@
             entry = _read_entry(record.value)
             if entry is None:
                 continue
-            instance, control, leaves = entry
+            instance, control, has_left = entry
             contacts.pop(instance, None)
-            if not leaves:
+            if not has_left:
                 contacts[instance] = control
         return list(reversed(contacts.values()))
 
     async def run(self, own: Member) -> None:
         """Join, then renew for as long as the node runs."""
         while True:
-            await self._append(_build_entry(own, "join"))
-            await asyncio.sleep(self._renewal * random.uniform(0.8, 1.2))
+            await self._append_with_retries(_build_entry(own, "join"))
+            await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
 
     async def keep_looking(self, introduce: Introduce) -> None:
         """Ask some nodes of the stream for their tables: soon at first, then seldom.
@@ -82,15 +84,15 @@
         Args:
             introduce: Exchanges tables with the nodes at these control addresses.
         """
-        pause = FIRST_LOOK_SECONDS
+        pause = INITIAL_DISCOVERY_SECONDS
         while True:
             await asyncio.sleep(random.uniform(0.5, 1.5) * pause)
-            pause = min(self._discovery, pause * 2)
+            pause = min(self._discovery_seconds, pause * 2)
             try:
                 contacts = await self.find_contacts()
             except LogUnavailableError:
                 continue
-            chosen = random.sample(contacts, min(CONTACTS_ASKED, len(contacts)))
+            chosen = random.sample(contacts, min(MAX_CONTACTS_PER_ROUND, len(contacts)))
             await introduce(chosen)
 
     async def leave(self, own: Member) -> None:
@@ -100,15 +102,15 @@
         except LogUnavailableError:
             return
 
-    async def _append(self, entry: dict[str, Any]) -> None:
-        delay = FIRST_RETRY_SECONDS
+    async def _append_with_retries(self, entry: dict[str, Any]) -> None:
+        delay = INITIAL_RETRY_SECONDS
         while True:
             try:
                 await self._log.append(MEMBERSHIP, entry)
                 return
             except LogUnavailableError:
                 await asyncio.sleep(random.uniform(delay / 2, delay))
-                delay = min(LONGEST_RETRY_SECONDS, delay * 2)
+                delay = min(MAX_RETRY_SECONDS, delay * 2)
 
 
 def _build_entry(own: Member, kind: str) -> dict[str, Any]:
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -5,9 +5,9 @@
 from primroseglade.fleet.members import (
     Member,
     Members,
-    read_member,
+    parse_member,
     State,
-    TOMBSTONE_SECONDS,
+    TOMBSTONE_RETENTION_SECONDS,
 )
 
 
@@ -44,8 +44,10 @@
         two.merge(report)
         if data.draw(st.booleans()):
             two.merge(report)
-    assert {m.instance: m.rank for m in one} == {m.instance: m.rank for m in two}
-    assert one.hash_buckets() == two.hash_buckets()
+    assert {m.instance: m.precedence for m in one} == {
+        m.instance: m.precedence for m in two
+    }
+    assert one.get_bucket_hashes() == two.get_bucket_hashes()
 
 
 @given(st.lists(reports, max_size=20), st.lists(reports, max_size=20))
@@ -56,11 +58,11 @@
     for report in theirs:
         two.merge(report)
     for source, target in ((two, one), (one, two)):
-        for member in source.find_differing(target.hash_buckets()):
+        for member in source.find_differing_members(target.get_bucket_hashes()):
             message = source.to_proto(member)
-            target.merge(read_member(message), message.state_age_ms / 1000)
-    ranks = [{m.instance: m.rank for m in table} for table in (one, two)]
-    assert ranks[0] == ranks[1]
+            target.merge(parse_member(message), message.state_age_ms / 1000)
+    tables = [{m.instance: m.precedence for m in table} for table in (one, two)]
+    assert tables[0] == tables[1]
 
 
 def test_suspected_member_refutes_and_outlives_old_news():
@@ -81,13 +83,13 @@
     members.merge(Member("x", 1))
     members.suspect("x")
     clock.now = 2.0
-    members.expire(suspicion=3.0)
+    members.expire(suspicion_seconds=3.0)
     assert members.get("x").state is State.SUSPECT
     clock.now = 4.0
-    members.expire(suspicion=3.0)
+    members.expire(suspicion_seconds=3.0)
     assert members.get("x").state is State.DEAD
-    clock.now += TOMBSTONE_SECONDS + 1
-    members.expire(suspicion=3.0)
+    clock.now += TOMBSTONE_RETENTION_SECONDS + 1
+    members.expire(suspicion_seconds=3.0)
     assert members.get("x") is None
 
 
@@ -97,10 +99,10 @@
     one, two = build_members("one", clock), build_members("two", clock)
     for members in (one, two):
         members.merge(Member("x", 1, state=State.DEAD))
-    clock.now = TOMBSTONE_SECONDS + 1
+    clock.now = TOMBSTONE_RETENTION_SECONDS + 1
     one.expire(3.0)
     message = two.to_proto(two.get("x"))
-    assert not one.merge(read_member(message), message.state_age_ms / 1000)
+    assert not one.merge(parse_member(message), message.state_age_ms / 1000)
 
 
 def test_restart_at_the_same_address_ends_its_predecessor():
