--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -146,20 +146,20 @@
         }
         same_zone = sorted(name for name, m in reachable.items() if m.zone == own.zone)
         cross_zone = [name for name, m in reachable.items() if m.zone != own.zone]
-        after = [name for name in same_zone if name > own.instance]
-        ring = (after + same_zone)[:RING_NEIGHBORS]
+        successors = [name for name in same_zone if name > own.instance]
+        ring = (successors + same_zone)[:RING_NEIGHBORS]
         chosen = set(ring)
         chosen.update(rank(own.instance, same_zone, RANDOM_NEIGHBORS))
         chosen.update(rank(own.instance, cross_zone, CROSS_ZONE_NEIGHBORS))
         return [reachable[name] for name in sorted(chosen)]
 
     async def _update_neighbor_tasks(self) -> None:
-        wanted = {member.instance: member for member in self._choose_neighbors()}
+        neighbors = {member.instance: member for member in self._choose_neighbors()}
         for name in self._supervisor.children:
-            if name not in wanted:
+            if name not in neighbors:
                 self._wakeups.pop(name, None)
                 await self._supervisor.end(name)
-        for name in wanted:
+        for name in neighbors:
             if name not in self._supervisor.children:
                 self._wakeups[name] = asyncio.Event()
                 self._supervisor.start(name, self._build_exchange_loop(name))
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -66,22 +66,24 @@
         "zone",
     )
 
-    def __init__(self, instance: str, incarnation: int, sequence: int = 0, **rest: Any):
+    def __init__(
+        self, instance: str, incarnation: int, sequence: int = 0, **attributes: Any
+    ):
         self.instance = instance
         self.incarnation = incarnation
         self.sequence = sequence
-        self.state: State = rest.get("state", State.ALIVE)
-        self.zone: str = rest.get("zone", "")
-        self.callers: str = rest.get("callers", "")
-        self.relay: str = rest.get("relay", "")
-        self.control: str = rest.get("control", "")
-        self.operator: str = rest.get("operator", "")
-        self.service: str = rest.get("service", "")
-        self.backend_server: str = rest.get("backend_server", "")
-        self.serving: bool = rest.get("serving", False)
-        self.serving_since_ms: int = rest.get("serving_since_ms", 0)
-        self.slots: int = rest.get("slots", 0)
-        self.share: float = rest.get("share", -1.0)
+        self.state: State = attributes.get("state", State.ALIVE)
+        self.zone: str = attributes.get("zone", "")
+        self.callers: str = attributes.get("callers", "")
+        self.relay: str = attributes.get("relay", "")
+        self.control: str = attributes.get("control", "")
+        self.operator: str = attributes.get("operator", "")
+        self.service: str = attributes.get("service", "")
+        self.backend_server: str = attributes.get("backend_server", "")
+        self.serving: bool = attributes.get("serving", False)
+        self.serving_since_ms: int = attributes.get("serving_since_ms", 0)
+        self.slots: int = attributes.get("slots", 0)
+        self.share: float = attributes.get("share", -1.0)
 
     @property
     def precedence(self) -> tuple[int, int, int]:
@@ -114,8 +116,8 @@
     """Return the member that a message tells of."""
     fields = {name: getattr(message, name) for name in Member.__slots__}
     # A state of a later version is one that this version cannot serve with.
-    known = message.state in State._value2member_map_
-    fields["state"] = State(message.state) if known else State.SUSPECT
+    is_known = message.state in State._value2member_map_
+    fields["state"] = State(message.state) if is_known else State.SUSPECT
     return Member(**fields)
 
 
@@ -212,7 +214,7 @@
         sequence = self._own.sequence + 1
         self._store(self._own.replace(sequence=sequence, **changes))
 
-    def merge(self, report: Member, age: float = 0.0) -> bool:
+    def merge(self, update: Member, age: float = 0.0) -> bool:
         """Take a report in, unless a better one is known.
 
         Args:
@@ -222,17 +224,17 @@
         Returns:
             Whether it was news.
         """
-        if report.instance == self._own.instance:
-            return self._refute(report)
-        known = self._table.get(report.instance)
-        if known is not None and report.precedence <= known.precedence:
+        if update.instance == self._own.instance:
+            return self._refute(update)
+        current = self._table.get(update.instance)
+        if current is not None and update.precedence <= current.precedence:
             return False
-        if not report.reachable and age > TOMBSTONE_RETENTION_SECONDS:
+        if not update.reachable and age > TOMBSTONE_RETENTION_SECONDS:
             # Others are about to forget it; taken in anew, it would travel in
             # circles for ever.
             return False
-        self._store(report, age)
-        self._end_predecessor(report)
+        self._store(update, age)
+        self._end_predecessor(update)
         return True
 
     def suspect(self, instance: str) -> None:
@@ -292,29 +294,29 @@
             != own_hashes[_get_bucket(member.instance)]
         ]
 
-    def _refute(self, report: Member) -> bool:
-        if report.precedence <= self._own.precedence:
+    def _refute(self, update: Member) -> bool:
+        if update.precedence <= self._own.precedence:
             return False
         if self._own.state is State.LEFT:
             return False
-        incarnation = max(report.incarnation, self._own.incarnation)
+        incarnation = max(update.incarnation, self._own.incarnation)
         self._store(
-            self._own.replace(incarnation=incarnation, sequence=report.sequence + 1)
+            self._own.replace(incarnation=incarnation, sequence=update.sequence + 1)
         )
         return True
 
-    def _end_predecessor(self, report: Member) -> None:
+    def _end_predecessor(self, update: Member) -> None:
         """End members whose address a newer member has taken over."""
-        if report.state is not State.ALIVE:
+        if update.state is not State.ALIVE:
             return
-        predecessor = self._table.get(self._by_control.get(report.control, ""))
-        self._by_control[report.control] = report.instance
+        predecessor = self._table.get(self._by_control.get(update.control, ""))
+        self._by_control[update.control] = update.instance
         if predecessor is None or predecessor.instance in (
-            report.instance,
+            update.instance,
             self._own.instance,
         ):
             return
-        if predecessor.reachable and predecessor.incarnation < report.incarnation:
+        if predecessor.reachable and predecessor.incarnation < update.incarnation:
             self._store(predecessor.replace(state=State.DEAD))
 
     def _change_state(self, instance: str, before: State, after: State) -> None:
