--- a/primroseglade/fleet/__init__.py
+++ b/primroseglade/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the nodes know of one another, and how they tell it."""
+"""Fleet membership, gossip and distribution of the configuration between nodes."""
--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Exchanges news with a constant number of neighbours and finds dead members."""
+"""Gossip with a fixed number of neighbors, and detection of failed members."""
 
 import asyncio
 import random
@@ -20,38 +20,41 @@
 from .hashing import rank
 from .members import Member, Members, parse_member, State
 
-# Neighbours: the ring makes sure that every member of a zone is watched by some;
-# the random ones make news cross a large fleet in a few hops; the ones in other
-# zones carry it out.
+# Neighbors of a node: those on the ring of its zone ensure that every member is probed
+# by others, the random ones spread updates over a large zone in a few hops, and those
+# in other zones spread updates between zones.
 RING_NEIGHBORS = 2
 RANDOM_NEIGHBORS = 2
 CROSS_ZONE_NEIGHBORS = 2
 MAX_UPDATES_PER_MESSAGE = 40
 EXCHANGE_TIMEOUT_SECONDS = 1.0
 PROBE_TIMEOUT_SECONDS = 2.0
-# Others asked to reach a member before it is suspected: one bad link is no death.
+# Members asked to probe a member before it is suspected, since only the link to it may
+# have failed.
 INDIRECT_PROBES = 2
-# News is held this long, so that one message carries what arrives together.
+# Delay before updates are sent, so that one message carries those arriving together.
 BATCH_DELAY_SECONDS = 0.01
 COMPARE_INTERVAL_ROUNDS = 10
-# Told for a configuration that has never been known to be fresh.
+# Limits the age sent to peers; that of a configuration never confirmed is infinite.
 MAX_SENT_AGE_SECONDS = 1e6
 
 OnOffset = Callable[[int, float, str], None]
 
 
 class Gossip:
-    """Keeps this instance's table of members in step with the others'.
+    """Keeps the member table in sync with those of other nodes, and probes members.
+
+    An exchange of updates with a neighbor is also a probe of it.
 
     Args:
-        members: The table.
-        client: Sends messages.
-        journal: Told of joins, deaths and departures.
-        metrics: Counts members by state.
-        period: Seconds between two exchanges with one neighbour.
-        suspicion: Seconds a member is suspect before it is dead.
+        members: The member table.
+        client: Client for messages to other nodes.
+        journal: Journal that receives joins, suspicions, deaths and departures.
+        metrics: Metrics with the number of members by state.
+        period_seconds: Average interval of the exchanges with each neighbor.
+        suspicion_seconds: Time for which a member is suspect before it is dead.
         get_offset: Returns the configuration's next offset and its age in seconds.
-        on_offset: Told a neighbour's offset, age and control address.
+        on_offset: Called with a peer's next offset, age and control address.
     """
 
     def __init__(
@@ -80,16 +83,19 @@
         members.watch(self._on_member_change)
 
     def register(self, server: ControlServer) -> None:
-        """Answer the messages that gossip needs."""
+        """Register the handlers of exchanges and probes."""
         server.register("Exchange", self._answer_exchange)
         server.register("Probe", self._answer_probe)
 
     async def run(self) -> None:
-        """Keep one task for each neighbour; choose anew when the table changes."""
+        """Run a task for each neighbor; choose neighbors again as members come and go.
+
+        Also expires suspicions and tombstones, once per period.
+        """
         try:
             while True:
                 if self._neighbors_outdated.is_set():
-                    # Not each time: ranking a large fleet takes tens of milliseconds.
+                    # Only after changes: ranking a large fleet takes tens of ms.
                     self._neighbors_outdated.clear()
                     await self._update_neighbor_tasks()
                 self._members.expire(self._suspicion_seconds)
@@ -105,10 +111,14 @@
             await self._supervisor.close()
 
     async def introduce(self, addresses: list[str], max_answers: int = 3) -> int:
-        """Ask nodes at these addresses for their tables.
+        """Contact nodes one by one, to join their tables and fetch unknown members.
+
+        Args:
+            addresses: Control addresses of the nodes.
+            max_answers: Number of answers after which no more nodes are contacted.
 
         Returns:
-            How many answered.
+            The number of nodes that answered.
         """
         answered = 0
         for address in addresses:
@@ -124,12 +134,12 @@
         return answered
 
     def spread(self) -> None:
-        """Exchange with every neighbour now: there is news."""
+        """Exchange updates with every neighbor now instead of at the next period."""
         for wakeup in self._wakeups.values():
             wakeup.set()
 
     async def say_goodbye(self, **changes: object) -> None:
-        """Tell the neighbours of a change of this instance before going on."""
+        """Change this instance's entry, and exchange with all neighbors at once."""
         self._members.change_own(**changes)
         exchanges = [
             self._exchange(member.control, receiver=member.instance)
@@ -210,7 +220,8 @@
             address, "Exchange", request, EXCHANGE_TIMEOUT_SECONDS, receiver
         )
         self._merge([reply.sender, *reply.updates])
-        # The peer's knowledge is at least as old as the question.
+        # The reply may have been created right after the request was sent, so that its
+        # age has grown by up to a round trip.
         age = reply.configuration_age_ms / 1000 + time.monotonic() - sent_at
         self._on_offset(reply.next_offset, age, address)
 
@@ -241,7 +252,7 @@
         return pb.ProbeReply(answered=True)
 
     async def _probe_indirectly(self, member: Member) -> bool:
-        """Ask others to reach a member; a link may be bad while the member is well."""
+        """Return whether any of a few other members can reach a member."""
         others = [
             other
             for other in self._members.get_reachable()
@@ -263,7 +274,7 @@
         )
 
     def _get_sent_offset(self) -> tuple[int, float]:
-        """Return the configuration's next offset, and its age as it can be told."""
+        """Return the configuration's next offset, and its age as sent to peers."""
         next_offset, age = self._get_offset()
         return next_offset, min(age, MAX_SENT_AGE_SECONDS)
 
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -1,4 +1,4 @@
-"""The table of members, and the merge that makes any two tables agree."""
+"""The member table, whose merge lets the tables of all nodes converge."""
 
 import enum
 import math
@@ -9,16 +9,17 @@
 
 from ..proto import control_pb2 as pb
 
-# How long a dead or departed member is remembered, so that old news of it being
-# alive is known to be old, and so that a cut-off part of a zone keeps counting it.
+# A dead or departed member stays in the table this long. Older updates that call it
+# alive are rejected meanwhile, and a partitioned part of a zone still counts it in the
+# zone's size.
 TOMBSTONE_RETENTION_SECONDS = 600.0
 BUCKET_COUNT = 32
-# Each news is sent this many times the logarithm of the fleet's size, as in SWIM.
+# Each update is sent this many times log2 of the fleet's size, as in SWIM.
 RETRANSMIT_MULTIPLIER = 3
 
 
 class State(enum.IntEnum):
-    """States of a member, in the order in which they win over each other."""
+    """States of a member; the higher wins between otherwise equal updates."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,25 +28,25 @@
 
 
 class Member:
-    """A node and the backend server beside it.
+    """A node and its local backend server.
 
     Args:
         instance: Name, unique in the fleet.
-        incarnation: Wall clock of the process's start, ms; a restart has a higher.
-        sequence: Raised by the member itself, whenever it changes.
-        state: As far as is known.
-        zone: Its availability zone.
+        incarnation: Start time of the process, Unix time in ms; higher after a restart.
+        sequence: Version of the entry; the member increments it at each change.
+        state: Last known state.
+        zone: Availability zone.
         callers: ``IP:PORT`` of its callers' listener.
         relay: ``IP:PORT`` of its relay listener.
         control: ``IP:PORT`` of its control listener.
         operator: ``IP:PORT`` of its operator listener.
-        service: What its backend server serves, empty where there is none.
+        service: Service of the backend server; empty if there is no backend server.
         backend_server: ``IP:PORT`` of the backend server.
-        serving: Whether it takes new work.
-        serving_since_ms: Wall clock since when.
-        slots: Calls that the backend server announced to take at once, 0 unknown.
-        share: Share of every rate that is in force at it, negative before its start
-            is complete.
+        serving: Whether it accepts new calls.
+        serving_since_ms: Unix time in ms since when it accepts calls.
+        slots: Concurrent calls that the backend server accepts; 0 if unknown.
+        share: Share of every rate that it applies; negative until its start is
+            complete.
     """
 
     __slots__ = (
@@ -87,35 +88,35 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """What decides between two reports of one member: the higher wins."""
+        """Sort key of updates about one member; the higher one wins."""
         return (self.incarnation, self.sequence, self.state)
 
     @property
     def reachable(self) -> bool:
-        """Whether it may be asked."""
+        """Whether messages are sent to it: it is alive or only suspect."""
         return self.state in (State.ALIVE, State.SUSPECT)
 
     def replace(self, **changes: Any) -> "Member":
-        """Return a copy with changes."""
+        """Return a copy in which the given attributes are changed."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         return Member(**(fields | changes))
 
     def to_proto(self, age: float = 0.0) -> pb.Member:
-        """Return the message that tells of the member, whose state is so old (s)."""
+        """Return the member as a message; ``age`` is that of its state, in seconds."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         fields["state"] = int(self.state)
         return pb.Member(**fields, state_age_ms=int(age * 1000))
 
     def to_dict(self) -> dict[str, Any]:
-        """Return the member for JSON."""
+        """Return the attributes as a JSON object."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         return fields | {"state": self.state.name.lower()}
 
 
 def parse_member(message: pb.Member) -> Member:
-    """Return the member that a message tells of."""
+    """Return the member that a message describes."""
     fields = {name: getattr(message, name) for name in Member.__slots__}
-    # A state of a later version is one that this version cannot serve with.
+    # An unknown state of a later version is treated as SUSPECT.
     is_known = message.state in State._value2member_map_
     fields["state"] = State(message.state) if is_known else State.SUSPECT
     return Member(**fields)
@@ -125,11 +126,11 @@
 
 
 class Members:
-    """Every member as this instance knows it.
+    """The member table of this instance.
 
     Args:
-        own: This instance.
-        clock: Seconds, for ages only.
+        own: The entry of this instance.
+        clock: Returns seconds; used only to compute ages.
     """
 
     def __init__(self, own: Member, clock: Callable[[], float] = time.monotonic):
@@ -149,12 +150,12 @@
 
     @property
     def own(self) -> Member:
-        """This instance."""
+        """The entry of this instance."""
         return self._own
 
     @property
     def version(self) -> int:
-        """A number that grows with every change; for what is derived from the table."""
+        """Version of the table, incremented at every change; for caches."""
         return self._version
 
     def __len__(self) -> int:
@@ -164,24 +165,28 @@
         return iter(self._table.values())
 
     def get(self, instance: str) -> Member | None:
-        """Return the member of this name."""
+        """Return the member with this name, or None."""
         return self._table.get(instance)
 
     def watch(self, watcher: OnMemberChange) -> None:
-        """Call ``watcher`` with each new report and the one before it."""
+        """Call ``watcher`` with each changed entry and the previous one, or None."""
         self._watchers.append(watcher)
 
     @property
     def zones(self) -> list[str]:
-        """Availability zones with a member that may be asked."""
+        """Availability zones with at least one reachable member."""
         return [zone for zone, zone_members in self._zones.items() if zone_members]
 
     def get_zone_version(self, zone: str) -> int:
-        """Return a number that grows when a zone's reachable members change."""
+        """Return the version of a zone's set of reachable members; for caches.
+
+        It is incremented when a member becomes reachable or unreachable, not when its
+        attributes change.
+        """
         return self._zone_versions.get(zone, 0)
 
     def get_reachable(self, zone: str = "") -> list[Member]:
-        """Return members that may be asked, of one zone or of all."""
+        """Return the reachable members of a zone, or of all zones by default."""
         if zone:
             return list(self._zones.get(zone, {}).values())
         return [
@@ -191,10 +196,10 @@
         ]
 
     def count_electorate(self, zone: str) -> tuple[int, int]:
-        """Return how many members of a zone are reachable, and of how many.
+        """Return the numbers of reachable members and of all members of a zone.
 
-        Dead members count in the whole for as long as they are remembered, so that
-        a part of a zone that is cut off from the rest does not take itself for all.
+        Dead members count in the total while they are in the table, so that a
+        partitioned part of a zone does not consider itself the whole zone.
         """
         reachable = len(self._zones.get(zone, {}))
         not_alive = (self._table[instance] for instance in self._not_alive)
@@ -202,7 +207,7 @@
         return reachable, reachable + dead
 
     def count_by_state(self) -> dict[State, int]:
-        """Return how many members there are in each state."""
+        """Return the number of members in each state."""
         counts = dict.fromkeys(State, 0)
         for instance in self._not_alive:
             counts[self._table[instance].state] += 1
@@ -210,19 +215,21 @@
         return counts
 
     def change_own(self, **changes: Any) -> None:
-        """Change what this instance says of itself."""
+        """Change attributes of this instance's entry; gossip sends the update."""
         sequence = self._own.sequence + 1
         self._store(self._own.replace(sequence=sequence, **changes))
 
     def merge(self, update: Member, age: float = 0.0) -> bool:
-        """Take a report in, unless a better one is known.
+        """Apply an update unless the table has one of equal or higher precedence.
+
+        A newer update about this instance itself is refuted with a higher sequence.
 
         Args:
-            report: What was told.
-            age: Seconds since the member's state was first told.
+            update: Entry of a member, as another node sent it.
+            age: Seconds since the member's state was first reported.
 
         Returns:
-            Whether it was news.
+            Whether the table changed.
         """
         if update.instance == self._own.instance:
             return self._refute(update)
@@ -230,23 +237,27 @@
         if current is not None and update.precedence <= current.precedence:
             return False
         if not update.reachable and age > TOMBSTONE_RETENTION_SECONDS:
-            # Others are about to forget it; taken in anew, it would travel in
-            # circles for ever.
+            # Others are about to remove this tombstone. If it were added again,
+            # nodes would send it back and forth forever.
             return False
         self._store(update, age)
         self._end_predecessor(update)
         return True
 
     def suspect(self, instance: str) -> None:
-        """Mark a member that does not answer."""
+        """Mark a member that does not answer as suspect."""
         self._change_state(instance, State.ALIVE, State.SUSPECT)
 
     def declare_dead(self, instance: str) -> None:
-        """Mark a member that did not refute a suspicion."""
+        """Mark a suspect member that did not refute the suspicion as dead."""
         self._change_state(instance, State.SUSPECT, State.DEAD)
 
     def expire(self, suspicion_seconds: float) -> None:
-        """End suspicions older than ``suspicion`` seconds; forget old tombstones."""
+        """Declare members dead that were suspect too long; remove old tombstones.
+
+        Args:
+            suspicion_seconds: Time that a suspect member has to refute the suspicion.
+        """
         now = self._clock()
         for member in [self._table[instance] for instance in self._not_alive]:
             age = now - self._state_since[member.instance]
@@ -256,11 +267,14 @@
                 self._remove(member.instance)
 
     def to_proto(self, member: Member) -> pb.Member:
-        """Return the message that tells of a member, and how old its state is."""
+        """Return a member as a message, with the age of its state."""
         return member.to_proto(self._clock() - self._state_since[member.instance])
 
     def take_updates(self, max_count: int) -> list[Member]:
-        """Return the news to send next, the least sent first."""
+        """Return up to ``max_count`` updates to send, those sent least often first.
+
+        Each update counts as sent once more; after its last time it is removed.
+        """
         chosen = sorted(
             self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
         )[:max_count]
@@ -274,15 +288,19 @@
 
     @property
     def has_updates(self) -> bool:
-        """Whether there is news to send."""
+        """Whether there are updates to send."""
         return bool(self._remaining_sends)
 
     def get_bucket_hashes(self) -> list[int]:
-        """Return a hash for each part of the table; equal tables hash alike."""
+        """Return a hash of each bucket of members; equal tables have equal hashes."""
         return list(self._buckets)
 
     def find_differing_members(self, buckets: Iterable[int]) -> list[Member]:
-        """Return the members of the parts whose hash is another."""
+        """Return the members in the buckets whose hash differs from the peer's.
+
+        Args:
+            buckets: The peer's bucket hashes.
+        """
         own_hashes = self.get_bucket_hashes()
         peer_hashes = list(buckets)
         if len(peer_hashes) != BUCKET_COUNT:
@@ -306,7 +324,7 @@
         return True
 
     def _end_predecessor(self, update: Member) -> None:
-        """End members whose address a newer member has taken over."""
+        """Declare the previous user of the update's control address dead."""
         if update.state is not State.ALIVE:
             return
         predecessor = self._table.get(self._by_control.get(update.control, ""))
@@ -340,7 +358,7 @@
             watcher(member, previous)
 
     def _update_indexes(self, member: Member, previous: Member | None) -> None:
-        """Keep what is asked for often from costing a walk through the table."""
+        """Update the indexes, which spare frequent queries a scan of the table."""
         if member.state is State.ALIVE:
             self._not_alive.discard(member.instance)
         else:
@@ -367,7 +385,7 @@
         return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(len(self._table) + 1))
 
     def _toggle_in_bucket_hash(self, member: Member) -> None:
-        """Add a report to its bucket's hash; a second time takes it out again."""
+        """Add an entry to its bucket's hash, or remove it if it was added before."""
         text = f"{member.instance}|{member.precedence}"
         self._buckets[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
 
