--- a/primroseglade/fleet/control.py
+++ b/primroseglade/fleet/control.py
@@ -1,4 +1,4 @@
-"""gRPC between nodes: one unary method a message type, each sealed."""
+"""gRPC server and client for authenticated messages between nodes."""
 
 import asyncio
 import collections
@@ -20,8 +20,8 @@
 MAX_MESSAGE_BYTES = 8 << 20
 MAX_CHANNELS = 48
 
-# A path between two nodes may go silent while its connection stays open. The
-# keep-alive finds it within about three seconds, and the channel dials anew.
+# The network path between two nodes may fail while the connection stays open. The
+# keepalive detects this within about three seconds, and the channel reconnects.
 CHANNEL_OPTIONS = [
     ("grpc.keepalive_time_ms", 2000),
     ("grpc.keepalive_timeout_ms", 1000),
@@ -41,7 +41,7 @@
     ("grpc.http2.max_ping_strikes", 0),
 ]
 
-# Method: request type, reply type.
+# Request and reply type of each method.
 METHODS: dict[str, tuple[type[Message], type[Message]]] = {
     "Exchange": (pb.ExchangeRequest, pb.ExchangeReply),
     "Probe": (pb.ProbeRequest, pb.ProbeReply),
@@ -56,9 +56,9 @@
 
 
 class PeerError(PrimrosegladeError):
-    """A node that gave no answer, or none that may be trusted.
+    """A node did not answer in time, or its answer failed authentication.
 
-    Whether it got the message is not known.
+    The node may have received the message.
     """
 
 
@@ -66,13 +66,13 @@
 
 
 class ControlServer:
-    """Takes other nodes' messages.
+    """Receives messages of other nodes and sends the replies.
 
     Args:
-        address: ``IP:PORT`` to listen on; port 0 lets the kernel choose.
-        sealer: Opens and seals messages.
-        metrics: Counts them.
-        journal: Told of those that are refused.
+        address: ``IP:PORT`` to listen on; with port 0 the kernel chooses a port.
+        sealer: Authenticates requests and signs replies.
+        metrics: Metrics with the numbers of messages and bytes.
+        journal: Journal that receives refused messages.
     """
 
     def __init__(
@@ -88,11 +88,11 @@
 
     @property
     def address(self) -> str:
-        """``IP:PORT`` that it listens on."""
+        """``IP:PORT`` on which the server listens."""
         return self._address
 
     def register(self, method: str, handler: Handler) -> None:
-        """Set what answers a method; it gets the message and the sender's name."""
+        """Register the handler of a method; it gets the request and sender's name."""
         self._handlers[method] = handler
 
     async def run(self) -> None:
@@ -141,12 +141,12 @@
 
 
 class ControlClient:
-    """Sends messages to other nodes over kept channels.
+    """Sends messages to other nodes over a cache of gRPC channels.
 
     Args:
-        sealer: Seals and opens messages.
-        metrics: Counts them.
-        network: What can be reached.
+        sealer: Signs requests and authenticates replies.
+        metrics: Metrics with the numbers of messages and bytes.
+        network: Reachability of addresses; tests cut links in it.
     """
 
     def __init__(self, sealer: Sealer, metrics: Metrics, network: Network):
@@ -166,17 +166,17 @@
         timeout: float,
         receiver: str = "",
     ) -> Any:
-        """Send a message and return the reply.
+        """Send a request and return the reply.
 
         Args:
             address: Control address of the node.
             method: One of ``METHODS``.
-            request: The message.
-            timeout: Seconds to wait for the reply.
-            receiver: Name of the node, where known; another will not answer.
+            request: The request message.
+            timeout: Timeout in seconds.
+            receiver: Name of the node, if known; other instances refuse the message.
 
         Raises:
-            PeerError: No trusted reply in time.
+            PeerError: There is no valid reply within the timeout.
         """
         _, reply_type = METHODS[method]
         raw, nonce = self._sealer.seal(method, request.SerializeToString(), receiver)
--- a/primroseglade/fleet/seal.py
+++ b/primroseglade/fleet/seal.py
@@ -1,4 +1,4 @@
-"""Seals messages between nodes with the fleet secret."""
+"""Authentication of messages between nodes with the fleet secret."""
 
 import hashlib
 import hmac
@@ -10,16 +10,18 @@
 from ..proto.control_pb2 import Sealed
 
 NONCE_BYTES = 16
-# Clocks of instances may differ, and messages may wait: what is older is refused,
-# and what is younger is remembered, so that no message is taken twice.
+# Allows for clock differences and for delays of messages. Older messages are refused,
+# and the nonces of younger ones are stored, so that no message is accepted twice.
 MAX_MESSAGE_AGE_MS = 30_000
 
 
 class SealError(Exception):
-    """A message that is not taken; ``cause`` names why, for the metric.
+    """A message that is refused.
 
     Args:
-        cause: ``malformed``, ``forged``, ``late``, ``replayed`` or ``misdirected``.
+        cause: Label of the metric: ``malformed``, ``forged``, ``late``, ``replayed`` or
+            ``misdirected``.
+        sender: Name of the instance that the message claims as its sender.
     """
 
     def __init__(self, cause: str, sender: str = ""):
@@ -29,12 +31,14 @@
 
 
 def derive_key(secret: bytes, purpose: str) -> bytes:
-    """Derive a key, so that what is signed for one purpose fits no other."""
+    """Derive a key, so that a signature for one purpose is invalid for any other."""
     return hmac.new(secret, purpose.encode(), hashlib.sha256).digest()
 
 
 class Sealer:
-    """Seals and opens the messages of one instance.
+    """Signs and verifies the messages of one instance.
+
+    Messages carry an HMAC, the receiver and a nonce; they are not encrypted.
 
     Args:
         secret: The fleet secret.
@@ -51,16 +55,16 @@
     def seal(
         self, method: str, body: bytes, receiver: str = "", nonce: bytes = b""
     ) -> tuple[bytes, bytes]:
-        """Seal a message.
+        """Sign a message.
 
         Args:
-            method: What it asks for; an answer names its request's method.
+            method: Method of the request; a reply names that of its request.
             body: The serialized message.
-            receiver: Whom it is for, where the sender knows.
-            nonce: Of the request that this answers.
+            receiver: Name of the receiving instance; empty if unknown.
+            nonce: Nonce of the request, in a reply.
 
         Returns:
-            The sealed message and its nonce.
+            The serialized ``Sealed`` message and its nonce.
         """
         sealed = Sealed(
             sender=self._instance,
@@ -74,15 +78,15 @@
         return sealed.SerializeToString(), sealed.nonce
 
     def open(self, raw: bytes, method: str, nonce: bytes = b"") -> Sealed:
-        """Check a message and return it.
+        """Verify a message and return it.
 
         Args:
-            raw: What came in.
-            method: What it has to be for.
-            nonce: Where it answers a request, that request's.
+            raw: The serialized ``Sealed`` message.
+            method: Expected method.
+            nonce: Nonce of the request, for a reply.
 
         Raises:
-            SealError: It is not to be trusted, or was taken before.
+            SealError: The message is invalid, or was received before.
         """
         try:
             sealed = Sealed.FromString(raw)
@@ -119,7 +123,8 @@
             sealed.method.encode(),
             sealed.body,
         )
-        # Each field's length goes in, so that no two messages sign the same bytes.
+        # The length of each field is included, so that moving bytes from one field to
+        # the next changes the signature.
         digest = hmac.new(self._key, digestmod=hashlib.sha256)
         for field in fields:
             digest.update(len(field).to_bytes(4, "big"))
