--- a/primroseglade/fleet/configuration.py
+++ b/primroseglade/fleet/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration on one node: the fold, its age, and its last records."""
+"""The configuration of one node, its age, and recent records for its peers."""
 
 import asyncio
 import collections
@@ -28,12 +28,14 @@
 
 
 class Configuration:
-    """The fold, how fresh it is, and the last records for peers that are behind.
+    """Applies records to the configuration and tracks its age.
+
+    Keeps recent records for peers whose configuration is behind.
 
     Args:
-        secret: The fleet secret, which signs snapshots.
-        journal: Told of edits.
-        metrics: Counts them.
+        secret: The fleet secret, with which snapshots are signed.
+        journal: Journal that receives edits and loaded snapshots.
+        metrics: Metrics with the number of edits and the next offset.
     """
 
     def __init__(self, secret: bytes, journal: Journal, metrics: Metrics):
@@ -51,38 +53,41 @@
 
     @property
     def document(self) -> Document:
-        """The document in force."""
+        """The document as of ``next_offset``."""
         return self._fold.document
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record that is not folded in."""
+        """Offset of the first record that has not been applied."""
         return self._fold.next_offset
 
     @property
     def fold(self) -> Fold:
-        """The fold."""
+        """The fold, which builds the document from the records."""
         return self._fold
 
     @property
     def ready(self) -> bool:
-        """Whether a state is known at all; until then every call is refused."""
+        """Whether a configuration is known; until then every call is refused."""
         return self._initialized
 
     @property
     def age(self) -> float:
-        """Seconds since the end of the log was last known, here or at a peer."""
+        """Seconds since a node last confirmed this as the newest configuration.
+
+        Infinite if that never happened.
+        """
         return time.monotonic() - self._confirmed_at
 
     def watch(self, watcher: OnOutcome) -> None:
-        """Call ``watcher`` with the outcome of every record."""
+        """Call ``watcher`` with the outcome of every record or loaded snapshot."""
         self._watchers.append(watcher)
 
     def apply(self, records: list[LogRecord]) -> None:
-        """Fold records in; what comes twice or late changes nothing."""
+        """Apply records in the order of offsets, except those applied before."""
         for record in records:
             if record.offset > self.next_offset:
-                # A gap: folding on would make this node's document another one.
+                # After a gap, the document would differ from that of other nodes.
                 return
             if record.offset < self.next_offset:
                 continue
@@ -94,7 +99,11 @@
             self._notify_offset_change()
 
     def load(self, parts: list[SnapshotPart]) -> bool:
-        """Start from a snapshot; False where the fold is as far already."""
+        """Replace the state with a snapshot if the snapshot is newer.
+
+        Returns:
+            Whether the snapshot was loaded.
+        """
         if not self._fold.load(parts):
             return False
         self._recent_records.clear()
@@ -107,20 +116,20 @@
         return True
 
     def update_age(self, age: float) -> None:
-        """Note that the end of the log was known ``age`` seconds ago."""
+        """Record that this configuration was the newest ``age`` seconds ago."""
         self._confirmed_at = max(self._confirmed_at, time.monotonic() - age)
 
     def mark_initialized(self) -> None:
-        """Note that the stream holds nothing yet: that, too, is a state."""
+        """Mark the empty configuration as known, because the log has no records yet."""
         self._initialized = True
 
     async def wait_offset(self, next_offset: int) -> None:
-        """Wait until everything before ``next_offset`` is folded in."""
+        """Wait until all records before ``next_offset`` are applied."""
         async with self._changed:
             await self._changed.wait_for(lambda: self.next_offset >= next_offset)
 
     def get_records(self, from_offset: int) -> list[LogRecord] | None:
-        """Return kept records from an offset on, or None where they are gone."""
+        """Return the records from an offset on, or None if some are no longer kept."""
         if from_offset >= self.next_offset:
             return []
         if from_offset not in self._recent_records:
@@ -131,21 +140,25 @@
         ]
 
     def build_snapshot(self) -> list[dict[str, Any]]:
-        """Return the signed parts of a snapshot of the present state."""
+        """Return the current state as the signed parts of a snapshot."""
         return [part.to_value(self._secret) for part in self._fold.build_snapshot()]
 
     def parse_snapshot(self, values: list[Any]) -> list[SnapshotPart]:
-        """Check the parts of a snapshot.
+        """Verify and parse the parts of a snapshot.
+
+        Returns:
+            The parts in order.
 
         Raises:
-            InputError: A part is not signed by this fleet, or one is missing.
+            InputError: A part is invalid or not signed with the fleet secret, or one is
+                missing.
         """
         try:
             parts = [parse_snapshot_part(value, self._secret) for value in values]
         except (KeyError, TypeError, AttributeError) as error:
-            raise InputError("snapshot", "", f"has another shape: {error}") from error
+            raise InputError("snapshot", "", f"is malformed: {error}") from error
         if not parts or len(parts) != parts[0].parts:
-            raise InputError("snapshot", "", "is not whole")
+            raise InputError("snapshot", "", "is incomplete")
         return sorted(parts, key=lambda part: part.part)
 
     def _store_record(self, record: LogRecord) -> None:
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -1,4 +1,4 @@
-"""Follows the log, on the few nodes of a zone whose turn it is."""
+"""Reads the configuration log, on a few elected nodes of each zone."""
 
 import asyncio
 import random
@@ -29,20 +29,22 @@
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 2.0
 NON_READER_RETRY_SECONDS = (15.0, 45.0)
-# A node that does not follow the log itself looks at it when no neighbour has known
-# its end for this long: the readers of its zone may all be gone.
+# Another node also reads the log if its configuration has not been confirmed for this
+# long: all readers of its zone may have failed.
 FALLBACK_READ_AGE_SECONDS = 6.0
 
 
 class LogReader:
-    """Follows the log, on the few nodes of a zone whose turn it is.
+    """Reads the configuration log if this node is one of its zone's readers.
+
+    The other nodes get the records from their peers.
 
     Args:
-        configuration: Where records go.
-        log: The platform's log.
-        members: Decide whose turn it is.
-        readers: How many nodes of a zone follow the log.
-        journal: Told when the log is lost and back.
+        configuration: The configuration, to which records are applied.
+        log: Client of the platform's log.
+        members: The member table, from which each node derives its zone's readers.
+        reader_count: Number of readers in each zone.
+        journal: Journal that receives outages of the log and refused snapshots.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         self._log_unavailable = False
 
     async def run(self) -> None:
-        """Read whenever it is this node's turn, or nobody's it seems."""
+        """Read the log while this node is a reader or its configuration is old."""
         delay = INITIAL_RETRY_SECONDS
         while True:
             if not self._should_read():
@@ -78,27 +80,28 @@
                 delay = min(MAX_RETRY_SECONDS, delay * 2)
 
     def _choose_pause(self, delay: float) -> float:
-        """Return seconds to wait after the log did not answer.
+        """Return the delay in seconds before the log is read again after a failure.
 
-        In an outage the state of every node grows old, and all of them look at the
-        log. Asked by the whole fleet each second or two, a platform that comes back
-        would go down again; the readers alone find out just as soon.
+        In an outage the configuration of every node grows old, so that all nodes read
+        the log. If all of them retried every second or two, the load would take a
+        recovering platform down again; the readers alone notice its recovery as soon.
         """
         if self.is_reader() or not self._configuration.ready:
             return random.uniform(delay / 2, delay)
         return random.uniform(*NON_READER_RETRY_SECONDS)
 
     def is_reader(self) -> bool:
-        """Whether this node is one of its zone's readers, as it sees the zone."""
+        """Whether this node is a reader of its zone, according to its member table."""
         own = self._members.own
         readers = self._ranking.get(own.zone, "log-reader", self._reader_count)
         return own.instance in readers
 
     async def start(self) -> None:
-        """Take the state from the log, as far as it holds it.
+        """Load the newest configuration from the log.
 
         Raises:
-            LogUnavailableError: The log does not answer.
+            LogUnavailableError: The log does not answer, or has deleted records that no
+                complete snapshot covers.
         """
         first, end = await self._log.get_range(CONFIGURATION)
         if end == 0:
@@ -123,13 +126,15 @@
         except OffsetGoneError:
             first, end = await self._log.get_range(CONFIGURATION)
             if end < offset:
-                # The log is behind what this node folded: another log, or one that
-                # lost its end. What was accepted never reverts.
-                raise LogUnavailableError("the log ends before the state") from None
+                # The log ends before the applied records: it is another log, or has
+                # lost its last records. Accepted edits are never reverted.
+                raise LogUnavailableError(
+                    f"the log ends at offset {end}, before the state at {offset}"
+                ) from None
             await self._start_from_snapshot(first, end)
             return
         self._configuration.apply(records)
-        # A long poll that came back empty knew the end until it came back.
+        # An empty long poll confirms the end of the log as of its return.
         age = time.monotonic() - requested_at if records else 0.0
         self._configuration.update_age(age)
 
@@ -142,7 +147,7 @@
             self._configuration.apply(records)
 
     async def _start_from_snapshot(self, first: int, end: int) -> None:
-        """Find the newest whole snapshot in the kept part and go on behind it."""
+        """Load the newest complete snapshot in the log, and apply later records."""
         records: list[LogRecord] = []
         offset = first
         while offset < end:
@@ -154,7 +159,9 @@
         parts = self._find_snapshot(records, first)
         if parts is None:
             self._journal.emit(STATE_UNREACHABLE, first=first)
-            raise LogUnavailableError("the log keeps no whole snapshot")
+            raise LogUnavailableError(
+                f"no complete snapshot in the log from offset {first}"
+            )
         self._configuration.load(parts)
         self._configuration.apply(records)
 
--- a/primroseglade/fleet/puller.py
+++ b/primroseglade/fleet/puller.py
@@ -1,4 +1,4 @@
-"""Takes records from peers that are ahead, and gives them to those behind."""
+"""Transfers configuration records and snapshots between peers."""
 
 import asyncio
 import json
@@ -14,12 +14,12 @@
 
 
 class PeerPuller:
-    """Takes records from a peer that is ahead, and gives them to those behind.
+    """Pulls records from peers that are ahead, and serves them to those behind.
 
     Args:
-        configuration: The state.
-        client: Asks peers.
-        on_news: Called after records came in, to tell others at once.
+        configuration: The configuration of this instance.
+        client: Client for messages to other nodes.
+        on_records: Called after a pull that advanced the configuration.
     """
 
     def __init__(
@@ -34,11 +34,17 @@
         self._peers_ahead: asyncio.Queue[str] = asyncio.Queue(maxsize=1)
 
     def register(self, server: ControlServer) -> None:
-        """Answer peers that are behind."""
+        """Register the handler that serves records to peers."""
         server.register("Records", self._answer)
 
     def note_offset(self, next_offset: int, age: float, control: str) -> None:
-        """Take a neighbour's word on how far and how fresh it is."""
+        """Schedule a pull if a peer is ahead, or take over its age if it is equal.
+
+        Args:
+            next_offset: Next offset of the peer's configuration.
+            age: Age of the peer's configuration in seconds.
+            control: Control address of the peer.
+        """
         own_offset = self._configuration.next_offset
         if next_offset > own_offset or (
             next_offset == 0 and not self._configuration.ready
@@ -46,11 +52,11 @@
             if not self._peers_ahead.full():
                 self._peers_ahead.put_nowait(control)
         elif next_offset == own_offset and age < self._configuration.age:
-            # Equal states: what the neighbour knows of their age holds here too.
+            # The configurations are equal, so that the peer's lower age holds here too.
             self._configuration.update_age(age)
 
     async def run(self) -> None:
-        """Pull from whoever is ahead."""
+        """Pull from peers that are ahead, as ``handle_peer_offset`` reports them."""
         while True:
             control = await self._peers_ahead.get()
             try:
@@ -59,11 +65,14 @@
                 continue
 
     async def pull(self, control: str) -> None:
-        """Take what a node has and this one has not.
+        """Pull the records that this instance lacks, or a snapshot, from a node.
+
+        Args:
+            control: Control address of the node.
 
         Raises:
-            PeerError: It does not answer.
-            InputError: What it answered is not to be trusted.
+            PeerError: The node does not answer.
+            InputError: The node answered with an invalid snapshot.
         """
         before = self._configuration.next_offset
         request = pb.RecordsRequest(from_offset=before)
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -1,4 +1,4 @@
-"""Writes snapshots of the configuration into its stream."""
+"""Writes snapshots of the configuration to its log."""
 
 import asyncio
 import random
@@ -9,19 +9,21 @@
 from .configuration import Configuration
 from .log_reader import LogReader
 
-# A snapshot is also due after this many records, whatever the clock says.
+# A snapshot is due after this many records even if the interval has not passed.
 MAX_RECORDS_BETWEEN_SNAPSHOTS = 2000
 
 
 class SnapshotWriter:
-    """Appends snapshots, a few for the whole fleet, well before records go.
+    """Appends snapshots to the log before the platform deletes their records.
+
+    Every node runs a writer, but the whole fleet writes only a few snapshots.
 
     Args:
-        configuration: The state.
-        log: The platform's log.
-        reader: Only nodes that follow the log write.
-        seconds: Between two snapshots.
-        journal: Told of each.
+        configuration: The configuration of this instance.
+        log: Client of the platform's log.
+        reader: Tells whether this node is a reader; only readers write snapshots.
+        interval_seconds: Time between two snapshots.
+        journal: Journal that receives the written snapshots.
     """
 
     def __init__(
@@ -41,10 +43,10 @@
         self._latest_seen_at = time.monotonic()
 
     async def run(self) -> None:
-        """Write whenever one is due and nobody else has written it meanwhile."""
+        """Write a snapshot whenever one is due and no other node has written it."""
         while True:
-            # The jitter decides who writes: whoever wakes first, and the others see
-            # that snapshot in the stream before their own turn.
+            # With jitter, usually one node wakes first and writes, and the others read
+            # its snapshot from the log before they check.
             await asyncio.sleep(random.uniform(0.05, 0.15) * self._interval_seconds)
             if self._is_due():
                 await self._write()
@@ -55,7 +57,8 @@
             self._latest_offset = latest
             self._latest_seen_at = time.monotonic()
         new_records = self._configuration.next_offset - max(latest, 0)
-        # Without any edit, too: the last snapshot will be forgotten like any record.
+        # Snapshots are themselves records, so that one is also due without any edits:
+        # the platform deletes the last snapshot like any other record.
         overdue = time.monotonic() - self._latest_seen_at > self._interval_seconds
         due = new_records > 0 and (
             overdue or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
