--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -1,8 +1,8 @@
-"""Asks the whole fleet how far its configuration is, down a tree of nodes.
+"""Collects the configuration offsets of the whole fleet over a tree of nodes.
 
-Confirmations are asked for and never sent unasked: at 12,000 nodes and 9,800 edits a
-day a report of every node on every edit would alone outrun a node's share of the
-network. Each node asks at most ``FANOUT`` others, and they ask the rest.
+Nodes send confirmations only on request: at 12,000 nodes and 9,800 edits a day, a
+report of every node on every edit would alone exceed a node's share of the network.
+Each node requests them from at most ``FANOUT`` others, which request the rest.
 """
 
 import asyncio
@@ -13,17 +13,17 @@
 from .members import Members
 
 FANOUT = 8
-# Of its time a node keeps this share, so that its own answer is in time although
-# one below it is not.
+# Part of its timeout that a node gives the nodes below it, so that its own reply is in
+# time even if theirs are not.
 CHILD_TIMEOUT_RATIO = 0.8
 
 
 class ConfirmationStatus:
-    """Who is how far.
+    """How far the configuration of each instance is.
 
     Args:
-        offsets: Next offset by instance, of those that answered.
-        silent: Instances that did not answer.
+        offsets: Next offset by instance, of the instances that answered.
+        silent: Names of the instances that did not answer.
     """
 
     __slots__ = ("offsets", "silent")
@@ -33,23 +33,23 @@
         self.silent = silent
 
     def find_behind(self, next_offset: int) -> list[str]:
-        """Return the instances that answered and are not that far."""
+        """Return the names of instances that answered with a lower offset."""
         return sorted(
             name for name, offset in self.offsets.items() if offset < next_offset
         )
 
     def is_everywhere(self, next_offset: int) -> bool:
-        """Whether every known instance said that it is that far."""
+        """Whether all instances answered with at least this offset."""
         return not self.silent and not self.find_behind(next_offset)
 
 
 class Confirmer:
-    """Asks and answers for confirmations.
+    """Collects confirmations, and answers requests for them.
 
     Args:
-        configuration: This instance's.
-        members: Whom there is to ask.
-        client: Asks them.
+        configuration: The configuration of this instance.
+        members: The member table.
+        client: Client for messages to other nodes.
     """
 
     def __init__(
@@ -60,14 +60,14 @@
         self._client = client
 
     def register(self, server: ControlServer) -> None:
-        """Answer for this node and those below it."""
+        """Register the handler that answers for this node and those below it."""
         server.register("Confirm", self._answer)
 
     async def ask(self, timeout: float) -> ConfirmationStatus:
-        """Ask every member that has not left.
+        """Collect the confirmations of all members that have not left.
 
         Args:
-            timeout: Seconds until whoever has not answered counts as silent.
+            timeout: Seconds after which a member without an answer counts as silent.
         """
         own = self._members.own.instance
         others = {
@@ -75,8 +75,8 @@
             for member in self._members
             if member.instance != own and member.state.name != "LEFT"
         }
-        # Dead members are listed as silent without being asked for long: an instance
-        # that is cut off is dead to this one, and may well be serving.
+        # Dead members are included: an instance behind a network partition is dead in
+        # this table, but may still serve calls. It is reported as silent.
         reply = await self._collect_groups(sorted(others), timeout)
         offsets = {item.instance: item.next_offset for item in reply.confirmations}
         offsets[own] = self._configuration.next_offset
@@ -103,13 +103,13 @@
         return merged
 
     async def _collect_group(self, group: list[str], timeout: float) -> pb.ConfirmReply:
-        """Ask the group's first node for all; where it is silent, the next one."""
+        """Request the group's confirmations from its first node that answers."""
         clock = asyncio.get_running_loop().time
         deadline = clock() + timeout
         silent: list[str] = []
         while group and clock() < deadline:
             first, *rest = group
-            # Half of what is left: a silent node must leave time for the next.
+            # Half of the remaining time, so that some is left for the next node.
             timeout_of_first = (deadline - clock()) / (2 if rest else 1)
             request = pb.ConfirmRequest(
                 controls=rest, timeout_ms=int(timeout_of_first * 1000)
--- a/primroseglade/fleet/hashing.py
+++ b/primroseglade/fleet/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every node ranks the same members alike, with no agreement."""
+"""Rendezvous hashing: nodes rank members identically without coordination."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,19 +9,20 @@
 
 
 def score(key: str, name: str) -> int:
-    """Return a member's weight for a key; the highest weight ranks first."""
+    """Return the weight of a name for a key; the highest weight ranks first."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return int.from_bytes(digest, "big")
 
 
 class ZoneRanking:
-    """Ranks a zone's members by keys, and remembers until the zone changes.
+    """Ranks a zone's reachable members by key, and caches rankings.
 
-    A zone of 900 members costs a millisecond to rank. Charging a call asks for the
-    ranking of every zone, and leases for that of every partition.
+    A ranking is valid until the zone's set of reachable members changes. Ranking 900
+    members takes a millisecond; each charged call needs a ranking of every zone, and
+    leases need one of every partition.
 
     Args:
-        members: Who is in which zone.
+        members: The member table.
     """
 
     def __init__(self, members: Members):
@@ -29,7 +30,13 @@
         self._ranked: dict[tuple[str, str], tuple[int, list[str]]] = {}
 
     def get(self, zone: str, key: str, limit: int) -> list[str]:
-        """Return the first ``most`` reachable instances of a zone for a key."""
+        """Return the ``limit`` reachable instances of a zone that rank first for a key.
+
+        Args:
+            zone: Name of the availability zone.
+            key: Any text; use one ``limit`` per key, as the ranking is cached.
+            limit: Maximum number of instances.
+        """
         version = self._members.get_zone_version(zone)
         cached = self._ranked.get((zone, key))
         if cached is not None and cached[0] == version:
@@ -43,7 +50,7 @@
 
 
 def rank(key: str, names: Iterable[str], limit: int | None = None) -> list[str]:
-    """Return names by falling weight for the key.
+    """Return the names in descending order of their weight for the key.
 
     >>> rank("k", ["a", "b", "c"]) == rank("k", ["c", "a", "b"])
     True
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -1,8 +1,8 @@
-"""The membership stream in the log: how nodes find one another, again and again.
+"""Discovery of nodes through the membership stream, a topic of the platform's log.
 
-Gossip keeps a fleet together that is together. It does not bring together nodes that
-started at the same moment and found an empty stream, nor zones that were cut off for so
-long that each side has forgotten the other. Both happen, so every node goes on looking.
+Gossip only connects nodes that know each other. Nodes that started at the same moment
+found an empty stream, and after a long partition each side has removed the other from
+its member tables. Every node therefore repeats discovery for as long as it runs.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from .members import Member
 
 FORMAT = 1
-# A start reads the stream's end only: a few nodes that answer give the whole table.
+# Only the last entries are read: a few nodes that answer provide the whole table.
 MAX_RECORDS_READ = 200
 INITIAL_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 5.0
@@ -32,12 +32,12 @@
 
 
 class MembershipStream:
-    """Writes this node's joins, renewals and departure, and reads others'.
+    """Writes join and leave entries of this node, and reads those of others.
 
     Args:
-        log: The platform's log.
-        renewal: Seconds between two entries of a node that stays.
-        discovery: Seconds between two looks for nodes that this one has not met.
+        log: Client of the platform's log.
+        renewal_seconds: Average interval at which a running node writes a join entry.
+        discovery_seconds: Maximum interval of discovery rounds, before jitter.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._discovery_seconds = discovery_seconds
 
     async def find_contacts(self) -> list[str]:
-        """Return control addresses of the nodes that joined or renewed last.
+        """Return the control addresses of nodes with recent entries, newest first.
 
         Raises:
             LogUnavailableError: The log does not answer.
@@ -73,16 +73,16 @@
         return list(reversed(contacts.values()))
 
     async def run(self, own: Member) -> None:
-        """Join, then renew for as long as the node runs."""
+        """Write a join entry now, and again at each renewal interval."""
         while True:
             await self._append_with_retries(_build_entry(own, "join"))
             await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
 
     async def keep_looking(self, introduce: Introduce) -> None:
-        """Ask some nodes of the stream for their tables: soon at first, then seldom.
+        """Contact random nodes of the stream, at intervals that double up to a maximum.
 
         Args:
-            introduce: Exchanges tables with the nodes at these control addresses.
+            introduce: Exchanges member tables with the nodes at control addresses.
         """
         pause = INITIAL_DISCOVERY_SECONDS
         while True:
@@ -96,7 +96,7 @@
             await introduce(chosen)
 
     async def leave(self, own: Member) -> None:
-        """Tell of a planned stop; a stop does not wait for a log that is away."""
+        """Write a leave entry once, so that an outage does not delay the shutdown."""
         try:
             await self._log.append(MEMBERSHIP, _build_entry(own, "leave"))
         except LogUnavailableError:
@@ -124,7 +124,7 @@
 
 
 def _read_entry(value: Any) -> tuple[str, str, bool] | None:
-    """Return instance, control address and whether it leaves; None if unreadable."""
+    """Return instance, control address and whether it left; None if invalid."""
     if not isinstance(value, dict) or value.get("format") != FORMAT:
         return None
     instance, control = value.get("instance"), value.get("control")
