--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -1,4 +1,4 @@
-"""Reads the configuration log, on a few elected nodes of each zone."""
+"""Reads the configuration log, on a few nodes of each zone."""
 
 import asyncio
 import random
@@ -42,7 +42,7 @@
     Args:
         configuration: The configuration, to which records are applied.
         log: Client of the platform's log.
-        members: The member table, from which each node derives its zone's readers.
+        members: The member table; the readers are those that rank first in the zone.
         reader_count: Number of readers in each zone.
         journal: Journal that receives outages of the log and refused snapshots.
     """
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -82,7 +82,7 @@
         """Contact random nodes of the stream, at intervals that double up to a maximum.
 
         Args:
-            introduce: Exchanges member tables with the nodes at control addresses.
+            join_peers: Exchanges member tables with nodes at these control addresses.
         """
         pause = INITIAL_DISCOVERY_SECONDS
         while True:
