--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -24,7 +24,7 @@
     return Members(own, clock or Clock())
 
 
-reports = st.builds(
+update_strategy = st.builds(
     lambda name, incarnation, sequence, state: Member(
         name, incarnation, sequence, state=State(state), control=f"{name}:1", zone="a"
     ),
@@ -35,37 +35,37 @@
 )
 
 
-@given(st.lists(reports, max_size=20), st.data())
-def test_any_order_and_repetition_gives_the_same_table(made, data):
+@given(st.lists(update_strategy, max_size=20), st.data())
+def test_updates_in_any_order_give_the_same_table(updates, data):
     one, two = build_members(), build_members()
-    for report in made:
-        one.merge(report)
-    for report in data.draw(st.permutations(made)):
-        two.merge(report)
+    for update in updates:
+        one.merge(update)
+    for update in data.draw(st.permutations(updates)):
+        two.merge(update)
         if data.draw(st.booleans()):
-            two.merge(report)
+            two.merge(update)
     assert {m.instance: m.precedence for m in one} == {
         m.instance: m.precedence for m in two
     }
     assert one.get_bucket_hashes() == two.get_bucket_hashes()
 
 
-@given(st.lists(reports, max_size=20), st.lists(reports, max_size=20))
-def test_comparing_tables_brings_them_together(mine, theirs):
+@given(st.lists(update_strategy, max_size=20), st.lists(update_strategy, max_size=20))
+def test_exchanging_differing_buckets_synchronizes_tables(own_updates, peer_updates):
     one, two = build_members("one"), build_members("two")
-    for report in mine:
-        one.merge(report)
-    for report in theirs:
-        two.merge(report)
+    for update in own_updates:
+        one.merge(update)
+    for update in peer_updates:
+        two.merge(update)
     for source, target in ((two, one), (one, two)):
         for member in source.find_differing_members(target.get_bucket_hashes()):
             message = source.to_proto(member)
             target.merge(parse_member(message), message.state_age_ms / 1000)
-    tables = [{m.instance: m.precedence for m in table} for table in (one, two)]
-    assert tables[0] == tables[1]
+    precedences = [{m.instance: m.precedence for m in table} for table in (one, two)]
+    assert precedences[0] == precedences[1]
 
 
-def test_suspected_member_refutes_and_outlives_old_news():
+def test_suspect_member_refutes_and_older_updates_are_rejected():
     """A node is paused; others suspect it; it comes back and must not be buried."""
     me, other = build_members("me"), build_members("other")
     other.merge(me.own)
@@ -77,7 +77,7 @@
     assert not other.merge(Member("me", 1, 0, state=State.DEAD))
 
 
-def test_silent_member_is_suspect_before_it_is_dead_and_then_forgotten():
+def test_unresponsive_member_becomes_suspect_then_dead_then_is_removed():
     clock = Clock()
     members = build_members(clock=clock)
     members.merge(Member("x", 1))
@@ -93,7 +93,7 @@
     assert members.get("x") is None
 
 
-def test_forgotten_tombstone_does_not_travel_in_circles():
+def test_removed_tombstone_is_not_added_again():
     """Two nodes forget a dead one at different times and tell each other of it."""
     clock = Clock()
     one, two = build_members("one", clock), build_members("two", clock)
@@ -105,7 +105,7 @@
     assert not one.merge(parse_member(message), message.state_age_ms / 1000)
 
 
-def test_restart_at_the_same_address_ends_its_predecessor():
+def test_restart_at_the_same_address_declares_the_predecessor_dead():
     members = build_members()
     members.merge(Member("old", 1, control="10.0.0.1:9"))
     members.merge(Member("new", 2, control="10.0.0.1:9"))
@@ -113,14 +113,14 @@
     assert members.get("new").state is State.ALIVE
 
 
-def test_departed_member_stays_departed():
+def test_departed_member_is_not_revived():
     members = build_members()
     members.merge(Member("x", 1, 5, state=State.LEFT))
     assert not members.merge(Member("x", 1, 5, state=State.ALIVE))
     assert members.merge(Member("x", 2, 0, state=State.ALIVE))
 
 
-def test_cut_off_part_of_a_zone_knows_that_it_is_the_smaller():
+def test_minority_of_a_partitioned_zone_counts_the_dead_members():
     members = build_members()
     for name in ("b", "c", "d", "e"):
         members.merge(Member(name, 1, zone="a"))
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -33,7 +33,7 @@
         yield fleet
 
 
-async def test_message_without_the_secret_is_refused_and_counted():
+async def test_message_signed_with_another_secret_is_refused_and_counted():
     async with run_fleet("a") as fleet:
         node = fleet.nodes[0]
         intruder = ControlClient(
@@ -63,15 +63,15 @@
         with pytest.raises(SealError) as caught:
             receiver.open(opened, method)
         assert caught.value.cause == cause
-    old = pb.Sealed.FromString(raw)
-    old.sent_at_ms -= 120_000
-    old.mac = receiver._sign(old)
+    late = pb.Sealed.FromString(raw)
+    late.sent_at_ms -= 120_000
+    late.mac = receiver._sign(late)
     with pytest.raises(SealError) as caught:
-        receiver.open(old.SerializeToString(), "Exchange")
+        receiver.open(late.SerializeToString(), "Exchange")
     assert caught.value.cause == "late"
 
 
-def make_context(**changes) -> Context:
+def build_context(**changes) -> Context:
     fields = {
         "call": "b" * 16,
         "trace": TraceParent("a" * 32, "b" * 16, False),
@@ -86,10 +86,10 @@
     return Context(**(fields | changes))
 
 
-def test_relayed_context_cannot_be_forged_or_taken_by_another_instance():
+def test_relayed_context_cannot_be_forged_or_used_by_another_instance():
     """A backend server, or a caller, writes itself another workspace's context."""
     writer = ContextSeal(b"s" * 32, "one")
-    value = writer.write(make_context(), "two", 1)
+    value = writer.write(build_context(), "two", 1)
     assert ContextSeal(b"s" * 32, "two").read(value).workspace == "north"
     for reader, text in (
         (ContextSeal(b"s" * 32, "three"), value),
@@ -103,7 +103,7 @@
         assert caught.value.verdict is Verdict.NOT_RUN
 
 
-async def test_only_nodes_reach_the_relay_and_only_handles_the_nested_listener():
+async def test_relay_and_nested_listeners_refuse_workspace_keys():
     async with run_fleet("a") as fleet:
         listeners = fleet.nodes[0].listeners
         async with aiohttp.ClientSession() as session:
@@ -119,7 +119,7 @@
         assert not fleet.places[0].backend.seen
 
 
-async def test_operator_address_asks_for_its_token():
+async def test_operator_listener_requires_its_token():
     settings = FAST | {"operator_token": "a token for operators"}
     async with run_fleet("a", settings) as fleet:
         url = f"http://{fleet.nodes[0].listeners['operator']}/status"
