--- a/primroseglade/fleet/control.py
+++ b/primroseglade/fleet/control.py
@@ -96,7 +96,7 @@
         self._handlers[method] = handler
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Serve until canceled."""
         calls = {
             method: grpc.unary_unary_rpc_method_handler(
                 self._build_method(method, handler)
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""The table of members: any order, repetition and loss ends in the same table."""
+"""The member table: tables converge whatever order updates arrive in."""
 
 from hypothesis import given, strategies as st
 
@@ -66,7 +66,7 @@
 
 
 def test_suspect_member_refutes_and_older_updates_are_rejected():
-    """A node is paused; others suspect it; it comes back and must not be buried."""
+    """A paused node is suspected, resumes, and must not be declared dead."""
     me, other = build_members("me"), build_members("other")
     other.merge(me.own)
     other.suspect("me")
@@ -94,7 +94,7 @@
 
 
 def test_removed_tombstone_is_not_added_again():
-    """Two nodes forget a dead one at different times and tell each other of it."""
+    """Two nodes remove a dead member at different times while they exchange updates."""
     clock = Clock()
     one, two = build_members("one", clock), build_members("two", clock)
     for members in (one, two):
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -1,4 +1,4 @@
-"""Who is believed: messages, contexts, listeners, operators."""
+"""Authentication of messages, call contexts, nested calls and operators."""
 
 import contextlib
 import json
@@ -87,7 +87,7 @@
 
 
 def test_relayed_context_cannot_be_forged_or_used_by_another_instance():
-    """A backend server, or a caller, writes itself another workspace's context."""
+    """A caller or backend server tries to use a context of another workspace."""
     writer = ContextSeal(b"s" * 32, "one")
     value = writer.write(build_context(), "two", 1)
     assert ContextSeal(b"s" * 32, "two").read(value).workspace == "north"
