--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -28,7 +28,7 @@
 MAX_CONTACTS_PER_ROUND = 3
 
 
-Introduce = Callable[[list[str]], Awaitable[int]]
+JoinPeers = Callable[[list[str]], Awaitable[int]]
 
 
 class MembershipStream:
@@ -78,7 +78,7 @@
             await self._append_with_retries(_build_entry(own, "join"))
             await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
 
-    async def keep_looking(self, introduce: Introduce) -> None:
+    async def keep_looking(self, join_peers: JoinPeers) -> None:
         """Contact random nodes of the stream, at intervals that double up to a maximum.
 
         Args:
@@ -93,7 +93,7 @@
             except LogUnavailableError:
                 continue
             chosen = random.sample(contacts, min(MAX_CONTACTS_PER_ROUND, len(contacts)))
-            await introduce(chosen)
+            await join_peers(chosen)
 
     async def leave(self, own: Member) -> None:
         """Write a leave entry once, so that an outage does not delay the shutdown."""
