--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -1,8 +1,8 @@
 """Discovery of nodes through the membership stream, a topic of the platform's log.
 
-Gossip only connects nodes that know each other. Nodes that started at the same moment
-found an empty stream, and after a long partition each side has removed the other from
-its member tables. Every node therefore repeats discovery for as long as it runs.
+Gossip only connects nodes that know each other. Nodes that start at the same moment
+may find an empty stream, and after a long partition each side has removed the other
+from its member tables. Every node therefore repeats discovery for as long as it runs.
 """
 
 import asyncio
