--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -1,4 +1,4 @@
-"""Exchanges news with a constant number of neighbours and finds dead members."""
+"""Gossip with a fixed number of neighbors, and detection of failed members."""
 
 import asyncio
 import random
@@ -18,40 +18,43 @@
 from ..supervisor import Supervisor
 from .control import ControlClient, ControlServer, PeerError
 from .hashing import rank
-from .members import Member, Members, read_member, State
+from .members import Member, Members, parse_member, State
 
-# Neighbours: the ring makes sure that every member of a zone is watched by some;
-# the random ones make news cross a large fleet in a few hops; the ones in other
-# zones carry it out.
-RING_NEIGHBOURS = 2
-RANDOM_NEIGHBOURS = 2
-OTHER_ZONE_NEIGHBOURS = 2
-UPDATES_A_MESSAGE = 40
+# Neighbors of a node: those on the ring of its zone ensure that every member is probed
+# by others, the random ones spread updates over a large zone in a few hops, and those
+# in other zones spread updates between zones.
+RING_NEIGHBORS = 2
+RANDOM_NEIGHBORS = 2
+CROSS_ZONE_NEIGHBORS = 2
+MAX_UPDATES_PER_MESSAGE = 40
 EXCHANGE_TIMEOUT_SECONDS = 1.0
 PROBE_TIMEOUT_SECONDS = 2.0
-# Others asked to reach a member before it is suspected: one bad link is no death.
+# Members asked to probe a member before it is suspected, since only the link to it may
+# have failed.
 INDIRECT_PROBES = 2
-# News is held this long, so that one message carries what arrives together.
-GATHER_SECONDS = 0.01
-COMPARE_EVERY = 10
-# Told for a configuration that has never been known to be fresh.
-OLDEST_SECONDS = 1e6
+# Delay before updates are sent, so that one message carries those arriving together.
+BATCH_DELAY_SECONDS = 0.01
+COMPARE_INTERVAL_ROUNDS = 10
+# Limits the age sent to peers; that of a configuration never confirmed is infinite.
+MAX_SENT_AGE_SECONDS = 1e6
 
 OnOffset = Callable[[int, float, str], None]
 
 
 class Gossip:
-    """Keeps this instance's table of members in step with the others'.
+    """Keeps the member table in sync with those of other nodes, and probes members.
+
+    An exchange of updates with a neighbor is also a probe of it.
 
     Args:
-        members: The table.
-        client: Sends messages.
-        journal: Told of joins, deaths and departures.
-        metrics: Counts members by state.
-        period: Seconds between two exchanges with one neighbour.
-        suspicion: Seconds a member is suspect before it is dead.
+        members: The member table.
+        client: Client for messages to other nodes.
+        journal: Journal that receives joins, suspicions, deaths and departures.
+        metrics: Metrics with the number of members by state.
+        period_seconds: Average interval of the exchanges with each neighbor.
+        suspicion_seconds: Time for which a member is suspect before it is dead.
         get_offset: Returns the configuration's next offset and its age in seconds.
-        on_offset: Told a neighbour's offset, age and control address.
+        on_offset: Called with a peer's next offset, age and control address.
     """
 
     def __init__(
@@ -60,8 +63,8 @@
         client: ControlClient,
         journal: Journal,
         metrics: Metrics,
-        period: float,
-        suspicion: float,
+        period_seconds: float,
+        suspicion_seconds: float,
         get_offset: Callable[[], tuple[int, float]],
         on_offset: OnOffset,
     ):
@@ -69,44 +72,53 @@
         self._client = client
         self._journal = journal
         self._metrics = metrics
-        self._period = period
-        self._suspicion = suspicion
+        self._period_seconds = period_seconds
+        self._suspicion_seconds = suspicion_seconds
         self._get_offset = get_offset
         self._on_offset = on_offset
         self._supervisor = Supervisor("gossip", journal)
         self._wakeups: dict[str, asyncio.Event] = {}
-        self._pick_again = asyncio.Event()
-        self._pick_again.set()
-        members.watch(self._tell)
+        self._neighbors_outdated = asyncio.Event()
+        self._neighbors_outdated.set()
+        members.watch(self._on_member_change)
 
     def register(self, server: ControlServer) -> None:
-        """Answer the messages that gossip needs."""
+        """Register the handlers of exchanges and probes."""
         server.register("Exchange", self._answer_exchange)
         server.register("Probe", self._answer_probe)
 
     async def run(self) -> None:
-        """Keep one task for each neighbour; choose anew when the table changes."""
+        """Run a task for each neighbor; choose neighbors again as members come and go.
+
+        Also expires suspicions and tombstones, once per period.
+        """
         try:
             while True:
-                if self._pick_again.is_set():
-                    # Not each time: ranking a large fleet takes tens of milliseconds.
-                    self._pick_again.clear()
-                    await self._match_neighbours()
-                self._members.expire(self._suspicion)
-                self._count()
+                if self._neighbors_outdated.is_set():
+                    # Only after changes: ranking a large fleet takes tens of ms.
+                    self._neighbors_outdated.clear()
+                    await self._update_neighbor_tasks()
+                self._members.expire(self._suspicion_seconds)
+                self._update_metrics()
                 try:
-                    await asyncio.wait_for(self._pick_again.wait(), self._period)
-                    await asyncio.sleep(GATHER_SECONDS)
+                    await asyncio.wait_for(
+                        self._neighbors_outdated.wait(), self._period_seconds
+                    )
+                    await asyncio.sleep(BATCH_DELAY_SECONDS)
                 except TimeoutError:
                     pass
         finally:
             await self._supervisor.close()
 
-    async def introduce(self, addresses: list[str], most: int = 3) -> int:
-        """Ask nodes at these addresses for their tables.
+    async def introduce(self, addresses: list[str], max_answers: int = 3) -> int:
+        """Contact nodes one by one, to join their tables and fetch unknown members.
+
+        Args:
+            addresses: Control addresses of the nodes.
+            max_answers: Number of answers after which no more nodes are contacted.
 
         Returns:
-            How many answered.
+            The number of nodes that answered.
         """
         answered = 0
         for address in addresses:
@@ -117,96 +129,99 @@
                 answered += 1
             except PeerError:
                 continue
-            if answered >= most:
+            if answered >= max_answers:
                 break
         return answered
 
     def spread(self) -> None:
-        """Exchange with every neighbour now: there is news."""
+        """Exchange updates with every neighbor now instead of at the next period."""
         for wakeup in self._wakeups.values():
             wakeup.set()
 
     async def say_goodbye(self, **changes: object) -> None:
-        """Tell the neighbours of a change of this instance before going on."""
+        """Change this instance's entry, and exchange with all neighbors at once."""
         self._members.change_own(**changes)
         exchanges = [
             self._exchange(member.control, receiver=member.instance)
-            for member in self._choose_neighbours()
+            for member in self._choose_neighbors()
         ]
         await asyncio.gather(*exchanges, return_exceptions=True)
 
-    def _choose_neighbours(self) -> list[Member]:
+    def _choose_neighbors(self) -> list[Member]:
         own = self._members.own
         reachable = {
             member.instance: member
             for member in self._members.get_reachable()
             if member.instance != own.instance
         }
-        local = sorted(name for name, m in reachable.items() if m.zone == own.zone)
-        others = [name for name, m in reachable.items() if m.zone != own.zone]
-        after = [name for name in local if name > own.instance]
-        ring = (after + local)[:RING_NEIGHBOURS]
+        same_zone = sorted(name for name, m in reachable.items() if m.zone == own.zone)
+        cross_zone = [name for name, m in reachable.items() if m.zone != own.zone]
+        successors = [name for name in same_zone if name > own.instance]
+        ring = (successors + same_zone)[:RING_NEIGHBORS]
         chosen = set(ring)
-        chosen.update(rank(own.instance, local, RANDOM_NEIGHBOURS))
-        chosen.update(rank(own.instance, others, OTHER_ZONE_NEIGHBOURS))
+        chosen.update(rank(own.instance, same_zone, RANDOM_NEIGHBORS))
+        chosen.update(rank(own.instance, cross_zone, CROSS_ZONE_NEIGHBORS))
         return [reachable[name] for name in sorted(chosen)]
 
-    async def _match_neighbours(self) -> None:
-        wanted = {member.instance: member for member in self._choose_neighbours()}
+    async def _update_neighbor_tasks(self) -> None:
+        neighbors = {member.instance: member for member in self._choose_neighbors()}
         for name in self._supervisor.children:
-            if name not in wanted:
+            if name not in neighbors:
                 self._wakeups.pop(name, None)
                 await self._supervisor.end(name)
-        for name in wanted:
+        for name in neighbors:
             if name not in self._supervisor.children:
                 self._wakeups[name] = asyncio.Event()
-                self._supervisor.start(name, self._build_neighbour(name))
+                self._supervisor.start(name, self._build_exchange_loop(name))
 
-    def _build_neighbour(self, name: str) -> Callable[[], Awaitable[None]]:
+    def _build_exchange_loop(self, name: str) -> Callable[[], Awaitable[None]]:
         async def keep_exchanging() -> None:
             wakeup = self._wakeups[name]
-            rounds = random.randrange(COMPARE_EVERY)
+            rounds = random.randrange(COMPARE_INTERVAL_ROUNDS)
             while True:
                 member = self._members.get(name)
                 if member is None or not member.reachable:
                     return
                 rounds += 1
-                await self._try_neighbour(member, rounds % COMPARE_EVERY == 0)
-                pause = self._period * random.uniform(0.8, 1.2)
+                await self._exchange_or_suspect(
+                    member, rounds % COMPARE_INTERVAL_ROUNDS == 0
+                )
+                pause = self._period_seconds * random.uniform(0.8, 1.2)
                 try:
                     await asyncio.wait_for(wakeup.wait(), pause)
-                    await asyncio.sleep(GATHER_SECONDS)
+                    await asyncio.sleep(BATCH_DELAY_SECONDS)
                 except TimeoutError:
                     pass
                 wakeup.clear()
 
         return keep_exchanging
 
-    async def _try_neighbour(self, member: Member, compare: bool) -> None:
+    async def _exchange_or_suspect(self, member: Member, compare: bool) -> None:
         try:
             await self._exchange(member.control, compare, member.instance)
         except PeerError:
-            if not await self._probe_through_others(member):
+            if not await self._probe_indirectly(member):
                 self._members.suspect(member.instance)
                 self.spread()
 
     async def _exchange(
         self, address: str, compare: bool = False, receiver: str = ""
     ) -> None:
-        next_offset, age = self._read_offset()
+        next_offset, age = self._get_sent_offset()
         request = pb.ExchangeRequest(
             sender=self._members.own.to_proto(),
             updates=self._take_updates(),
             next_offset=next_offset,
             configuration_age_ms=int(age * 1000),
-            buckets=self._members.hash_buckets() if compare else [],
+            buckets=self._members.get_bucket_hashes() if compare else [],
         )
         sent_at = time.monotonic()
         reply = await self._client.call(
             address, "Exchange", request, EXCHANGE_TIMEOUT_SECONDS, receiver
         )
         self._merge([reply.sender, *reply.updates])
-        # The peer's knowledge is at least as old as the question.
+        # The reply may have been created right after the request was sent, so that its
+        # age has grown by up to a round trip.
         age = reply.configuration_age_ms / 1000 + time.monotonic() - sent_at
         self._on_offset(reply.next_offset, age, address)
 
@@ -217,11 +232,11 @@
         age = request.configuration_age_ms / 1000
         self._on_offset(request.next_offset, age, request.sender.control)
         if request.buckets:
-            differing = self._members.find_differing(request.buckets)
+            differing = self._members.find_differing_members(request.buckets)
             updates = [self._members.to_proto(member) for member in differing]
         else:
             updates = self._take_updates()
-        next_offset, age = self._read_offset()
+        next_offset, age = self._get_sent_offset()
         return pb.ExchangeReply(
             sender=self._members.own.to_proto(),
             updates=updates,
@@ -236,8 +251,8 @@
             return pb.ProbeReply(answered=False)
         return pb.ProbeReply(answered=True)
 
-    async def _probe_through_others(self, member: Member) -> bool:
-        """Ask others to reach a member; a link may be bad while the member is well."""
+    async def _probe_indirectly(self, member: Member) -> bool:
+        """Return whether any of a few other members can reach a member."""
         others = [
             other
             for other in self._members.get_reachable()
@@ -258,26 +273,26 @@
             not isinstance(reply, BaseException) and reply.answered for reply in replies
         )
 
-    def _read_offset(self) -> tuple[int, float]:
-        """Return the configuration's next offset, and its age as it can be told."""
+    def _get_sent_offset(self) -> tuple[int, float]:
+        """Return the configuration's next offset, and its age as sent to peers."""
         next_offset, age = self._get_offset()
-        return next_offset, min(age, OLDEST_SECONDS)
+        return next_offset, min(age, MAX_SENT_AGE_SECONDS)
 
     def _take_updates(self) -> list[pb.Member]:
-        updates = self._members.take_updates(UPDATES_A_MESSAGE)
+        updates = self._members.take_updates(MAX_UPDATES_PER_MESSAGE)
         return [self._members.to_proto(member) for member in updates]
 
     def _merge(self, messages: list[pb.Member]) -> None:
-        news = [
-            self._members.merge(read_member(message), message.state_age_ms / 1000)
+        changed = [
+            self._members.merge(parse_member(message), message.state_age_ms / 1000)
             for message in messages
         ]
-        if any(news):
+        if any(changed):
             self.spread()
 
-    def _tell(self, member: Member, previous: Member | None) -> None:
+    def _on_member_change(self, member: Member, previous: Member | None) -> None:
         if previous is None or previous.reachable != member.reachable:
-            self._pick_again.set()
+            self._neighbors_outdated.set()
         if member.instance == self._members.own.instance:
             if previous is not None and previous.sequence + 1 < member.sequence:
                 self._journal.emit(MEMBER_REFUTED)
@@ -295,6 +310,6 @@
         if event is not None:
             self._journal.emit(event, member=member.instance, of_zone=member.zone)
 
-    def _count(self) -> None:
-        for state, count in self._members.count_states().items():
+    def _update_metrics(self) -> None:
+        for state, count in self._members.count_by_state().items():
             self._metrics.members.labels(state.name.lower()).set(count)
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -1,4 +1,4 @@
-"""The table of members, and the merge that makes any two tables agree."""
+"""The member table, whose merge lets the tables of all nodes converge."""
 
 import enum
 import math
@@ -9,16 +9,17 @@
 
 from ..proto import control_pb2 as pb
 
-# How long a dead or departed member is remembered, so that old news of it being
-# alive is known to be old, and so that a cut-off part of a zone keeps counting it.
-TOMBSTONE_SECONDS = 600.0
-BUCKETS = 32
-# Each news is sent this many times the logarithm of the fleet's size, as in SWIM.
-SENDS_FACTOR = 3
+# A dead or departed member stays in the table this long. Older updates that call it
+# alive are rejected meanwhile, and a partitioned part of a zone still counts it in the
+# zone's size.
+TOMBSTONE_RETENTION_SECONDS = 600.0
+BUCKET_COUNT = 32
+# Each update is sent this many times log2 of the fleet's size, as in SWIM.
+RETRANSMIT_MULTIPLIER = 3
 
 
 class State(enum.IntEnum):
-    """States of a member, in the order in which they win over each other."""
+    """States of a member; the higher wins between otherwise equal updates."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -27,25 +28,25 @@
 
 
 class Member:
-    """A node and the backend server beside it.
+    """A node and its local backend server.
 
     Args:
         instance: Name, unique in the fleet.
-        incarnation: Wall clock of the process's start, ms; a restart has a higher.
-        sequence: Raised by the member itself, whenever it changes.
-        state: As far as is known.
-        zone: Its availability zone.
+        incarnation: Start time of the process, Unix time in ms; higher after a restart.
+        sequence: Version of the entry; the member increments it at each change.
+        state: Last known state.
+        zone: Availability zone.
         callers: ``IP:PORT`` of its callers' listener.
         relay: ``IP:PORT`` of its relay listener.
         control: ``IP:PORT`` of its control listener.
         operator: ``IP:PORT`` of its operator listener.
-        service: What its backend server serves, empty where there is none.
+        service: Service of the backend server; empty if there is no backend server.
         backend_server: ``IP:PORT`` of the backend server.
-        serving: Whether it takes new work.
-        serving_since_ms: Wall clock since when.
-        slots: Calls that the backend server announced to take at once, 0 unknown.
-        share: Share of every rate that is in force at it, negative before its start
-            is complete.
+        serving: Whether it accepts new calls.
+        serving_since_ms: Unix time in ms since when it accepts calls.
+        slots: Concurrent calls that the backend server accepts; 0 if unknown.
+        share: Share of every rate that it applies; negative until its start is
+            complete.
     """
 
     __slots__ = (
@@ -66,93 +67,95 @@
         "zone",
     )
 
-    def __init__(self, instance: str, incarnation: int, sequence: int = 0, **rest: Any):
+    def __init__(
+        self, instance: str, incarnation: int, sequence: int = 0, **attributes: Any
+    ):
         self.instance = instance
         self.incarnation = incarnation
         self.sequence = sequence
-        self.state: State = rest.get("state", State.ALIVE)
-        self.zone: str = rest.get("zone", "")
-        self.callers: str = rest.get("callers", "")
-        self.relay: str = rest.get("relay", "")
-        self.control: str = rest.get("control", "")
-        self.operator: str = rest.get("operator", "")
-        self.service: str = rest.get("service", "")
-        self.backend_server: str = rest.get("backend_server", "")
-        self.serving: bool = rest.get("serving", False)
-        self.serving_since_ms: int = rest.get("serving_since_ms", 0)
-        self.slots: int = rest.get("slots", 0)
-        self.share: float = rest.get("share", -1.0)
+        self.state: State = attributes.get("state", State.ALIVE)
+        self.zone: str = attributes.get("zone", "")
+        self.callers: str = attributes.get("callers", "")
+        self.relay: str = attributes.get("relay", "")
+        self.control: str = attributes.get("control", "")
+        self.operator: str = attributes.get("operator", "")
+        self.service: str = attributes.get("service", "")
+        self.backend_server: str = attributes.get("backend_server", "")
+        self.serving: bool = attributes.get("serving", False)
+        self.serving_since_ms: int = attributes.get("serving_since_ms", 0)
+        self.slots: int = attributes.get("slots", 0)
+        self.share: float = attributes.get("share", -1.0)
 
     @property
-    def rank(self) -> tuple[int, int, int]:
-        """What decides between two reports of one member: the higher wins."""
+    def precedence(self) -> tuple[int, int, int]:
+        """Sort key of updates about one member; the higher one wins."""
         return (self.incarnation, self.sequence, self.state)
 
     @property
     def reachable(self) -> bool:
-        """Whether it may be asked."""
+        """Whether messages are sent to it: it is alive or only suspect."""
         return self.state in (State.ALIVE, State.SUSPECT)
 
     def replace(self, **changes: Any) -> "Member":
-        """Return a copy with changes."""
+        """Return a copy in which the given attributes are changed."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         return Member(**(fields | changes))
 
     def to_proto(self, age: float = 0.0) -> pb.Member:
-        """Return the message that tells of the member, whose state is so old (s)."""
+        """Return the member as a message; ``age`` is that of its state, in seconds."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         fields["state"] = int(self.state)
         return pb.Member(**fields, state_age_ms=int(age * 1000))
 
     def to_dict(self) -> dict[str, Any]:
-        """Return the member for JSON."""
+        """Return the attributes as a JSON object."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         return fields | {"state": self.state.name.lower()}
 
 
-def read_member(message: pb.Member) -> Member:
-    """Return the member that a message tells of."""
+def parse_member(message: pb.Member) -> Member:
+    """Return the member that a message describes."""
     fields = {name: getattr(message, name) for name in Member.__slots__}
-    # A state of a later version is one that this version cannot serve with.
-    known = message.state in State._value2member_map_
-    fields["state"] = State(message.state) if known else State.SUSPECT
+    # An unknown state of a later version is treated as SUSPECT.
+    is_known = message.state in State._value2member_map_
+    fields["state"] = State(message.state) if is_known else State.SUSPECT
     return Member(**fields)
 
 
-OnChange = Callable[[Member, Member | None], None]
+OnMemberChange = Callable[[Member, Member | None], None]
 
 
 class Members:
-    """Every member as this instance knows it.
+    """The member table of this instance.
 
     Args:
-        own: This instance.
-        clock: Seconds, for ages only.
+        own: The entry of this instance.
+        clock: Returns seconds; used only to compute ages.
     """
 
     def __init__(self, own: Member, clock: Callable[[], float] = time.monotonic):
         self._own = own
         self._clock = clock
         self._table: dict[str, Member] = {own.instance: own}
-        self._changed_at: dict[str, float] = {own.instance: clock()}
-        self._sends: dict[str, int] = {own.instance: 1}
-        self._watchers: list[OnChange] = []
+        self._state_since: dict[str, float] = {own.instance: clock()}
+        self._remaining_sends: dict[str, int] = {own.instance: 1}
+        self._watchers: list[OnMemberChange] = []
         self._version = 0
         self._by_control: dict[str, str] = {own.control: own.instance}
         self._zones: dict[str, dict[str, Member]] = {own.zone: {own.instance: own}}
         self._zone_versions: dict[str, int] = {own.zone: 1}
-        self._ending: set[str] = set()
-        self._buckets = [0] * BUCKETS
-        self._mix_into_buckets(own)
+        self._not_alive: set[str] = set()
+        self._buckets = [0] * BUCKET_COUNT
+        self._toggle_in_bucket_hash(own)
 
     @property
     def own(self) -> Member:
-        """This instance."""
+        """The entry of this instance."""
         return self._own
 
     @property
     def version(self) -> int:
-        """A number that grows with every change; for what is derived from the table."""
+        """Version of the table, incremented at every change; for caches."""
         return self._version
 
     def __len__(self) -> int:
@@ -162,214 +165,241 @@
         return iter(self._table.values())
 
     def get(self, instance: str) -> Member | None:
-        """Return the member of this name."""
+        """Return the member with this name, or None."""
         return self._table.get(instance)
 
-    def watch(self, watcher: OnChange) -> None:
-        """Call ``watcher`` with each new report and the one before it."""
+    def watch(self, watcher: OnMemberChange) -> None:
+        """Call ``watcher`` with each changed entry and the previous one, or None."""
         self._watchers.append(watcher)
 
     @property
     def zones(self) -> list[str]:
-        """Availability zones with a member that may be asked."""
-        return [zone for zone, inside in self._zones.items() if inside]
+        """Availability zones with at least one reachable member."""
+        return [zone for zone, zone_members in self._zones.items() if zone_members]
 
     def get_zone_version(self, zone: str) -> int:
-        """Return a number that grows when a zone's reachable members change."""
+        """Return the version of a zone's set of reachable members; for caches.
+
+        It is incremented when a member becomes reachable or unreachable, not when its
+        attributes change.
+        """
         return self._zone_versions.get(zone, 0)
 
     def get_reachable(self, zone: str = "") -> list[Member]:
-        """Return members that may be asked, of one zone or of all."""
+        """Return the reachable members of a zone, or of all zones by default."""
         if zone:
             return list(self._zones.get(zone, {}).values())
-        return [member for inside in self._zones.values() for member in inside.values()]
+        return [
+            member
+            for zone_members in self._zones.values()
+            for member in zone_members.values()
+        ]
 
     def count_electorate(self, zone: str) -> tuple[int, int]:
-        """Return how many members of a zone are reachable, and of how many.
+        """Return the numbers of reachable members and of all members of a zone.
 
-        Dead members count in the whole for as long as they are remembered, so that
-        a part of a zone that is cut off from the rest does not take itself for all.
+        Dead members count in the total while they are in the table, so that a
+        partitioned part of a zone does not consider itself the whole zone.
         """
         reachable = len(self._zones.get(zone, {}))
-        ending = (self._table[instance] for instance in self._ending)
-        dead = sum(m.zone == zone and m.state is State.DEAD for m in ending)
+        not_alive = (self._table[instance] for instance in self._not_alive)
+        dead = sum(m.zone == zone and m.state is State.DEAD for m in not_alive)
         return reachable, reachable + dead
 
-    def count_states(self) -> dict[State, int]:
-        """Return how many members there are in each state."""
+    def count_by_state(self) -> dict[State, int]:
+        """Return the number of members in each state."""
         counts = dict.fromkeys(State, 0)
-        for instance in self._ending:
+        for instance in self._not_alive:
             counts[self._table[instance].state] += 1
-        counts[State.ALIVE] = len(self._table) - len(self._ending)
+        counts[State.ALIVE] = len(self._table) - len(self._not_alive)
         return counts
 
     def change_own(self, **changes: Any) -> None:
-        """Change what this instance says of itself."""
+        """Change attributes of this instance's entry; gossip sends the update."""
         sequence = self._own.sequence + 1
-        self._put(self._own.replace(sequence=sequence, **changes))
+        self._store(self._own.replace(sequence=sequence, **changes))
+
+    def merge(self, update: Member, age: float = 0.0) -> bool:
+        """Apply an update unless the table has one of equal or higher precedence.
 
-    def merge(self, report: Member, age: float = 0.0) -> bool:
-        """Take a report in, unless a better one is known.
+        A newer update about this instance itself is refuted with a higher sequence.
 
         Args:
-            report: What was told.
-            age: Seconds since the member's state was first told.
+            update: Entry of a member, as another node sent it.
+            age: Seconds since the member's state was first reported.
 
         Returns:
-            Whether it was news.
+            Whether the table changed.
         """
-        if report.instance == self._own.instance:
-            return self._refute(report)
-        known = self._table.get(report.instance)
-        if known is not None and report.rank <= known.rank:
+        if update.instance == self._own.instance:
+            return self._refute(update)
+        current = self._table.get(update.instance)
+        if current is not None and update.precedence <= current.precedence:
             return False
-        if not report.reachable and age > TOMBSTONE_SECONDS:
-            # Others are about to forget it; taken in anew, it would travel in
-            # circles for ever.
+        if not update.reachable and age > TOMBSTONE_RETENTION_SECONDS:
+            # Others are about to remove this tombstone. If it were added again,
+            # nodes would send it back and forth forever.
             return False
-        self._put(report, age)
-        self._end_predecessors(report)
+        self._store(update, age)
+        self._end_predecessor(update)
         return True
 
     def suspect(self, instance: str) -> None:
-        """Mark a member that does not answer."""
+        """Mark a member that does not answer as suspect."""
         self._change_state(instance, State.ALIVE, State.SUSPECT)
 
     def declare_dead(self, instance: str) -> None:
-        """Mark a member that did not refute a suspicion."""
+        """Mark a suspect member that did not refute the suspicion as dead."""
         self._change_state(instance, State.SUSPECT, State.DEAD)
 
-    def expire(self, suspicion: float) -> None:
-        """End suspicions older than ``suspicion`` seconds; forget old tombstones."""
+    def expire(self, suspicion_seconds: float) -> None:
+        """Declare members dead that were suspect too long; remove old tombstones.
+
+        Args:
+            suspicion_seconds: Time that a suspect member has to refute the suspicion.
+        """
         now = self._clock()
-        for member in [self._table[instance] for instance in self._ending]:
-            age = now - self._changed_at[member.instance]
-            if member.state is State.SUSPECT and age > suspicion:
+        for member in [self._table[instance] for instance in self._not_alive]:
+            age = now - self._state_since[member.instance]
+            if member.state is State.SUSPECT and age > suspicion_seconds:
                 self.declare_dead(member.instance)
-            elif not member.reachable and age > TOMBSTONE_SECONDS:
-                self._forget(member.instance)
+            elif not member.reachable and age > TOMBSTONE_RETENTION_SECONDS:
+                self._remove(member.instance)
 
     def to_proto(self, member: Member) -> pb.Member:
-        """Return the message that tells of a member, and how old its state is."""
-        return member.to_proto(self._clock() - self._changed_at[member.instance])
+        """Return a member as a message, with the age of its state."""
+        return member.to_proto(self._clock() - self._state_since[member.instance])
 
-    def take_updates(self, most: int) -> list[Member]:
-        """Return the news to send next, the least sent first."""
-        chosen = sorted(self._sends, key=self._sends.__getitem__, reverse=True)[:most]
+    def take_updates(self, max_count: int) -> list[Member]:
+        """Return up to ``max_count`` updates to send, those sent least often first.
+
+        Each update counts as sent once more; after its last time it is removed.
+        """
+        chosen = sorted(
+            self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
+        )[:max_count]
         updates = []
         for instance in chosen:
             updates.append(self._table[instance])
-            self._sends[instance] -= 1
-            if self._sends[instance] <= 0:
-                del self._sends[instance]
+            self._remaining_sends[instance] -= 1
+            if self._remaining_sends[instance] <= 0:
+                del self._remaining_sends[instance]
         return updates
 
     @property
     def has_updates(self) -> bool:
-        """Whether there is news to send."""
-        return bool(self._sends)
+        """Whether there are updates to send."""
+        return bool(self._remaining_sends)
 
-    def hash_buckets(self) -> list[int]:
-        """Return a hash for each part of the table; equal tables hash alike."""
+    def get_bucket_hashes(self) -> list[int]:
+        """Return a hash of each bucket of members; equal tables have equal hashes."""
         return list(self._buckets)
 
-    def find_differing(self, buckets: Iterable[int]) -> list[Member]:
-        """Return the members of the parts whose hash is another."""
-        mine = self.hash_buckets()
-        theirs = list(buckets)
-        if len(theirs) != BUCKETS:
+    def find_differing_members(self, buckets: Iterable[int]) -> list[Member]:
+        """Return the members in the buckets whose hash differs from the peer's.
+
+        Args:
+            buckets: The peer's bucket hashes.
+        """
+        own_hashes = self.get_bucket_hashes()
+        peer_hashes = list(buckets)
+        if len(peer_hashes) != BUCKET_COUNT:
             return []
         return [
             member
             for member in self._table.values()
-            if theirs[_bucket_of(member.instance)] != mine[_bucket_of(member.instance)]
+            if peer_hashes[_get_bucket(member.instance)]
+            != own_hashes[_get_bucket(member.instance)]
         ]
 
-    def _refute(self, report: Member) -> bool:
-        if report.rank <= self._own.rank:
+    def _refute(self, update: Member) -> bool:
+        if update.precedence <= self._own.precedence:
             return False
         if self._own.state is State.LEFT:
             return False
-        incarnation = max(report.incarnation, self._own.incarnation)
-        self._put(
-            self._own.replace(incarnation=incarnation, sequence=report.sequence + 1)
+        incarnation = max(update.incarnation, self._own.incarnation)
+        self._store(
+            self._own.replace(incarnation=incarnation, sequence=update.sequence + 1)
         )
         return True
 
-    def _end_predecessors(self, report: Member) -> None:
-        """End members whose address a newer member has taken over."""
-        if report.state is not State.ALIVE:
+    def _end_predecessor(self, update: Member) -> None:
+        """Declare the previous user of the update's control address dead."""
+        if update.state is not State.ALIVE:
             return
-        before = self._table.get(self._by_control.get(report.control, ""))
-        self._by_control[report.control] = report.instance
-        if before is None or before.instance in (report.instance, self._own.instance):
+        predecessor = self._table.get(self._by_control.get(update.control, ""))
+        self._by_control[update.control] = update.instance
+        if predecessor is None or predecessor.instance in (
+            update.instance,
+            self._own.instance,
+        ):
             return
-        if before.reachable and before.incarnation < report.incarnation:
-            self._put(before.replace(state=State.DEAD))
+        if predecessor.reachable and predecessor.incarnation < update.incarnation:
+            self._store(predecessor.replace(state=State.DEAD))
 
     def _change_state(self, instance: str, before: State, after: State) -> None:
         member = self._table.get(instance)
         if member is not None and member.state is before and member is not self._own:
-            self._put(member.replace(state=after))
+            self._store(member.replace(state=after))
 
-    def _put(self, member: Member, age: float = 0.0) -> None:
+    def _store(self, member: Member, age: float = 0.0) -> None:
         previous = self._table.get(member.instance)
         self._table[member.instance] = member
-        self._changed_at[member.instance] = self._clock() - age
-        self._sends[member.instance] = self._count_sends()
+        self._state_since[member.instance] = self._clock() - age
+        self._remaining_sends[member.instance] = self._get_max_sends()
         self._version += 1
         if previous is not None:
-            self._mix_into_buckets(previous)
-        self._mix_into_buckets(member)
-        self._index(member, previous)
+            self._toggle_in_bucket_hash(previous)
+        self._toggle_in_bucket_hash(member)
+        self._update_indexes(member, previous)
         if member.instance == self._own.instance:
             self._own = member
         for watcher in self._watchers:
             watcher(member, previous)
 
-    def _index(self, member: Member, previous: Member | None) -> None:
-        """Keep what is asked for often from costing a walk through the table."""
+    def _update_indexes(self, member: Member, previous: Member | None) -> None:
+        """Update the indexes, which spare frequent queries a scan of the table."""
         if member.state is State.ALIVE:
-            self._ending.discard(member.instance)
+            self._not_alive.discard(member.instance)
         else:
-            self._ending.add(member.instance)
+            self._not_alive.add(member.instance)
         if previous is not None and previous.zone != member.zone:
-            self._drop_from_zone(previous)
+            self._remove_from_zone(previous)
         if member.reachable:
-            inside = self._zones.setdefault(member.zone, {})
-            if member.instance not in inside:
-                self._raise_zone_version(member.zone)
-            inside[member.instance] = member
+            zone_members = self._zones.setdefault(member.zone, {})
+            if member.instance not in zone_members:
+                self._increment_zone_version(member.zone)
+            zone_members[member.instance] = member
         else:
-            self._drop_from_zone(member)
+            self._remove_from_zone(member)
 
-    def _drop_from_zone(self, member: Member) -> None:
-        inside = self._zones.get(member.zone, {})
-        if inside.pop(member.instance, None) is not None:
-            self._raise_zone_version(member.zone)
+    def _remove_from_zone(self, member: Member) -> None:
+        zone_members = self._zones.get(member.zone, {})
+        if zone_members.pop(member.instance, None) is not None:
+            self._increment_zone_version(member.zone)
 
-    def _raise_zone_version(self, zone: str) -> None:
+    def _increment_zone_version(self, zone: str) -> None:
         self._zone_versions[zone] = self._zone_versions.get(zone, 0) + 1
 
-    def _count_sends(self) -> int:
-        return SENDS_FACTOR * math.ceil(math.log2(len(self._table) + 1))
+    def _get_max_sends(self) -> int:
+        return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(len(self._table) + 1))
 
-    def _mix_into_buckets(self, member: Member) -> None:
-        """Add a report to its bucket's hash; a second time takes it out again."""
-        text = f"{member.instance}|{member.rank}"
-        self._buckets[_bucket_of(member.instance)] ^= zlib.crc32(text.encode())
+    def _toggle_in_bucket_hash(self, member: Member) -> None:
+        """Add an entry to its bucket's hash, or remove it if it was added before."""
+        text = f"{member.instance}|{member.precedence}"
+        self._buckets[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
 
-    def _forget(self, instance: str) -> None:
+    def _remove(self, instance: str) -> None:
         member = self._table.pop(instance)
-        self._ending.discard(instance)
-        self._drop_from_zone(member)
-        self._mix_into_buckets(member)
+        self._not_alive.discard(instance)
+        self._remove_from_zone(member)
+        self._toggle_in_bucket_hash(member)
         if self._by_control.get(member.control) == instance:
             del self._by_control[member.control]
-        del self._changed_at[instance]
-        self._sends.pop(instance, None)
+        del self._state_since[instance]
+        self._remaining_sends.pop(instance, None)
         self._version += 1
 
 
-def _bucket_of(instance: str) -> int:
-    return zlib.crc32(instance.encode()) % BUCKETS
+def _get_bucket(instance: str) -> int:
+    return zlib.crc32(instance.encode()) % BUCKET_COUNT
--- a/primroseglade/fleet/puller.py
+++ b/primroseglade/fleet/puller.py
@@ -1,4 +1,4 @@
-"""Takes records from peers that are ahead, and gives them to those behind."""
+"""Transfers configuration records and snapshots between peers."""
 
 import asyncio
 import json
@@ -14,54 +14,65 @@
 
 
 class PeerPuller:
-    """Takes records from a peer that is ahead, and gives them to those behind.
+    """Pulls records from peers that are ahead, and serves them to those behind.
 
     Args:
-        configuration: The state.
-        client: Asks peers.
-        on_news: Called after records came in, to tell others at once.
+        configuration: The configuration of this instance.
+        client: Client for messages to other nodes.
+        on_records: Called after a pull that advanced the configuration.
     """
 
     def __init__(
         self,
         configuration: Configuration,
         client: ControlClient,
-        on_news: Callable[[], None],
+        on_records: Callable[[], None],
     ):
         self._configuration = configuration
         self._client = client
-        self._on_news = on_news
-        self._ahead: asyncio.Queue[str] = asyncio.Queue(maxsize=1)
+        self._on_records = on_records
+        self._peers_ahead: asyncio.Queue[str] = asyncio.Queue(maxsize=1)
 
     def register(self, server: ControlServer) -> None:
-        """Answer peers that are behind."""
+        """Register the handler that serves records to peers."""
         server.register("Records", self._answer)
 
     def note_offset(self, next_offset: int, age: float, control: str) -> None:
-        """Take a neighbour's word on how far and how fresh it is."""
-        mine = self._configuration.next_offset
-        if next_offset > mine or (next_offset == 0 and not self._configuration.ready):
-            if not self._ahead.full():
-                self._ahead.put_nowait(control)
-        elif next_offset == mine and age < self._configuration.age:
-            # Equal states: what the neighbour knows of their age holds here too.
-            self._configuration.confirm_age(age)
+        """Schedule a pull if a peer is ahead, or take over its age if it is equal.
+
+        Args:
+            next_offset: Next offset of the peer's configuration.
+            age: Age of the peer's configuration in seconds.
+            control: Control address of the peer.
+        """
+        own_offset = self._configuration.next_offset
+        if next_offset > own_offset or (
+            next_offset == 0 and not self._configuration.ready
+        ):
+            if not self._peers_ahead.full():
+                self._peers_ahead.put_nowait(control)
+        elif next_offset == own_offset and age < self._configuration.age:
+            # The configurations are equal, so that the peer's lower age holds here too.
+            self._configuration.update_age(age)
 
     async def run(self) -> None:
-        """Pull from whoever is ahead."""
+        """Pull from peers that are ahead, as ``handle_peer_offset`` reports them."""
         while True:
-            control = await self._ahead.get()
+            control = await self._peers_ahead.get()
             try:
                 await self.pull(control)
             except (PeerError, InputError):
                 continue
 
     async def pull(self, control: str) -> None:
-        """Take what a node has and this one has not.
+        """Pull the records that this instance lacks, or a snapshot, from a node.
+
+        Args:
+            control: Control address of the node.
 
         Raises:
-            PeerError: It does not answer.
-            InputError: What it answered is not to be trusted.
+            PeerError: The node does not answer.
+            InputError: The node answered with an invalid snapshot.
         """
         before = self._configuration.next_offset
         request = pb.RecordsRequest(from_offset=before)
@@ -70,14 +81,14 @@
         )
         if reply.snapshot:
             values = json.loads(reply.snapshot)
-            parts = self._configuration.read_snapshot(values)
+            parts = self._configuration.parse_snapshot(values)
             self._configuration.load(parts)
         records = [
             LogRecord(item.offset, json.loads(item.value)) for item in reply.records
         ]
         self._configuration.apply(records)
         if self._configuration.next_offset > before:
-            self._on_news()
+            self._on_records()
 
     async def _answer(self, request: pb.RecordsRequest, _: str) -> pb.RecordsReply:
         records = self._configuration.get_records(request.from_offset)
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -1,8 +1,8 @@
-"""The membership stream in the log: how nodes find one another, again and again.
+"""Discovery of nodes through the membership stream, a topic of the platform's log.
 
-Gossip keeps a fleet together that is together. It does not bring together nodes that
-started at the same moment and found an empty stream, nor zones that were cut off for so
-long that each side has forgotten the other. Both happen, so every node goes on looking.
+Gossip only connects nodes that know each other. Nodes that start at the same moment
+may find an empty stream, and after a long partition each side has removed the other
+from its member tables. Every node therefore repeats discovery for as long as it runs.
 """
 
 import asyncio
@@ -20,40 +20,42 @@
 from .members import Member
 
 FORMAT = 1
-# A start reads the stream's end only: a few nodes that answer give the whole table.
-RECORDS_READ = 200
-FIRST_RETRY_SECONDS = 0.2
-LONGEST_RETRY_SECONDS = 5.0
-FIRST_LOOK_SECONDS = 0.5
-CONTACTS_ASKED = 3
+# Only the last entries are read: a few nodes that answer provide the whole table.
+MAX_RECORDS_READ = 200
+INITIAL_RETRY_SECONDS = 0.2
+MAX_RETRY_SECONDS = 5.0
+INITIAL_DISCOVERY_SECONDS = 0.5
+MAX_CONTACTS_PER_ROUND = 3
 
 
-Introduce = Callable[[list[str]], Awaitable[int]]
+JoinPeers = Callable[[list[str]], Awaitable[int]]
 
 
 class MembershipStream:
-    """Writes this node's joins, renewals and departure, and reads others'.
+    """Writes join and leave entries of this node, and reads those of others.
 
     Args:
-        log: The platform's log.
-        renewal: Seconds between two entries of a node that stays.
-        discovery: Seconds between two looks for nodes that this one has not met.
+        log: Client of the platform's log.
+        renewal_seconds: Average interval at which a running node writes a join entry.
+        discovery_seconds: Maximum interval of discovery rounds, before jitter.
     """
 
-    def __init__(self, log: LogClient, renewal: float, discovery: float):
+    def __init__(
+        self, log: LogClient, renewal_seconds: float, discovery_seconds: float
+    ):
         self._log = log
-        self._renewal = renewal
-        self._discovery = discovery
+        self._renewal_seconds = renewal_seconds
+        self._discovery_seconds = discovery_seconds
 
     async def find_contacts(self) -> list[str]:
-        """Return control addresses of the nodes that joined or renewed last.
+        """Return the control addresses of nodes with recent entries, newest first.
 
         Raises:
             LogUnavailableError: The log does not answer.
         """
         try:
             first, end = await self._log.get_range(MEMBERSHIP_TOPIC)
-            start = max(first, end - RECORDS_READ)
+            start = max(first, end - MAX_RECORDS_READ)
             if start >= end:
                 return []
             records = await self._log.read(MEMBERSHIP_TOPIC, start, 0.0)
@@ -64,51 +66,51 @@
             entry = _read_entry(record.value)
             if entry is None:
                 continue
-            instance, control, leaves = entry
+            instance, control, has_left = entry
             contacts.pop(instance, None)
-            if not leaves:
+            if not has_left:
                 contacts[instance] = control
         return list(reversed(contacts.values()))
 
     async def run(self, own: Member) -> None:
-        """Join, then renew for as long as the node runs."""
+        """Write a join entry now, and again at each renewal interval."""
         while True:
-            await self._append(_build_entry(own, "join"))
-            await asyncio.sleep(self._renewal * random.uniform(0.8, 1.2))
+            await self._append_with_retries(_build_entry(own, "join"))
+            await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
 
-    async def keep_looking(self, introduce: Introduce) -> None:
-        """Ask some nodes of the stream for their tables: soon at first, then seldom.
+    async def keep_looking(self, join_peers: JoinPeers) -> None:
+        """Contact random nodes of the stream, at intervals that double up to a maximum.
 
         Args:
-            introduce: Exchanges tables with the nodes at these control addresses.
+            join_peers: Exchanges member tables with nodes at these control addresses.
         """
-        pause = FIRST_LOOK_SECONDS
+        pause = INITIAL_DISCOVERY_SECONDS
         while True:
             await asyncio.sleep(random.uniform(0.5, 1.5) * pause)
-            pause = min(self._discovery, pause * 2)
+            pause = min(self._discovery_seconds, pause * 2)
             try:
                 contacts = await self.find_contacts()
             except LogUnavailableError:
                 continue
-            chosen = random.sample(contacts, min(CONTACTS_ASKED, len(contacts)))
-            await introduce(chosen)
+            chosen = random.sample(contacts, min(MAX_CONTACTS_PER_ROUND, len(contacts)))
+            await join_peers(chosen)
 
     async def leave(self, own: Member) -> None:
-        """Tell of a planned stop; a stop does not wait for a log that is away."""
+        """Write a leave entry once, so that an outage does not delay the shutdown."""
         try:
             await self._log.append(MEMBERSHIP_TOPIC, _build_entry(own, "leave"))
         except LogUnavailableError:
             return
 
-    async def _append(self, entry: dict[str, Any]) -> None:
-        delay = FIRST_RETRY_SECONDS
+    async def _append_with_retries(self, entry: dict[str, Any]) -> None:
+        delay = INITIAL_RETRY_SECONDS
         while True:
             try:
                 await self._log.append(MEMBERSHIP_TOPIC, entry)
                 return
             except LogUnavailableError:
                 await asyncio.sleep(random.uniform(delay / 2, delay))
-                delay = min(LONGEST_RETRY_SECONDS, delay * 2)
+                delay = min(MAX_RETRY_SECONDS, delay * 2)
 
 
 def _build_entry(own: Member, kind: str) -> dict[str, Any]:
@@ -122,7 +124,7 @@
 
 
 def _read_entry(value: Any) -> tuple[str, str, bool] | None:
-    """Return instance, control address and whether it leaves; None if unreadable."""
+    """Return instance, control address and whether it left; None if invalid."""
     if not isinstance(value, dict) or value.get("format") != FORMAT:
         return None
     instance, control = value.get("instance"), value.get("control")
