--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -6,15 +6,15 @@
 
 from .simulation import Simulation
 
-ZONE_SECONDS = 0.0003
-OTHER_ZONE_SECONDS = 0.0008
+SAME_ZONE_DELAY_SECONDS = 0.0003
+CROSS_ZONE_DELAY_SECONDS = 0.0008
 # A stream on which nothing comes is given up after this time.
-SILENCE_SECONDS = 1.5
+FAILURE_DETECTION_SECONDS = 1.5
 # Streams to a node that was restarted or reached again are opened within this time.
-RECONNECT_SECONDS = 1.0
+MAX_RECONNECT_SECONDS = 1.0
 # Part of the messages that are late, and by how much at most.
-LATE_PART = 0.002
-LATE_SECONDS = 0.4
+DELAYED_MESSAGE_RATIO = 0.002
+MAX_EXTRA_DELAY_SECONDS = 0.4
 
 
 class Cut:
@@ -59,7 +59,7 @@
         self._zones = zones
         self._cuts = cuts
         self._rng = rng
-        self._reconnects = [rng.uniform(0.05, RECONNECT_SECONDS) for _ in zones]
+        self._reconnects = [rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones]
         #: When each process started; infinite while there is none.
         self.started = [math.inf] * len(zones)
         #: Until when each process stands still.
@@ -85,9 +85,9 @@
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
         for cut in self._cuts:
-            noticed = cut.start + SILENCE_SECONDS
-            healed = cut.end + self._reconnects[a]
-            if noticed <= now < healed and cut.separates(a, b):
+            detected_at = cut.start + FAILURE_DETECTION_SECONDS
+            reconnected_at = cut.end + self._reconnects[a]
+            if detected_at <= now < reconnected_at and cut.separates(a, b):
                 return False
         return True
 
@@ -95,25 +95,27 @@
         """Deliver a message, unless a partition or the end of a process prevents it."""
         now = self._simulation.now
         same = self._zones[a] == self._zones[b]
-        delay = (ZONE_SECONDS if same else OTHER_ZONE_SECONDS) * self._rng.uniform(1, 2)
-        if self._rng.random() < LATE_PART:
-            delay += self._rng.uniform(0.0, LATE_SECONDS)
-        process = self.started[b]
-        if not self.is_reached(a, b):
+        delay = (
+            SAME_ZONE_DELAY_SECONDS if same else CROSS_ZONE_DELAY_SECONDS
+        ) * self._rng.uniform(1, 2)
+        if self._rng.random() < DELAYED_MESSAGE_RATIO:
+            delay += self._rng.uniform(0.0, MAX_EXTRA_DELAY_SECONDS)
+        receiver_started_at = self.started[b]
+        if not self.is_reachable(a, b):
             return
 
         def arrive() -> None:
-            if self.started[b] != process:
+            if self.started[b] != receiver_started_at:
                 return
             if self.frozen_until[b] > self._simulation.now:
                 self._simulation.schedule(self.frozen_until[b], arrive)
                 return
-            if self.is_reached(a, b):
+            if self.is_reachable(a, b):
                 receive()
 
         self._simulation.schedule(now + delay, arrive)
 
-    def is_reached(self, a: int, b: int) -> bool:
+    def is_reachable(self, a: int, b: int) -> bool:
         """Whether messages from one node get to another now."""
         now = self._simulation.now
         if self.started[b] > now:
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -6,7 +6,12 @@
 
 from ..sidecar.model import Tenant
 from .network import Cut
-from .rates import OVERSHOOT, RateFleet, SLACK, WINDOW_SECONDS
+from .rates import (
+    RateFleet,
+    TOLERATED_EXTRA_CALLS,
+    TOLERATED_OVERSHOOT_RATIO,
+    WINDOW_SECONDS,
+)
 
 # Nodes exist for this long before the first call, unless they were just restarted.
 LEAD_SECONDS = 5.0
@@ -41,7 +46,9 @@
 
 def count_allowed(rate: float, burst: float) -> float:
     """Return the calls that operators tolerate in any window."""
-    return (rate * WINDOW_SECONDS + burst) * (1.0 + OVERSHOOT) + SLACK
+    return (rate * WINDOW_SECONDS + burst) * (
+        1.0 + TOLERATED_OVERSHOOT_RATIO
+    ) + TOLERATED_EXTRA_CALLS
 
 
 def count_ideal(arrivals: Sequence[float], rate: float, burst: float) -> int:
@@ -51,11 +58,11 @@
     3
     """
     tokens = burst
-    before = 0.0
+    last_arrival = 0.0
     admitted = 0
     for arrival in arrivals:
-        tokens = min(burst, tokens + rate * (arrival - before))
-        before = arrival
+        tokens = min(burst, tokens + rate * (arrival - last_arrival))
+        last_arrival = arrival
         if tokens >= 1.0:
             tokens -= 1.0
             admitted += 1
@@ -70,22 +77,22 @@
         rise: Time of the rise and the multiple after it; None if there is none.
     """
 
-    __slots__ = ("rise", "times")
+    __slots__ = ("multiple", "rise")
 
-    def __init__(self, times: float, rise: tuple[float, float] | None = None):
-        self.times = times
+    def __init__(self, multiple: float, rise: tuple[float, float] | None = None):
+        self.multiple = multiple
         self.rise = rise
 
     def get(self, now: float) -> float:
         """Return the multiple at a time."""
         if self.rise is not None and now >= self.rise[0]:
             return self.rise[1]
-        return self.times
+        return self.multiple
 
     @property
     def most(self) -> float:
         """The largest multiple."""
-        return max(self.times, self.rise[1] if self.rise is not None else 0.0)
+        return max(self.multiple, self.rise[1] if self.rise is not None else 0.0)
 
 
 def add_callers(
@@ -110,25 +117,25 @@
     rng = random.Random(f"{fleet.seed} {tenant.name}")
     play = Play()
     weights = [rng.uniform(0.5, 2.0) for _ in nodes]
-    total = demand.most * tenant.rate
+    max_calls_per_second = demand.most * tenant.rate
 
     def arrive() -> None:
         now = fleet.simulation.now
-        fleet.simulation.schedule(now + rng.expovariate(total), arrive)
+        fleet.simulation.schedule(now + rng.expovariate(max_calls_per_second), arrive)
         if now >= end or rng.random() >= demand.get(now - start) / demand.most:
             return
         play.arrivals.append(now - start)
-        number = rng.choices(nodes, cum_weights=cumulated)[0]
+        number = rng.choices(nodes, cum_weights=cumulative_weights)[0]
 
-        def note(granted: bool) -> None:
+        def record_decision(granted: bool) -> None:
             if granted:
                 play.waits_of_admitted.append(fleet.simulation.now - now)
                 play.admitted.append(fleet.simulation.now - start)
 
-        fleet.call(number, tenant, note)
+        fleet.call(number, tenant, record_decision)
 
-    cumulated = [sum(weights[: index + 1]) for index in range(len(weights))]
-    fleet.simulation.schedule(start + rng.expovariate(total), arrive)
+    cumulative_weights = [sum(weights[: index + 1]) for index in range(len(weights))]
+    fleet.simulation.schedule(start + rng.expovariate(max_calls_per_second), arrive)
     return play
 
 
@@ -141,7 +148,7 @@
     first_start: bool = True,
     zones: int = 6,
     cuts: Sequence[Cut] = (),
-    disturb: Callable[[RateFleet], None] = lambda fleet: None,
+    inject_faults: Callable[[RateFleet], None] = lambda fleet: None,
 ) -> Play:
     """Play one workspace whose burst is a second of its rate.
 
@@ -161,7 +168,7 @@
     lead = LEAD_SECONDS if first_start else 0.0
     shifted = [Cut(cut.start + lead, cut.end + lead, cut.sides) for cut in cuts]
     fleet = RateFleet([n % zones for n in range(nodes)], seed, shifted, first_start)
-    disturb(fleet)
+    inject_faults(fleet)
     tenant = Tenant("north", 1, rate, rate)
     play = add_callers(fleet, tenant, demand, lead, lead + seconds, range(nodes))
     fleet.simulation.run(lead + seconds)
--- a/primroseglade/emulator/rate_scenarios.py
+++ b/primroseglade/emulator/rate_scenarios.py
@@ -8,8 +8,8 @@
 # Demand rises at this time after the first call, if it does; the disturbances that
 # come at the rise, too.
 RISE_SECONDS = 7.0
-CUT_SECONDS = 5.0
-HOLDERS = 6
+FAULT_SECONDS = 5.0
+HOLDER_COUNT = 6
 
 
 class Scenario:
@@ -53,19 +53,19 @@
     return {name: build() for name, build in _scenarios.items()}
 
 
-def halve_zones(number: int) -> int:
+def split_zones(number: int) -> int:
     """Put whole availability zones on either side."""
     return number % 2
 
 
-def halve_nodes(number: int) -> int:
+def split_each_zone(number: int) -> int:
     """Put nodes of every availability zone on either side."""
     return number // 7 % 2
 
 
 def isolate_zone(number: int) -> int:
     """Cut off one availability zone."""
-    return int(number % HOLDERS == 1)
+    return int(number % HOLDER_COUNT == 1)
 
 
 def isolate_nodes(number: int) -> int:
@@ -73,9 +73,9 @@
     return number if number in (0, 1, 9) else -1
 
 
-def cut(start: float, sides: Callable[[int], int]) -> Scenario:
+def build_partition(start: float, sides: Callable[[int], int]) -> Scenario:
     """Return a scenario with one partition."""
-    return Scenario(cuts=(Cut(start, start + CUT_SECONDS, sides),))
+    return Scenario(cuts=(Cut(start, start + FAULT_SECONDS, sides),))
 
 
 @scenario("calm")
@@ -85,44 +85,44 @@
 
 
 @scenario("half cut off before the rise")
-def build_early_cut() -> Scenario:
+def build_partition_before_rise() -> Scenario:
     """Half of the nodes of each zone, five seconds that end after the rise."""
-    return cut(RISE_SECONDS - 3.0, halve_nodes)
+    return build_partition(RISE_SECONDS - 3.0, split_each_zone)
 
 
 @scenario("half cut off at the rise")
-def build_cut_at_rise() -> Scenario:
+def build_partition_at_rise() -> Scenario:
     """Half of the nodes of each zone."""
-    return cut(RISE_SECONDS, halve_nodes)
+    return build_partition(RISE_SECONDS, split_each_zone)
 
 
 @scenario("half cut off after the rise")
-def build_late_cut() -> Scenario:
+def build_partition_after_rise() -> Scenario:
     """Half of the nodes of each zone."""
-    return cut(RISE_SECONDS + 0.3, halve_nodes)
+    return build_partition(RISE_SECONDS + 0.3, split_each_zone)
 
 
 @scenario("half of the zones cut off at the rise")
-def build_zones_cut() -> Scenario:
+def build_partitioned_zones() -> Scenario:
     """Half of the zones."""
-    return cut(RISE_SECONDS, halve_zones)
+    return build_partition(RISE_SECONDS, split_zones)
 
 
 @scenario("zone cut off at the rise")
-def build_zone_cut() -> Scenario:
+def build_isolated_zone() -> Scenario:
     """One zone."""
-    return cut(RISE_SECONDS, isolate_zone)
+    return build_partition(RISE_SECONDS, isolate_zone)
 
 
 @scenario("nodes cut off at the rise")
-def build_nodes_cut() -> Scenario:
+def build_isolated_nodes() -> Scenario:
     """Two token holders and another node."""
-    return cut(RISE_SECONDS, isolate_nodes)
+    return build_partition(RISE_SECONDS, isolate_nodes)
 
 
 def kill_holders(fleet: RateFleet) -> None:
     """Kill the token holders of all zones."""
-    for number in range(HOLDERS):
+    for number in range(HOLDER_COUNT):
         fleet.kill(number, 0.2)
 
 
@@ -135,8 +135,8 @@
 
 def freeze_holders(fleet: RateFleet) -> None:
     """Have the token holders of half of the zones stand still."""
-    for number in range(HOLDERS // 2):
-        fleet.freeze(number, CUT_SECONDS)
+    for number in range(HOLDER_COUNT // 2):
+        fleet.freeze(number, FAULT_SECONDS)
 
 
 @scenario("holders frozen for 5 s")
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -8,7 +8,7 @@
 from ..sidecar.model import Tenant
 from ..sidecar.periodic_scheduler import STEP_JITTER_RATIO, STEP_SECONDS
 from ..sidecar.quota import Quotas, TokenDecision
-from ..sidecar.rate_control import RENEW_SECONDS
+from ..sidecar.rate_control import LEASE_RENEWAL_SECONDS
 from ..sidecar.rate_tolerance import RateTolerance
 from ..sidecar.share_leases import (
     assign_holder,
@@ -25,13 +25,13 @@
 from .simulation import Simulation
 
 # A node that was just started lends its share within this time.
-START_SECONDS = 0.1
+MAX_FIRST_RENEWAL_SECONDS = 0.1
 # A node looks anew after this time whom it reaches.
-VIEW_SECONDS = 0.25
+VIEW_REFRESH_SECONDS = 0.25
 # What operators tolerate.
 WINDOW_SECONDS = 5.0
-OVERSHOOT = 0.1
-SLACK = 20
+TOLERATED_OVERSHOOT_RATIO = 0.1
+TOLERATED_EXTRA_CALLS = 20
 
 
 class RateNode:
@@ -66,7 +66,7 @@
 
     def get_holder(self) -> str:
         """Return the holder that this node asks."""
-        return self.lender.choose(
+        return self.lender.choose_holder(
             self._fleet.find_holder(self._number),
             lambda name: self._fleet.network.is_connected(self._number, int(name)),
             self._fleet.simulation.now,
@@ -76,7 +76,9 @@
         """Return the holders of all zones that can be reached."""
         return self._fleet.list_holders(self._number)
 
-    def ask(self, node: str, request: TokenRequest, done: GrantHandler) -> None:
+    def request_tokens(
+        self, node: str, request: TokenRequest, done: GrantHandler
+    ) -> None:
         """Send a request."""
         fleet = self._fleet
         number = int(node)
@@ -105,7 +107,7 @@
         fleet = self._fleet
         now = fleet.simulation.now
         holder = int(fleet.find_holder(self._number))
-        if not self.lender.is_due(str(holder), now, RENEW_SECONDS):
+        if not self.lender.is_renewal_due(str(holder), now, LEASE_RENEWAL_SECONDS):
             return
         may_lend = self.lender.may_lend(str(holder), now)
         if holder == self._number:
@@ -120,7 +122,7 @@
             until = remote + LEASE_SECONDS
             self.lender.record_lease_sent(str(holder), now)
         fleet.network.send(
-            self._number, holder, lambda: fleet.take_ping(self._number, holder, until)
+            self._number, holder, lambda: fleet.handle_ping(self._number, holder, until)
         )
 
 
@@ -145,13 +147,17 @@
         self.rng = random.Random(seed)
         self.simulation = Simulation()
         self.network = Network(self.simulation, zones, list(cuts), self.rng)
-        self.rate_tolerance = RateTolerance(OVERSHOOT, SLACK)
+        self.rate_tolerance = RateTolerance(
+            TOLERATED_OVERSHOOT_RATIO, TOLERATED_EXTRA_CALLS
+        )
         self.nodes: list[RateNode] = []
         self._views: dict[int, tuple[float, tuple[str, list[str]]]] = {}
         for number in range(len(zones)):
             self.network.started[number] = 0.0
             self.nodes.append(RateNode(self, number, first_start))
-            self._schedule_renewal(number, self.rng.uniform(0.0, START_SECONDS))
+            self._schedule_renewal(
+                number, self.rng.uniform(0.0, MAX_FIRST_RENEWAL_SECONDS)
+            )
 
     @property
     def size(self) -> int:
@@ -172,13 +178,13 @@
 
     def find_holder(self, number: int) -> str:
         """Return the token holder that is assigned to a node, as it sees its zone."""
-        return self._view(number)[0]
+        return self._get_view(number)[0]
 
     def list_holders(self, number: int) -> list[str]:
         """Return the token holders of all zones that a node reaches."""
-        return self._view(number)[1]
+        return self._get_view(number)[1]
 
-    def take_ping(self, lender: int, holder: int, until: float) -> None:
+    def handle_ping(self, lender: int, holder: int, until: float) -> None:
         """Have a holder take in a ping, and answer it with its clock."""
         now = self.simulation.now
         self.nodes[holder].leases.renew(str(lender), until, now)
@@ -186,9 +192,9 @@
         def record() -> None:
             node = self.nodes[lender]
             clock = node.clocks.setdefault(holder, RemoteClock())
-            known = clock.estimate(self.simulation.now) is not None
+            was_known = clock.estimate(self.simulation.now) is not None
             clock.record(now, self.simulation.now)
-            if not known:
+            if not was_known:
                 node.renew()
 
         self.network.send(holder, lender, record)
@@ -212,9 +218,9 @@
         for other, node in enumerate(self.nodes):
             node.clocks.pop(number, None)
             # The new process introduces itself to all nodes that it reaches.
-            if self.network.is_reached(number, other):
+            if self.network.is_reachable(number, other):
                 node.leases.revoke(str(number), self.simulation.now)
-        at = self.simulation.now + self.rng.uniform(0.0, START_SECONDS)
+        at = self.simulation.now + self.rng.uniform(0.0, MAX_FIRST_RENEWAL_SECONDS)
         self._schedule_renewal(number, at)
 
     def _schedule_renewal(self, number: int, at: float) -> None:
@@ -232,18 +238,18 @@
 
         self.simulation.schedule(at, renew)
 
-    def _view(self, number: int) -> tuple[str, list[str]]:
+    def _get_view(self, number: int) -> tuple[str, list[str]]:
         """Return a node's assigned holder and all holders, as it sees the fleet."""
         now = self.simulation.now
         cached = self._views.get(number)
-        if cached is not None and now - cached[0] < VIEW_SECONDS:
+        if cached is not None and now - cached[0] < VIEW_REFRESH_SECONDS:
             return cached[1]
         zones = self.network.zones
-        most = count_zone_holders(len(set(zones)))
+        max_holders = count_zone_holders(len(set(zones)))
         holders: dict[int, list[str]] = {}
         for other, zone in enumerate(zones):
             names = holders.setdefault(zone, [])
-            if len(names) < most and self.network.is_connected(number, other):
+            if len(names) < max_holders and self.network.is_connected(number, other):
                 names.append(str(other))
         assigned = assign_holder(str(number), holders[zones[number]])
         view = (assigned, [name for names in holders.values() for name in names])
--- a/primroseglade/emulator/simulation.py
+++ b/primroseglade/emulator/simulation.py
@@ -11,7 +11,7 @@
     def __init__(self) -> None:
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     @property
     def now(self) -> float:
@@ -24,8 +24,8 @@
 
     def schedule(self, at: float, event: Callable[[], None]) -> None:
         """Have an event run at a time, or now if that has passed."""
-        number = next(self._numbers)
-        heapq.heappush(self._events, (max(at, self._now), number, event))
+        sequence_number = next(self._sequence_numbers)
+        heapq.heappush(self._events, (max(at, self._now), sequence_number, event))
 
     def run(self, until: float) -> None:
         """Run all events before a time.
--- a/primroseglade/sidecar/bucket_snapshot.py
+++ b/primroseglade/sidecar/bucket_snapshot.py
@@ -3,7 +3,7 @@
 from .token_pool import Bucket, TokenPool
 
 # Fraction of the capacity below which a bucket is low on tokens.
-LOW_TOKENS = 0.5
+LOW_TOKENS_RATIO = 0.5
 
 
 class BucketSnapshot:
@@ -29,7 +29,9 @@
     @property
     def low_on_tokens(self) -> bool:
         """Whether fewer than `LOW_TOKENS` of the tokens are left in a used bucket."""
-        return self.demand > 0 and self.tokens < LOW_TOKENS * self.burst * self.share
+        return (
+            self.demand > 0 and self.tokens < LOW_TOKENS_RATIO * self.burst * self.share
+        )
 
     def to_fields(self) -> dict[str, float]:
         """Return the attributes as log fields, rounded to three decimals."""
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -9,17 +9,17 @@
 from .rate_tolerance import RateTolerance
 from .retry_budget import SlidingCount
 from .token_broker import TokenBroker, TokenNetwork
-from .token_pool import DEMAND_SECONDS, GRANT_SECONDS
+from .token_pool import DEMAND_WINDOW_SECONDS, PREFETCHED_TOKEN_SECONDS
 
 # Tokens are asked for calls expected within this time, and fetched when half are left.
-AHEAD_SECONDS = 0.25
+PREFETCH_SECONDS = 0.25
 # After a refusal no tokens are asked for during this time.
-REFUSED_SECONDS = 0.05
+REFUSAL_CACHE_SECONDS = 0.05
 # A token holder that did not answer is not asked during this time.
-SUSPECT_SECONDS = 1.0
+HOLDER_BACKOFF_SECONDS = 1.0
 # Part of the calls refused by admission that get their token back. A workspace far over
 # its rate would otherwise take part in admission with all of its calls.
-RETURNED_PART = 1.0 / 3.0
+REFUNDED_RATIO = 1.0 / 3.0
 
 
 class TokenDecision:
@@ -43,7 +43,7 @@
 DecisionHandler = Callable[[TokenDecision], bool]
 
 
-class Stock:
+class TokenCache:
     """Tokens of one workspace at one entry.
 
     Attributes:
@@ -62,12 +62,12 @@
 
     __slots__ = (
         "admitted",
-        "asking",
         "demand",
-        "lapsed",
         "limits",
+        "pending_returns",
         "refusal",
         "refused_until",
+        "request_in_flight",
         "tenant",
         "tokens",
         "waiting",
@@ -76,11 +76,11 @@
     def __init__(self, tenant: Tenant, limits: TokenLimits):
         self.set_limits(tenant, limits)
         self.tokens: collections.deque[list[float]] = collections.deque()
-        self.lapsed = 0
+        self.pending_returns = 0
         self.waiting: collections.deque[DecisionHandler] = collections.deque()
-        self.asking = False
+        self.request_in_flight = False
         self.refusal = TokenDecision(False)
-        self.demand = SlidingCount(DEMAND_SECONDS)
+        self.demand = SlidingCount(DEMAND_WINDOW_SECONDS)
         self.admitted = 0
 
     def set_limits(self, tenant: Tenant, limits: TokenLimits) -> None:
@@ -89,10 +89,10 @@
         self.limits = limits
         self.refused_until = 0.0
 
-    def count(self, now: float) -> int:
+    def count_unspent(self, now: float) -> int:
         """Return the unspent tokens."""
         while self.tokens and self.tokens[0][0] <= now:
-            self.lapsed += int(self.tokens.popleft()[1])
+            self.pending_returns += int(self.tokens.popleft()[1])
         return int(sum(count for _, count in self.tokens))
 
     def add(self, count: int, until: float) -> None:
@@ -100,7 +100,7 @@
         if count > 0:
             self.tokens.append([until, count])
 
-    def return_one(self) -> None:
+    def return_token(self) -> None:
         """Return the token of a call that did not run.
 
         It goes back to the holder, whose capacity bounds what is stored: calls that
@@ -108,11 +108,11 @@
         beside those of the following seconds.
         """
         self.admitted -= 1
-        self.lapsed += 1
+        self.pending_returns += 1
 
-    def spend(self, now: float) -> bool:
+    def try_spend(self, now: float) -> bool:
         """Spend one token, if there is any."""
-        if not self.count(now):
+        if not self.count_unspent(now):
             return False
         self.tokens[0][1] -= 1
         if not self.tokens[0][1]:
@@ -120,9 +120,9 @@
         self.admitted += 1
         return True
 
-    def count_expected(self, now: float) -> int:
+    def estimate_upcoming_calls(self, now: float) -> int:
         """Return the calls expected within `AHEAD_SECONDS`."""
-        return int(self.demand.total(now) / DEMAND_SECONDS * AHEAD_SECONDS)
+        return int(self.demand.total(now) / DEMAND_WINDOW_SECONDS * PREFETCH_SECONDS)
 
 
 class Quotas:
@@ -152,16 +152,16 @@
         self._rate_tolerance = rate_tolerance
         self._clock = clock
         self._rng = rng
-        self._stocks: dict[str, Stock] = {}
-        self._suspects: dict[str, float] = {}
+        self._caches: dict[str, TokenCache] = {}
+        self._backoff_until: dict[str, float] = {}
 
     def list_admitted(self) -> Iterator[tuple[str, int]]:
         """Yield each rate-limited workspace and the calls that were granted a token."""
-        for name, stock in self._stocks.items():
-            yield name, stock.admitted
+        for name, cache in self._caches.items():
+            yield name, cache.admitted
 
     def acquire(
-        self, tenant: Tenant, version: int, settled: bool, done: DecisionHandler
+        self, tenant: Tenant, version: int, rolled_out: bool, done: DecisionHandler
     ) -> None:
         """Get a token for one call.
 
@@ -172,121 +172,123 @@
                 rate would be enforced by some nodes and not by others.
             done: Called once, now or when the holder has answered.
         """
-        stock = self._get_stock(tenant, version, settled)
-        if stock.tenant.rate <= 0:
+        cache = self._get_cache(tenant, version, rolled_out)
+        if cache.tenant.rate <= 0:
             done(TokenDecision(True))
             return
         now = self._clock()
-        stock.demand.add(now)
-        if not stock.waiting and stock.spend(now):
-            self._confirm(stock, done)
-            expected = stock.count_expected(now)
-            if expected > 1 and stock.count(now) * 2 <= expected:
-                self._ask(stock, now)
-        elif now < stock.refused_until:
-            done(stock.refusal)
+        cache.demand.add(now)
+        if not cache.waiting and cache.try_spend(now):
+            self._deliver_token(cache, done)
+            expected = cache.estimate_upcoming_calls(now)
+            if expected > 1 and cache.count_unspent(now) * 2 <= expected:
+                self._request_tokens(cache, now)
+        elif now < cache.refused_until:
+            done(cache.refusal)
         else:
-            stock.waiting.append(done)
-            self._ask(stock, now)
+            cache.waiting.append(done)
+            self._request_tokens(cache, now)
 
     def refund(self, tenant: Tenant) -> None:
         """Take back the token of a call that did not run."""
-        stock = self._stocks.get(tenant.name)
-        if stock is not None and stock.tenant.rate > 0:
-            stock.return_one()
+        cache = self._caches.get(tenant.name)
+        if cache is not None and cache.tenant.rate > 0:
+            cache.return_token()
 
     def refund_refused(self, tenant: Tenant) -> None:
         """Take back the token of a call that admission refused, or void it."""
-        stock = self._stocks.get(tenant.name)
-        if stock is None or stock.tenant.rate <= 0:
+        cache = self._caches.get(tenant.name)
+        if cache is None or cache.tenant.rate <= 0:
             return
-        if self._rng.random() < RETURNED_PART:
+        if self._rng.random() < REFUNDED_RATIO:
             self.refund(tenant)
         else:
-            stock.admitted -= 1
+            cache.admitted -= 1
 
-    def _get_stock(self, tenant: Tenant, version: int, settled: bool) -> Stock:
-        stock = self._stocks.get(tenant.name)
-        if stock is not None and version == stock.limits.version:
-            return stock
+    def _get_cache(self, tenant: Tenant, version: int, rolled_out: bool) -> TokenCache:
+        cache = self._caches.get(tenant.name)
+        if cache is not None and version == cache.limits.version:
+            return cache
         limits = self._rate_tolerance.compute_enforced_limits(tenant, version)
-        if stock is None:
-            stock = self._stocks[tenant.name] = Stock(tenant, limits)
-        elif settled or not stock.tenant.is_higher_than(tenant):
-            stock.set_limits(tenant, limits)
-        return stock
+        if cache is None:
+            cache = self._caches[tenant.name] = TokenCache(tenant, limits)
+        elif rolled_out or not cache.tenant.is_higher_than(tenant):
+            cache.set_limits(tenant, limits)
+        return cache
 
-    def _ask(self, stock: Stock, now: float) -> None:
+    def _request_tokens(self, cache: TokenCache, now: float) -> None:
         """Ask a holder for tokens, unless a request is under way."""
-        if stock.asking:
+        if cache.request_in_flight:
             return
         holder = self._choose_holder(now)
         if not holder:
-            self._take_refusal(stock, TokenDecision(False), now)
+            self._refuse_waiting(cache, TokenDecision(False), now)
             return
-        stock.asking = True
-        returned, stock.lapsed = stock.lapsed, 0
-        unspent = stock.count(now)
+        cache.request_in_flight = True
+        returned, cache.pending_returns = cache.pending_returns, 0
+        unspent = cache.count_unspent(now)
         request = TokenRequest(
             0,
-            stock.limits,
-            len(stock.waiting),
-            max(0, stock.count_expected(now) - unspent),
+            cache.limits,
+            len(cache.waiting),
+            max(0, cache.estimate_upcoming_calls(now) - unspent),
             unspent,
             returned,
         )
 
-        def take(grant: TokenGrant | None) -> None:
-            self._take_grant(stock, holder, request, now, grant)
+        def handle(grant: TokenGrant | None) -> None:
+            self._handle_grant(cache, holder, request, now, grant)
 
         if holder == self._name:
-            self._broker.handle(self._name, request, take)
+            self._broker.handle(self._name, request, handle)
         else:
-            self._network.ask(holder, request, take)
+            self._network.request_tokens(holder, request, handle)
 
     def _choose_holder(self, now: float) -> str:
         """Return whom to ask; empty if no holder has answered lately."""
         for name in (self._network.get_holder(), *self._network.list_holders()):
-            if self._suspects.get(name, 0.0) <= now:
+            if self._backoff_until.get(name, 0.0) <= now:
                 return name
         return ""
 
-    def _take_grant(
+    def _handle_grant(
         self,
-        stock: Stock,
+        cache: TokenCache,
         holder: str,
         request: TokenRequest,
-        asked_at: float,
+        requested_at: float,
         grant: TokenGrant | None,
     ) -> None:
         now = self._clock()
-        stock.asking = False
+        cache.request_in_flight = False
         if grant is None:
-            self._suspects[holder] = now + SUSPECT_SECONDS
-            if stock.waiting:
-                self._ask(stock, now)
+            self._backoff_until[holder] = now + HOLDER_BACKOFF_SECONDS
+            if cache.waiting:
+                self._request_tokens(cache, now)
             return
-        stock.add(int(grant.tokens), asked_at + GRANT_SECONDS)
-        while stock.waiting and stock.spend(now):
-            self._confirm(stock, stock.waiting.popleft())
-        if not stock.waiting:
+        cache.add(int(grant.tokens), requested_at + PREFETCHED_TOKEN_SECONDS)
+        while cache.waiting and cache.try_spend(now):
+            self._deliver_token(cache, cache.waiting.popleft())
+        if not cache.waiting:
             return
         if grant.tokens > 0 or not request.needed:
-            self._ask(stock, now)
+            self._request_tokens(cache, now)
         else:
-            self._take_refusal(
-                stock, TokenDecision(False, holder, grant.remaining_tokens), now
+            self._refuse_waiting(
+                cache, TokenDecision(False, holder, grant.remaining_tokens), now
             )
 
-    def _take_refusal(self, stock: Stock, refusal: TokenDecision, now: float) -> None:
+    def _refuse_waiting(
+        self, cache: TokenCache, refusal: TokenDecision, now: float
+    ) -> None:
         """Refuse the calls that wait, and those that come in a moment."""
-        stock.refusal = refusal
-        stock.refused_until = now + REFUSED_SECONDS
-        waiting, stock.waiting = stock.waiting, collections.deque()
+        cache.refusal = refusal
+        cache.refused_until = now + REFUSAL_CACHE_SECONDS
+        waiting, cache.waiting = cache.waiting, collections.deque()
         for done in waiting:
             done(refusal)
 
-    def _confirm(self, stock: Stock, done: DecisionHandler) -> None:
+    def _deliver_token(self, cache: TokenCache, done: DecisionHandler) -> None:
         if not done(TokenDecision(True)):
             # Its caller has left in the meantime.
-            stock.return_one()
+            cache.return_token()
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -23,10 +23,10 @@
 from .token_pool import TokenPool
 
 # Leases are renewed this often.
-RENEW_SECONDS = 0.45
+LEASE_RENEWAL_SECONDS = 0.45
 # A node that was just started waits for the holder that the list of nodes names: what
 # it lends to another one first is missed there until the lease ends.
-SETTLE_SECONDS = 1.0
+HOLDER_DISCOVERY_SECONDS = 1.0
 
 
 class RateControl:
@@ -59,9 +59,9 @@
         self._count_nodes = count_nodes
         self._lender = ShareLender()
         self._lender_starts: dict[str, int] = {}
-        self._settled_at = time.monotonic() + SETTLE_SECONDS
+        self._discovery_until = time.monotonic() + HOLDER_DISCOVERY_SECONDS
         self._holders = [entry.name]
-        self._assigned = entry.name
+        self._assigned_holder = entry.name
         self._leases = LeaseTable(count_nodes, time.monotonic())
         self.pool = TokenPool(self._leases, first_start)
         self.broker = TokenBroker(entry.name, self.pool, self, time.monotonic, rng)
@@ -72,15 +72,19 @@
 
     def get_holder(self) -> str:
         """Return the holder that this node asks."""
-        if not self._is_reachable(self._assigned):
-            self._find_holders()
-        return self._lender.choose(self._assigned, self._is_reachable, time.monotonic())
+        if not self._is_reachable(self._assigned_holder):
+            self._update_holders()
+        return self._lender.choose_holder(
+            self._assigned_holder, self._is_reachable, time.monotonic()
+        )
 
     def list_holders(self) -> list[str]:
         """Return the holders of all availability zones that can be reached."""
         return self._holders
 
-    def ask(self, node: str, request: TokenRequest, done: GrantHandler) -> None:
+    def request_tokens(
+        self, node: str, request: TokenRequest, done: GrantHandler
+    ) -> None:
         """Send a request for tokens."""
         peer = self._fleet.get(node)
         if peer is None:
@@ -102,13 +106,13 @@
     def renew_lease(self, now: float) -> None:
         """Lend this node's share to the zone's holder, if that is due."""
         self._leases.advance(now)
-        self._find_holders()
-        holder = self._assigned
+        self._update_holders()
+        holder = self._assigned_holder
         if not self._count_nodes() or not self._lender.may_lend(holder, now):
             return
-        if not self._lender.is_due(holder, now, RENEW_SECONDS):
+        if not self._lender.is_renewal_due(holder, now, LEASE_RENEWAL_SECONDS):
             return
-        if now < self._settled_at and holder != self._find_expected():
+        if now < self._discovery_until and holder != self._find_expected_holder():
             return
         if holder == self._entry.name:
             self._leases.renew(holder, now + LEASE_SECONDS, now)
@@ -137,18 +141,20 @@
             del self._lender_starts[entry.name]
             self._leases.revoke(entry.name, time.monotonic())
 
-    def _find_holders(self) -> None:
-        zones = self._list_holders()
-        self._holders = [name for names in zones.values() for name in names]
-        self._assigned = assign_holder(self._entry.name, zones[self._entry.zone])
+    def _update_holders(self) -> None:
+        holders_by_zone = self._list_holders_by_zone()
+        self._holders = [name for names in holders_by_zone.values() for name in names]
+        self._assigned_holder = assign_holder(
+            self._entry.name, holders_by_zone[self._entry.zone]
+        )
 
-    def _list_holders(self, connected: bool = True) -> dict[str, list[str]]:
+    def _list_holders_by_zone(self, connected: bool = True) -> dict[str, list[str]]:
         index = self._fleet.index
         return index.list_first(count_zone_holders(index.zones), connected)
 
-    def _find_expected(self) -> str:
+    def _find_expected_holder(self) -> str:
         """Return the holder assigned to this node if all known nodes are reachable."""
-        holders = self._list_holders(connected=False)[self._entry.zone]
+        holders = self._list_holders_by_zone(connected=False)[self._entry.zone]
         return assign_holder(self._entry.name, holders)
 
     def _is_reachable(self, name: str) -> bool:
--- a/primroseglade/sidecar/rate_monitor.py
+++ b/primroseglade/sidecar/rate_monitor.py
@@ -6,7 +6,7 @@
 
 RATE_LOG_SECONDS = 1.0
 # Limits the length of a log line; workspaces with the highest demand come first.
-WORKSPACES_LOGGED = 8
+MAX_LOGGED_WORKSPACES = 8
 
 
 class RateMonitor:
@@ -31,6 +31,6 @@
         self._journal.emit(
             WORKSPACES_AT_RATE,
             workspaces={
-                name: low[name].to_fields() for name in names[:WORKSPACES_LOGGED]
+                name: low[name].to_fields() for name in names[:MAX_LOGGED_WORKSPACES]
             },
         )
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -13,10 +13,10 @@
 # Renewed twice a second; outlasts one renewal that is late or lost.
 LEASE_SECONDS = 1.2
 # A holder begins with some tokens for what is lent to it within this time of its start.
-EARLY_SECONDS = 2.0
+INITIAL_LEASE_SECONDS = 2.0
 # Token holders of the only zone of a fleet. While one fails, the other has tokens left;
 # with several zones, the holders of the others do.
-HOLDERS_OF_ONE_ZONE = 2
+SINGLE_ZONE_HOLDERS = 2
 
 
 def count_zone_holders(zones: int) -> int:
@@ -25,7 +25,7 @@
     Args:
         zones: Number of the fleet's availability zones.
     """
-    return HOLDERS_OF_ONE_ZONE if zones == 1 else 1
+    return SINGLE_ZONE_HOLDERS if zones == 1 else 1
 
 
 def assign_holder(node: str, holders: Iterable[str]) -> str:
@@ -39,22 +39,22 @@
 class RemoteClock:
     """Lower bound of the clock of another node, as last told by it."""
 
-    __slots__ = ("_received_at", "_told")
+    __slots__ = ("_received_at", "_remote_time")
 
     def __init__(self) -> None:
-        self._told: float | None = None
+        self._remote_time: float | None = None
         self._received_at = 0.0
 
-    def record(self, told: float, now: float) -> None:
+    def record(self, remote_time: float, now: float) -> None:
         """Take in the other clock's time; it has advanced by the way here since."""
-        self._told = told
+        self._remote_time = remote_time
         self._received_at = now
 
     def estimate(self, now: float) -> float | None:
         """Return a time that the other clock has reached; None if it is unknown."""
-        if self._told is None:
+        if self._remote_time is None:
             return None
-        return self._told + now - self._received_at
+        return self._remote_time + now - self._received_at
 
 
 class ShareLender:
@@ -70,8 +70,8 @@
         self._holder = ""
         self._lent_at = -math.inf
 
-    def choose(
-        self, preferred: str, reachable: Callable[[str], bool], now: float
+    def choose_holder(
+        self, assigned: str, reachable: Callable[[str], bool], now: float
     ) -> str:
         """Return the node to ask for tokens: where this node's share is, if possible.
 
@@ -82,13 +82,13 @@
         """
         if now < self._lent_at + LEASE_SECONDS and reachable(self._holder):
             return self._holder
-        return preferred
+        return assigned
 
     def may_lend(self, holder: str, now: float) -> bool:
         """Whether the share is not lent to another holder."""
         return holder == self._holder or now >= self._lent_at + LEASE_SECONDS
 
-    def is_due(self, holder: str, now: float, seconds: float) -> bool:
+    def is_renewal_due(self, holder: str, now: float, seconds: float) -> bool:
         """Whether the last lease is of another holder, or older than some seconds."""
         return holder != self._holder or now - self._lent_at >= seconds
 
@@ -110,17 +110,17 @@
         on_lease_lost: Called when a lease has ended; stored tokens are lost with it.
     """
 
-    def __init__(self, count_nodes: Callable[[], int], started: float):
+    def __init__(self, count_nodes: Callable[[], int], started_at: float):
         self.on_lease_lost: Callable[[], None] = lambda: None
         self._count_nodes = count_nodes
         self._expiries: dict[str, float] = {}
         self._next_expiry = math.inf
         self._advanced_at = -math.inf
-        self._share_seconds = 0.0
-        self._unbroken_from = 0.0
-        self._unbroken = True
-        self._early_until = started + EARLY_SECONDS
-        self._early_share = 0.0
+        self._accrued_seconds = 0.0
+        self._accrued_at_last_loss = 0.0
+        self._uninterrupted = True
+        self._initial_until = started_at + INITIAL_LEASE_SECONDS
+        self._initial_share = 0.0
 
     def __len__(self) -> int:
         return len(self._expiries)
@@ -128,7 +128,7 @@
     @property
     def initial_share(self) -> float:
         """Share that was lent within `EARLY_SECONDS` of this node's start."""
-        return self._early_share
+        return self._initial_share
 
     @property
     def share(self) -> float:
@@ -139,17 +139,17 @@
     @property
     def accrued_seconds(self) -> float:
         """Seconds of the whole rate that accrued here, as of the last advance."""
-        return self._share_seconds
+        return self._accrued_seconds
 
     @property
     def uninterrupted(self) -> bool:
         """Whether no lease has ended so far."""
-        return self._unbroken
+        return self._uninterrupted
 
     @property
     def uninterrupted_seconds(self) -> float:
         """Seconds of the whole rate accrued since a lease was last lost."""
-        return self._share_seconds - self._unbroken_from
+        return self._accrued_seconds - self._accrued_at_last_loss
 
     def renew(self, lender: str, until: float, now: float) -> None:
         """Add or extend a lease; one that arrives after its end is ignored."""
@@ -158,14 +158,14 @@
             return
         self._expiries[lender] = until
         self._next_expiry = min(self._expiries.values())
-        if now <= self._early_until:
-            self._early_share = max(self._early_share, self.share)
+        if now <= self._initial_until:
+            self._initial_share = max(self._initial_share, self.share)
 
     def revoke(self, lender: str, now: float) -> None:
         """End the lease of a node that was restarted."""
         self.advance(now)
         if self._expiries.pop(lender, None) is not None:
-            self._end_leases()
+            self._record_lease_end()
 
     def advance(self, now: float) -> float:
         """Return the seconds of the whole rate that accrued here until now."""
@@ -174,18 +174,18 @@
             expired = [n for n, at in self._expiries.items() if at <= self._next_expiry]
             for name in expired:
                 del self._expiries[name]
-            self._end_leases()
+            self._record_lease_end()
         self._accrue(now)
-        return self._share_seconds
+        return self._accrued_seconds
 
     def _accrue(self, until: float) -> None:
         if until > self._advanced_at:
             if self._expiries:
-                self._share_seconds += self.share * (until - self._advanced_at)
+                self._accrued_seconds += self.share * (until - self._advanced_at)
             self._advanced_at = until
 
-    def _end_leases(self) -> None:
+    def _record_lease_end(self) -> None:
         self._next_expiry = min(self._expiries.values(), default=math.inf)
-        self._unbroken = False
-        self._unbroken_from = self._share_seconds
+        self._uninterrupted = False
+        self._accrued_at_last_loss = self._accrued_seconds
         self.on_lease_lost()
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -14,10 +14,10 @@
 
 # A holder that has nothing to lend is not asked again for this time, which doubles
 # while it stays so.
-FIRST_PAUSE_SECONDS = 0.05
-LONGEST_PAUSE_SECONDS = 0.5
+INITIAL_BACKOFF_SECONDS = 0.05
+MAX_BACKOFF_SECONDS = 0.5
 # Holders asked one after another for a call that waits.
-MAX_LENDERS = 3
+MAX_LENDERS_PER_CALL = 3
 
 
 class TokenNetwork(Protocol):
@@ -29,41 +29,43 @@
     def list_holders(self) -> list[str]:
         """Return the holders of all availability zones that can be reached."""
 
-    def ask(self, node: str, request: TokenRequest, done: GrantHandler) -> None:
+    def request_tokens(
+        self, node: str, request: TokenRequest, done: GrantHandler
+    ) -> None:
         """Send a request; ``done`` is called once, also if no answer comes in time."""
 
 
-class Lender:
+class LenderState:
     """What is known of another holder's tokens of one workspace."""
 
-    __slots__ = ("pause_seconds", "paused_until", "remaining_tokens")
+    __slots__ = ("backoff_seconds", "backoff_until", "remaining_tokens")
 
     def __init__(self) -> None:
         self.remaining_tokens = math.inf
-        self.paused_until = 0.0
-        self.pause_seconds = 0.0
+        self.backoff_until = 0.0
+        self.backoff_seconds = 0.0
 
     def record_grant(self, grant: TokenGrant | None, now: float) -> None:
         """Take in what it lent; None if it did not answer."""
         if grant is not None and grant.tokens > 0:
             self.remaining_tokens = grant.remaining_tokens
-            self.pause_seconds = 0.0
+            self.backoff_seconds = 0.0
             return
         # It is asked again after the pause, whatever others have.
         self.remaining_tokens = math.inf
-        doubled = max(FIRST_PAUSE_SECONDS, 2.0 * self.pause_seconds)
-        self.pause_seconds = min(LONGEST_PAUSE_SECONDS, doubled)
-        self.paused_until = now + self.pause_seconds
+        doubled = max(INITIAL_BACKOFF_SECONDS, 2.0 * self.backoff_seconds)
+        self.backoff_seconds = min(MAX_BACKOFF_SECONDS, doubled)
+        self.backoff_until = now + self.backoff_seconds
 
 
 class WaitingRequests:
     """Requests for tokens of one workspace while tokens are borrowed."""
 
-    __slots__ = ("asked", "limits", "requests")
+    __slots__ = ("limits", "requests", "tried_lenders")
 
     def __init__(self, limits: TokenLimits):
         self.limits = limits
-        self.asked: set[str] = set()
+        self.tried_lenders: set[str] = set()
         self.requests: collections.deque[tuple[str, TokenRequest, GrantHandler]] = (
             collections.deque()
         )
@@ -99,7 +101,7 @@
         self._clock = clock
         self._rng = rng
         self._waiting: dict[str, WaitingRequests] = {}
-        self._lenders: dict[tuple[str, str], Lender] = {}
+        self._lenders: dict[tuple[str, str], LenderState] = {}
 
     def handle(self, sender: str, request: TokenRequest, reply: GrantHandler) -> None:
         """Answer a node's request, at once or after borrowing."""
@@ -118,7 +120,7 @@
         granted = self._pool.take(limits, request.needed, request.ahead, now, sender)
         if granted or not request.needed:
             reply(self._build_grant(request, granted))
-            self._top_up(limits, now)
+            self._top_up_reserve(limits, now)
             return
         waiting = WaitingRequests(limits)
         waiting.requests.append((sender, request, reply))
@@ -133,21 +135,21 @@
                 reply(self._build_grant(request, 0))
             return
         self._waiting[workspace] = waiting
-        waiting.asked.add(lender)
+        waiting.tried_lenders.add(lender)
         loan = self._pool.count_tokens_to_borrow(waiting.limits, waiting.needed, now)
         request = TokenRequest(0, waiting.limits, waiting.needed, loan=loan)
-        self._network.ask(
-            lender, request, lambda grant: self._take_loan(waiting, lender, grant)
+        self._network.request_tokens(
+            lender, request, lambda grant: self._handle_loan(waiting, lender, grant)
         )
 
-    def _take_loan(
+    def _handle_loan(
         self, waiting: WaitingRequests, lender: str, grant: TokenGrant | None
     ) -> None:
         now = self._clock()
         limits = waiting.limits
         tokens = grant.tokens if grant is not None else 0.0
         key = (limits.workspace, lender)
-        self._lenders.setdefault(key, Lender()).record_grant(grant, now)
+        self._lenders.setdefault(key, LenderState()).record_grant(grant, now)
         self._pool.deposit(limits, tokens, now, waiting.needed)
         while waiting.requests:
             sender, request, reply = waiting.requests[0]
@@ -163,42 +165,42 @@
         else:
             del self._waiting[limits.workspace]
 
-    def _top_up(self, limits: TokenLimits, now: float) -> None:
+    def _top_up_reserve(self, limits: TokenLimits, now: float) -> None:
         """Borrow what would exceed the capacity of another holder, before it is due."""
-        loan = self._pool.count_below_ahead_level(limits, now)
+        loan = self._pool.get_reserve_shortfall(limits, now)
         key = (limits.workspace, "")
-        record = self._lenders.get(key)
-        if loan <= 0 or (record is not None and now < record.paused_until):
+        state = self._lenders.get(key)
+        if loan <= 0 or (state is not None and now < state.backoff_until):
             return
         others = [name for name in self._network.list_holders() if name != self._name]
         if not others:
             return
-        if record is None:
-            record = self._lenders[key] = Lender()
-        record.paused_until = now + FIRST_PAUSE_SECONDS
+        if state is None:
+            state = self._lenders[key] = LenderState()
+        state.backoff_until = now + INITIAL_BACKOFF_SECONDS
 
-        def take(grant: TokenGrant | None) -> None:
-            record.record_grant(grant, self._clock())
+        def handle(grant: TokenGrant | None) -> None:
+            state.record_grant(grant, self._clock())
             if grant is not None:
                 self._pool.deposit(limits, grant.tokens, self._clock())
 
         request = TokenRequest(0, limits, 0, loan=loan)
-        self._network.ask(self._rng.choice(others), request, take)
+        self._network.request_tokens(self._rng.choice(others), request, handle)
 
     def _choose_lender(self, waiting: WaitingRequests, now: float) -> str | None:
-        if len(waiting.asked) >= MAX_LENDERS:
+        if len(waiting.tried_lenders) >= MAX_LENDERS_PER_CALL:
             return None
         workspace = waiting.limits.workspace
-        free: list[tuple[float, float, str]] = []
+        candidates: list[tuple[float, float, str]] = []
         for name in self._network.list_holders():
-            if name == self._name or name in waiting.asked:
+            if name == self._name or name in waiting.tried_lenders:
                 continue
             lender = self._lenders.get((workspace, name))
             if lender is None:
-                free.append((math.inf, self._rng.random(), name))
-            elif lender.paused_until <= now:
-                free.append((lender.remaining_tokens, self._rng.random(), name))
-        return max(free)[2] if free else None
+                candidates.append((math.inf, self._rng.random(), name))
+            elif lender.backoff_until <= now:
+                candidates.append((lender.remaining_tokens, self._rng.random(), name))
+        return max(candidates)[2] if candidates else None
 
     def _build_grant(self, request: TokenRequest, tokens: float) -> TokenGrant:
         remaining_tokens = round(
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -7,18 +7,18 @@
 from .share_leases import LeaseTable
 
 # Tokens granted ahead of need are returned or void after this time.
-GRANT_SECONDS = 0.5
+PREFETCHED_TOKEN_SECONDS = 0.5
 # Part of a bucket below which nothing is granted ahead of need, and tokens are borrowed
 # that would exceed the capacity elsewhere.
-AHEAD_LEVEL = 0.5
+RESERVED_CAPACITY_RATIO = 0.5
 # Demand is averaged over this time.
-DEMAND_SECONDS = 2.0
+DEMAND_WINDOW_SECONDS = 2.0
 # Tokens for the own demand of this time are not lent.
-KEEP_SECONDS = 0.05
+LOAN_RESERVE_SECONDS = 0.05
 # Tokens are borrowed for the own demand of this time.
-BORROW_SECONDS = 0.25
+BORROW_AHEAD_SECONDS = 0.25
 # Less than this part of a token is not lent.
-MIN_LOAN = 0.05
+MIN_LOAN_TOKENS = 0.05
 # Absorbs rounding errors of sums of fractions.
 EPSILON = 1e-9
 
@@ -36,26 +36,26 @@
             they are spent or expire they count as stored here.
     """
 
-    __slots__ = ("ahead", "demand", "initial_share", "limits", "seconds", "tokens")
+    __slots__ = ("demand", "initial_share", "limits", "prefetched", "seconds", "tokens")
 
     def __init__(self, limits: TokenLimits, seconds: float):
         self.limits = limits
         self.tokens = 0.0
-        self.demand = SlidingCount(DEMAND_SECONDS)
+        self.demand = SlidingCount(DEMAND_WINDOW_SECONDS)
         self.seconds = seconds
         self.initial_share = 0.0
-        self.ahead: dict[str, tuple[float, int]] = {}
+        self.prefetched: dict[str, tuple[float, int]] = {}
 
-    def count_ahead(self, now: float) -> int:
+    def count_prefetched(self, now: float) -> int:
         """Return the tokens granted ahead of need that may still be unspent."""
-        expired = [name for name, (until, _) in self.ahead.items() if until <= now]
+        expired = [name for name, (until, _) in self.prefetched.items() if until <= now]
         for name in expired:
-            del self.ahead[name]
-        return sum(count for _, count in self.ahead.values())
+            del self.prefetched[name]
+        return sum(count for _, count in self.prefetched.values())
 
     def get_demand(self, now: float) -> float:
         """Return calls a second."""
-        return self.demand.total(now) / DEMAND_SECONDS
+        return self.demand.total(now) / DEMAND_WINDOW_SECONDS
 
 
 class TokenPool:
@@ -84,9 +84,12 @@
         """Take in what an entry needs, still has, and gives back."""
         bucket = self._refill(request.limits, now)
         bucket.demand.add(now, request.needed)
-        known = bucket.ahead.get(entry)
-        if known is not None:
-            bucket.ahead[entry] = (known[0], min(known[1], request.unspent))
+        grant = bucket.prefetched.get(entry)
+        if grant is not None:
+            bucket.prefetched[entry] = (
+                grant[0],
+                min(grant[1], request.unspent),
+            )
         if request.returned:
             self.deposit(request.limits, request.returned, now)
 
@@ -105,17 +108,20 @@
         bucket = self._refill(limits, now)
         granted = min(needed, int(bucket.tokens + EPSILON))
         if granted == needed:
-            level = AHEAD_LEVEL * self._get_capacity(bucket, now)
-            more = min(ahead, int(bucket.tokens - granted - level))
-            if more > 0:
-                _, unspent = bucket.ahead.get(entry, (0.0, 0))
-                bucket.ahead[entry] = (now + GRANT_SECONDS, unspent + more)
-                granted += more
+            reserved = RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
+            extra = min(ahead, int(bucket.tokens - granted - reserved))
+            if extra > 0:
+                _, unspent = bucket.prefetched.get(entry, (0.0, 0))
+                bucket.prefetched[entry] = (
+                    now + PREFETCHED_TOKEN_SECONDS,
+                    unspent + extra,
+                )
+                granted += extra
         bucket.tokens -= granted
         return granted
 
     def lend(
-        self, limits: TokenLimits, wanted: float, urgent: bool, now: float
+        self, limits: TokenLimits, requested: float, urgent: bool, now: float
     ) -> float:
         """Take tokens for another holder, except those needed here soon.
 
@@ -130,12 +136,14 @@
             now: Seconds on the monotonic clock.
         """
         bucket = self._refill(limits, now)
-        kept = bucket.get_demand(now) * KEEP_SECONDS
+        reserved = bucket.get_demand(now) * LOAN_RESERVE_SECONDS
         if not urgent:
-            kept = max(kept, AHEAD_LEVEL * self._get_capacity(bucket, now))
-        spare = bucket.tokens - kept
-        lent = min(wanted, spare)
-        if lent < MIN_LOAN:
+            reserved = max(
+                reserved, RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
+            )
+        spare = bucket.tokens - reserved
+        lent = min(requested, spare)
+        if lent < MIN_LOAN_TOKENS:
             return 0.0
         bucket.tokens -= lent
         return lent
@@ -152,8 +160,8 @@
             needed: Calls that wait; tokens for these are not subject to the capacity.
         """
         bucket = self._refill(limits, now)
-        most = max(needed, bucket.tokens, self._get_capacity(bucket, now))
-        bucket.tokens = min(most, bucket.tokens + tokens)
+        max_tokens = max(needed, bucket.tokens, self._get_capacity(bucket, now))
+        bucket.tokens = min(max_tokens, bucket.tokens + tokens)
 
     def count_tokens_to_borrow(
         self, limits: TokenLimits, needed: int, now: float
@@ -161,13 +169,13 @@
         """Return the tokens to borrow for calls that wait, and for those expected."""
         bucket = self._refill(limits, now)
         room = max(0.0, self._get_capacity(bucket, now) - needed)
-        expected = min(room, bucket.get_demand(now) * BORROW_SECONDS)
+        expected = min(room, bucket.get_demand(now) * BORROW_AHEAD_SECONDS)
         return needed + expected - bucket.tokens
 
-    def count_below_ahead_level(self, limits: TokenLimits, now: float) -> float:
+    def get_reserve_shortfall(self, limits: TokenLimits, now: float) -> float:
         """Return the tokens missing to `AHEAD_LEVEL`."""
         bucket = self._refill(limits, now)
-        return AHEAD_LEVEL * self._get_capacity(bucket, now) - bucket.tokens
+        return RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now) - bucket.tokens
 
     def get_remaining_tokens(self, workspace: str) -> float:
         """Return the tokens left, as of the last request."""
@@ -185,10 +193,10 @@
             if not self._leases.uninterrupted:
                 bucket.initial_share = self._leases.initial_share
         # Tokens borrowed for calls that wait may exceed the capacity, and stay.
-        most = max(bucket.tokens, self._get_capacity(bucket, now))
+        max_tokens = max(bucket.tokens, self._get_capacity(bucket, now))
         self._accrue(bucket, seconds)
-        self._add_initial(bucket)
-        bucket.tokens = min(bucket.tokens, most)
+        self._add_initial_tokens(bucket)
+        bucket.tokens = min(bucket.tokens, max_tokens)
         if limits.version > bucket.limits.version:
             bucket.limits = limits
             bucket.tokens = min(bucket.tokens, self._get_capacity(bucket, now))
@@ -206,18 +214,18 @@
             stored = bucket.limits.burst * self._leases.share
             bucket.tokens = min(bucket.tokens, stored)
 
-    def _add_initial(self, bucket: Bucket) -> None:
+    def _add_initial_tokens(self, bucket: Bucket) -> None:
         """Add what a holder has at its start, for the shares that were lent since.
 
         After a restart the burst may have been spent just before it.
         """
-        grown = self._leases.initial_share - bucket.initial_share
-        if grown > 0:
+        added_share = self._leases.initial_share - bucket.initial_share
+        if added_share > 0:
             limits = bucket.limits
             initial = limits.burst if self._first_start else limits.initial
-            bucket.tokens += initial * grown
-            bucket.initial_share += grown
+            bucket.tokens += initial * added_share
+            bucket.initial_share += added_share
 
     def _get_capacity(self, bucket: Bucket, now: float) -> float:
         stored = bucket.limits.burst * self._leases.share
-        return max(0.0, stored - bucket.count_ahead(now))
+        return max(0.0, stored - bucket.count_prefetched(now))
--- a/primroseglade/sidecar/token_requests.py
+++ b/primroseglade/sidecar/token_requests.py
@@ -11,30 +11,32 @@
 class TokenRequests:
     """Requests for tokens sent to one node."""
 
-    __slots__ = ("_loop", "_waiting")
+    __slots__ = ("_loop", "_pending")
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self._loop = loop
-        self._waiting: dict[int, tuple[GrantHandler, asyncio.TimerHandle]] = {}
+        self._pending: dict[int, tuple[GrantHandler, asyncio.TimerHandle]] = {}
 
-    def add(self, number: int, done: GrantHandler) -> None:
+    def add(self, request_id: int, done: GrantHandler) -> None:
         """Wait for the answer to a request for `REQUEST_TIMEOUT_SECONDS`."""
-        timer = self._loop.call_later(REQUEST_TIMEOUT_SECONDS, self._end, number, None)
-        self._waiting[number] = (done, timer)
+        timer = self._loop.call_later(
+            REQUEST_TIMEOUT_SECONDS, self._complete, request_id, None
+        )
+        self._pending[request_id] = (done, timer)
 
     def answer(self, grant: TokenGrant) -> None:
         """Hand on an answer; one that comes too late is dropped with its tokens."""
-        self._end(grant.id, grant)
+        self._complete(grant.id, grant)
 
     def fail_all(self) -> None:
         """End all requests: the stream is lost."""
-        for number in list(self._waiting):
-            self._end(number, None)
+        for request_id in list(self._pending):
+            self._complete(request_id, None)
 
-    def _end(self, number: int, grant: TokenGrant | None) -> None:
-        waiting = self._waiting.pop(number, None)
-        if waiting is None:
+    def _complete(self, request_id: int, grant: TokenGrant | None) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
             return
-        done, timer = waiting
+        done, timer = pending
         timer.cancel()
         done(grant)
--- a/tests/rates.py
+++ b/tests/rates.py
@@ -55,7 +55,9 @@
         """Return the only holder."""
         return ["there"]
 
-    def ask(self, node: str, request: TokenRequest, done: GrantHandler) -> None:
+    def request_tokens(
+        self, node: str, request: TokenRequest, done: GrantHandler
+    ) -> None:
         """Answer at once."""
         self.requests.append(request)
         if self.silent:
@@ -64,7 +66,7 @@
             self.broker.handle("here", request, done)
 
     def decide(
-        self, tenant: Tenant, version: int = 1, settled: bool = True
+        self, tenant: Tenant, version: int = 1, rolled_out: bool = True
     ) -> TokenDecision:
         """Return whether one more call may go."""
         decisions: list[TokenDecision] = []
@@ -73,10 +75,10 @@
             decisions.append(decision)
             return True
 
-        self.quotas.acquire(tenant, version, settled, take)
+        self.quotas.acquire(tenant, version, rolled_out, take)
         (decision,) = decisions
         return decision
 
-    def take(self, tenant: Tenant, version: int = 1, settled: bool = True) -> bool:
+    def take(self, tenant: Tenant, version: int = 1, rolled_out: bool = True) -> bool:
         """Return whether one more call may go."""
-        return self.decide(tenant, version, settled).granted
+        return self.decide(tenant, version, rolled_out).granted
--- a/tests/test_mesh_rates.py
+++ b/tests/test_mesh_rates.py
@@ -23,20 +23,20 @@
         mesh.add("deep", zone=zone)
     mesh.store.publish(build_configuration(1, *PATHS, tenants=[tenant]))
     async with run_mesh(mesh):
-        await wait_pooled(mesh)
+        await wait_for_shares(mesh)
         yield mesh
 
 
-def list_shares(mesh: Mesh) -> list[float]:
+def get_shares(mesh: Mesh) -> list[float]:
     """Return the shares that nodes hold, the largest first."""
     shares = [place.node.rates.pool.share for place in mesh.places]
     return sorted(shares, reverse=True)
 
 
-async def wait_pooled(mesh: Mesh) -> None:
+async def wait_for_shares(mesh: Mesh) -> None:
     """Wait until one holder in each zone has the shares of its zone."""
     async with asyncio.timeout(8.0):
-        while list_shares(mesh) != [0.5, 0.5, 0.0, 0.0]:
+        while get_shares(mesh) != [0.5, 0.5, 0.0, 0.0]:
             await asyncio.sleep(0.02)
 
 
@@ -71,12 +71,12 @@
 
         async def watch() -> None:
             while True:
-                shares.append(sum(list_shares(mesh)))
+                shares.append(sum(get_shares(mesh)))
                 await asyncio.sleep(0.02)
 
         watching = asyncio.create_task(watch())
         await asyncio.sleep(0.5)
-        await wait_pooled(mesh)
+        await wait_for_shares(mesh)
         watching.cancel()
         assert holder.node.rates.pool.share == 0.5
         assert max(shares) <= 1.0
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -16,10 +16,10 @@
 )
 from primroseglade.emulator.rate_scenarios import (
     freeze_holders,
-    halve_nodes,
-    halve_zones,
     kill_all,
     kill_holders,
+    split_each_zone,
+    split_zones,
 )
 from primroseglade.emulator.rates import RateFleet, WINDOW_SECONDS
 from primroseglade.sidecar.model import Tenant
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("sides", [halve_zones, halve_nodes])
+@pytest.mark.parametrize("sides", [split_zones, split_each_zone])
 @pytest.mark.parametrize(
     ("partition", "rise_at"),
     [((6.0, 11.0), 8.0), ((6.0, 15.0), 13.0), ((6.0, 11.0), 6.0), ((6.0, 11.0), 5.8)],
@@ -86,11 +86,11 @@
 def at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
     """Return what has an event happen twice about the time at which demand rises."""
 
-    def disturb(fleet: RateFleet) -> None:
+    def inject_faults(fleet: RateFleet) -> None:
         for at in (LEAD_SECONDS + 6.0, LEAD_SECONDS + 6.5):
             fleet.simulation.schedule(at, lambda: event(fleet))
 
-    return disturb
+    return inject_faults
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -101,7 +101,7 @@
     woken, or restarted twice in a second.
     """
     demand = Demand(3.0, (5.5, 7.5))
-    play = play_workspace(nodes, rate, demand, 16.0, seed, disturb=at_rise(event))
+    play = play_workspace(nodes, rate, demand, 16.0, seed, inject_faults=at_rise(event))
     assert_kept(play, rate)
 
 
@@ -142,8 +142,8 @@
     """Guards against refusing calls whose tokens are in zones without callers."""
     fleet = RateFleet([n % 6 for n in range(30)], seed=1)
     tenant = Tenant("north", 1, 60.0, 60.0)
-    near = [n for n in range(30) if n % 6 == 2]
-    play = add_callers(fleet, tenant, Demand(0.9), LEAD_SECONDS, 20.0, near)
+    zone_nodes = [n for n in range(30) if n % 6 == 2]
+    play = add_callers(fleet, tenant, Demand(0.9), LEAD_SECONDS, 20.0, zone_nodes)
     fleet.simulation.run(20.0)
     assert len(play.admitted) >= 0.99 * count_ideal(play.arrivals, 60.0, 60.0)
 
@@ -179,14 +179,16 @@
 def test_two_restarts_in_a_window_keep_the_rate(rate: float, seed: int):
     """Guards against tokens that each restart of the whole fleet adds."""
 
-    def disturb(fleet: RateFleet) -> None:
+    def inject_faults(fleet: RateFleet) -> None:
         for at in (6.0, 7.5):
             fleet.simulation.schedule(
                 LEAD_SECONDS + at,
                 lambda: [fleet.kill(number, 0.3) for number in range(fleet.size)],
             )
 
-    play = play_workspace(14, rate, Demand(7.5), 14.0, seed, disturb=disturb)
+    play = play_workspace(
+        14, rate, Demand(7.5), 14.0, seed, inject_faults=inject_faults
+    )
     assert_kept(play, rate)
 
 
@@ -258,9 +260,9 @@
     after = Tenant("north", 1, 1.0, 1.0)
     assert holder.take(before, version=1)
     holder.now = 0.1
-    early = sum(holder.take(after, version=2, settled=False) for _ in range(50))
+    early = sum(holder.take(after, version=2, rolled_out=False) for _ in range(50))
     holder.now = 2.0
-    late = sum(holder.take(after, version=2, settled=True) for _ in range(50))
+    late = sum(holder.take(after, version=2, rolled_out=True) for _ in range(50))
     assert early == 50
     assert late <= 2
 
@@ -276,7 +278,7 @@
     later = 0
     for number in range(50):
         holder.now = 0.1 + number * 0.01
-        later += holder.take(high, version=2, settled=False)
+        later += holder.take(high, version=2, rolled_out=False)
     assert later >= 45
 
 
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -7,9 +7,9 @@
     LEAD_SECONDS,
 )
 from primroseglade.emulator.rate_scenarios import (
-    halve_nodes,
-    halve_zones,
     isolate_nodes,
+    split_each_zone,
+    split_zones,
 )
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.share_leases import (
@@ -34,9 +34,9 @@
     """Guards against asking a new holder while the former one has all tokens."""
     lender = ShareLender()
     lender.record_lease_sent("a", 0.0)
-    assert lender.choose("b", lambda name: True, 0.5) == "a"
-    assert lender.choose("b", lambda name: name != "a", 0.5) == "b"
-    assert lender.choose("b", lambda name: True, LEASE_SECONDS) == "b"
+    assert lender.choose_holder("b", lambda name: True, 0.5) == "a"
+    assert lender.choose_holder("b", lambda name: name != "a", 0.5) == "b"
+    assert lender.choose_holder("b", lambda name: True, LEASE_SECONDS) == "b"
 
 
 def test_a_lease_that_arrives_late_ends_when_its_lender_believes():
@@ -45,46 +45,46 @@
     """
     holder_ahead = 1000.0
     clock = RemoteClock()
-    told, received = holder_ahead + 1.0, 1.3
-    clock.record(told, received)
+    remote_time, received = holder_ahead + 1.0, 1.3
+    clock.record(remote_time, received)
     sent = 2.0
     until = clock.estimate(sent) + LEASE_SECONDS
     assert until <= holder_ahead + sent + LEASE_SECONDS
-    book = LeaseTable(lambda: 1, 0.0)
-    book.renew("lender", until, holder_ahead + sent + LEASE_SECONDS + 0.1)
-    assert book.share == 0.0
+    leases = LeaseTable(lambda: 1, 0.0)
+    leases.renew("lender", until, holder_ahead + sent + LEASE_SECONDS + 0.1)
+    assert leases.share == 0.0
 
 
 def test_shares_accrue_until_the_leases_end():
     """Guards against accruing for a lender that is gone, however late it is noticed."""
-    book = LeaseTable(lambda: 4, 0.0)
-    book.renew("a", 1.0, 0.0)
-    book.renew("b", 2.0, 0.0)
-    assert book.advance(10.0) == pytest.approx(0.25 * 1.0 + 0.25 * 2.0)
-    assert book.share == 0.0
+    leases = LeaseTable(lambda: 4, 0.0)
+    leases.renew("a", 1.0, 0.0)
+    leases.renew("b", 2.0, 0.0)
+    assert leases.advance(10.0) == pytest.approx(0.25 * 1.0 + 0.25 * 2.0)
+    assert leases.share == 0.0
 
 
 def test_a_restarted_lender_is_counted_once():
     """Guards against a second share for the new process of a node."""
-    book = LeaseTable(lambda: 2, 0.0)
-    book.renew("a", 1.2, 0.0)
-    book.revoke("a", 0.1)
-    book.renew("a", 1.4, 0.2)
-    book.revoke("a", 0.3)
-    book.renew("a", 1.6, 0.4)
-    assert len(book) == 1
-    assert book.share == 0.5
+    leases = LeaseTable(lambda: 2, 0.0)
+    leases.renew("a", 1.2, 0.0)
+    leases.revoke("a", 0.1)
+    leases.renew("a", 1.4, 0.2)
+    leases.revoke("a", 0.3)
+    leases.renew("a", 1.6, 0.4)
+    assert len(leases) == 1
+    assert leases.share == 0.5
 
 
 def test_no_share_before_the_number_of_nodes_is_known():
     """Guards against taking the whole rate before the others are known."""
-    book = LeaseTable(lambda: 0, 0.0)
-    book.renew("a", 1.0, 0.0)
-    assert book.share == 0.0
-    assert book.advance(0.5) == 0.0
+    leases = LeaseTable(lambda: 0, 0.0)
+    leases.renew("a", 1.0, 0.0)
+    assert leases.share == 0.0
+    assert leases.advance(0.5) == 0.0
 
 
-@pytest.mark.parametrize("sides", [halve_zones, halve_nodes, isolate_nodes])
+@pytest.mark.parametrize("sides", [split_zones, split_each_zone, isolate_nodes])
 @pytest.mark.parametrize("nodes", [14, 78])
 def test_shares_of_all_holders_never_exceed_the_whole(nodes: int, sides):
     """Guards against two holders of one share while nodes are cut off, killed twice in
@@ -94,14 +94,14 @@
     fleet = RateFleet([n % 6 for n in range(nodes)], seed=1, cuts=[cut])
     simulation = fleet.simulation
 
-    def harm() -> None:
+    def inject_faults() -> None:
         for number in range(6):
             fleet.kill(number, 0.2)
         fleet.freeze(7, 5.0)
 
     shares: list[float] = []
 
-    def look() -> None:
+    def sample_shares() -> None:
         now = simulation.now
         running = [
             node
@@ -111,11 +111,11 @@
         for node in running:
             node.leases.advance(now)
         shares.append(sum(node.leases.share for node in running))
-        simulation.schedule(now + 0.02, look)
+        simulation.schedule(now + 0.02, sample_shares)
 
-    simulation.schedule(LEAD_SECONDS + 2.0, harm)
-    simulation.schedule(LEAD_SECONDS + 2.5, harm)
-    simulation.schedule(0.0, look)
+    simulation.schedule(LEAD_SECONDS + 2.0, inject_faults)
+    simulation.schedule(LEAD_SECONDS + 2.5, inject_faults)
+    simulation.schedule(0.0, sample_shares)
     simulation.run(LEAD_SECONDS + 14.0)
     assert max(shares) <= 1.0 + 1e-9
     assert shares[-1] == pytest.approx(1.0)
