--- a/primroseglade/emulator/__init__.py
+++ b/primroseglade/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""Emulates a fleet in simulated time, with the real decision modules."""
+"""Emulates a fleet in simulated time, running the nodes' own rate limiting code."""
--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -1,4 +1,4 @@
-"""Nodes in availability zones, and messages between them that may be late or lost."""
+"""Emulates the network between nodes in availability zones, with delays and losses."""
 
 import math
 import random
@@ -6,13 +6,14 @@
 
 from .simulation import Simulation
 
+# Minimum one-way delays; the maximum is twice as long.
 SAME_ZONE_DELAY_SECONDS = 0.0003
 CROSS_ZONE_DELAY_SECONDS = 0.0008
-# A stream on which nothing comes is given up after this time.
+# A node closes a stream on which nothing arrives for this time.
 FAILURE_DETECTION_SECONDS = 1.5
-# Streams to a node that was restarted or reached again are opened within this time.
+# Streams are opened within this time after a restart or the end of a partition.
 MAX_RECONNECT_SECONDS = 1.0
-# Part of the messages that are late, and by how much at most.
+# Fraction of the messages that are delayed further, and the maximum extra delay.
 DELAYED_MESSAGE_RATIO = 0.002
 MAX_EXTRA_DELAY_SECONDS = 0.4
 
@@ -21,9 +22,9 @@
     """A network partition.
 
     Args:
-        start: Of the partition.
-        end: Of the partition.
-        sides: Returns the side on which a node is, by its number.
+        start: Start of the partition, in seconds.
+        end: End of the partition, in seconds.
+        sides: Maps the number of a node to its side of the partition.
     """
 
     __slots__ = ("end", "sides", "start")
@@ -34,18 +35,18 @@
         self.sides = sides
 
     def separates(self, a: int, b: int) -> bool:
-        """Whether two nodes are on different sides."""
+        """Return whether two nodes are on different sides."""
         return self.sides(a) != self.sides(b)
 
 
 class Network:
-    """Which nodes reach each other, and when messages arrive.
+    """Delivers messages between nodes that reach each other.
 
     Args:
-        simulation: Runs the arrivals.
+        simulation: Delivers the messages at their time of arrival.
         zones: Availability zone of each node.
         cuts: Network partitions.
-        rng: Draws delays.
+        rng: Draws the delays.
     """
 
     def __init__(
@@ -60,9 +61,9 @@
         self._cuts = cuts
         self._rng = rng
         self._reconnects = [rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones]
-        #: When each process started; infinite while there is none.
+        #: Start time of each node's process; infinite while it is down.
         self.started = [math.inf] * len(zones)
-        #: Until when each process stands still.
+        #: Time until which each node's process is frozen.
         self.frozen_until = [0.0] * len(zones)
 
     @property
@@ -71,17 +72,21 @@
         return self._zones
 
     def is_running(self, node: int) -> bool:
-        """Whether a node has a process that does not stand still."""
+        """Return whether a node's process is up and not frozen."""
         now = self._simulation.now
         return self.started[node] <= now and self.frozen_until[node] <= now
 
     def is_connected(self, a: int, b: int) -> bool:
-        """Whether a node believes that it can reach another."""
+        """Return whether node ``a`` regards node ``b`` as reachable.
+
+        Failures are detected only after some time.
+        """
         now = self._simulation.now
         if a == b:
             return True
         if now < self.started[b] + (self._reconnects[b] if self.started[b] else 0.0):
             return False
+        # A freeze of five seconds is detected after `FAILURE_DETECTION_SECONDS`.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
         for cut in self._cuts:
@@ -92,7 +97,7 @@
         return True
 
     def send(self, a: int, b: int, receive: Callable[[], None]) -> None:
-        """Deliver a message, unless a partition or the end of a process prevents it."""
+        """Send a message; it is lost if the receiver is cut off, down or restarted."""
         now = self._simulation.now
         same = self._zones[a] == self._zones[b]
         delay = (
@@ -116,7 +121,7 @@
         self._simulation.schedule(now + delay, arrive)
 
     def is_reachable(self, a: int, b: int) -> bool:
-        """Whether messages from one node get to another now."""
+        """Return whether node ``b`` is up and not cut off from ``a``."""
         now = self._simulation.now
         if self.started[b] > now:
             return False
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -1,4 +1,4 @@
-"""Calls of workspaces that come to an emulated fleet, and what becomes of them."""
+"""Simulates calls of workspaces to an emulated fleet and records the outcome."""
 
 import bisect
 import random
@@ -13,17 +13,17 @@
     WINDOW_SECONDS,
 )
 
-# Nodes exist for this long before the first call, unless they were just restarted.
+# Nodes are up for this long before the first call, unless they were just restarted.
 LEAD_SECONDS = 5.0
 
 
 class Play:
-    """What became of the calls of a workspace.
+    """Calls of a workspace in one simulation; times in seconds from the first call.
 
     Attributes:
-        arrivals: Times of all calls.
-        admitted: Times at which calls were let through.
-        waits_of_admitted: Seconds that each call let through waited for a token.
+        arrivals: Arrival times of all calls.
+        admitted: Times at which calls were admitted.
+        waits_of_admitted: Seconds that each admitted call waited for a token.
     """
 
     __slots__ = ("admitted", "arrivals", "waits_of_admitted")
@@ -34,7 +34,7 @@
         self.waits_of_admitted: list[float] = []
 
     def find_worst_window(self) -> int:
-        """Return the most calls let through in any window."""
+        """Return the maximum number of calls admitted within `WINDOW_SECONDS`."""
         return max(
             (
                 bisect.bisect_right(self.admitted, start + WINDOW_SECONDS) - number
@@ -45,14 +45,14 @@
 
 
 def count_allowed(rate: float, burst: float) -> float:
-    """Return the calls that operators tolerate in any window."""
+    """Return the number of calls that operators tolerate in any window."""
     return (rate * WINDOW_SECONDS + burst) * (
         1.0 + TOLERATED_OVERSHOOT_RATIO
     ) + TOLERATED_EXTRA_CALLS
 
 
 def count_ideal(arrivals: Sequence[float], rate: float, burst: float) -> int:
-    """Return the calls that one exact token bucket would let through.
+    """Return the number of calls that one exact token bucket would admit.
 
     >>> count_ideal([0.0, 0.0, 0.0, 1.0], rate=1.0, burst=2.0)
     3
@@ -70,11 +70,11 @@
 
 
 class Demand:
-    """Calls a second of a workspace, as a multiple of its rate, over time.
+    """Call rate of a workspace over time, as a multiple of its rate limit.
 
     Args:
-        times: Before the rise.
-        rise: Time of the rise and the multiple after it; None if there is none.
+        multiple: Multiple before the rise.
+        rise: Time of the rise in seconds and the multiple after it; None for no rise.
     """
 
     __slots__ = ("multiple", "rise")
@@ -84,14 +84,14 @@
         self.rise = rise
 
     def get(self, now: float) -> float:
-        """Return the multiple at a time."""
+        """Return the multiple at a time in seconds."""
         if self.rise is not None and now >= self.rise[0]:
             return self.rise[1]
         return self.multiple
 
     @property
     def most(self) -> float:
-        """The largest multiple."""
+        """Maximum multiple."""
         return max(self.multiple, self.rise[1] if self.rise is not None else 0.0)
 
 
@@ -103,17 +103,20 @@
     end: float,
     nodes: Sequence[int],
 ) -> Play:
-    """Have calls of a workspace come to some nodes, at random times.
+    """Schedule calls of a workspace to some nodes, at random times.
 
     Args:
-        fleet: Of the nodes.
+        fleet: Fleet that serves the calls.
         tenant: The workspace.
-        demand: By its rate; times from the start.
-        start: Of the calls.
-        end: Of the calls.
-        nodes: Numbers of the nodes; some get more calls than others.
+        demand: Demand of the workspace; times from ``start``.
+        start: Simulated time from which calls arrive, in seconds.
+        end: Simulated time at which they end, in seconds.
+        nodes: Numbers of the nodes that get calls; some get more than others.
+
+    Returns:
+        The calls, which are recorded while the simulation runs.
     """
-    # Of its own, so that all designs and settings are played with the same calls.
+    # A generator of its own, so that every design and setting gets the same calls.
     rng = random.Random(f"{fleet.seed} {tenant.name}")
     play = Play()
     weights = [rng.uniform(0.5, 2.0) for _ in nodes]
@@ -150,20 +153,23 @@
     cuts: Sequence[Cut] = (),
     inject_faults: Callable[[RateFleet], None] = lambda fleet: None,
 ) -> Play:
-    """Play one workspace whose burst is a second of its rate.
+    """Simulate one workspace whose burst is a second of its rate.
 
     Args:
-        nodes: How many there are.
-        rate: Of the workspace.
-        demand: Of its callers.
-        seconds: For which calls come.
-        seed: Of all that is drawn.
-        first_start: Whether the fleet starts for the first time; otherwise all of it
-            was just restarted when the first call comes.
-        zones: Availability zones among which the nodes are divided.
+        nodes: Number of nodes.
+        rate: Rate limit of the workspace, in calls per second.
+        demand: Demand of the workspace.
+        seconds: Duration of the calls, in seconds.
+        seed: Seed of all random numbers.
+        first_start: Whether the fleet starts for the first time; otherwise all nodes
+            have just been restarted when calls begin.
+        zones: Number of availability zones.
         cuts: Network partitions; times from the first call.
-        disturb: Schedules other disturbances; times with `LEAD_SECONDS` before the
-            first call, if the fleet starts for the first time.
+        inject_faults: Schedules other faults, in simulated time: the calls begin at
+            `LEAD_SECONDS` if the fleet starts for the first time, else at 0.
+
+    Returns:
+        The calls and their outcome.
     """
     lead = LEAD_SECONDS if first_start else 0.0
     shifted = [Cut(cut.start + lead, cut.end + lead, cut.sides) for cut in cuts]
--- a/primroseglade/emulator/rate_scenarios.py
+++ b/primroseglade/emulator/rate_scenarios.py
@@ -1,25 +1,24 @@
-"""What may happen to a fleet while workspaces are at their rates."""
+"""Fault scenarios for an emulated fleet whose workspaces are at their rates."""
 
 from collections.abc import Callable
 
 from .network import Cut
 from .rates import RateFleet
 
-# Demand rises at this time after the first call, if it does; the disturbances that
-# come at the rise, too.
+# Time from the first call to the rise of demand and to the faults injected at the rise.
 RISE_SECONDS = 7.0
 FAULT_SECONDS = 5.0
 HOLDER_COUNT = 6
 
 
 class Scenario:
-    """A disturbance; times from the first call.
+    """Faults injected into a fleet; times in seconds from the first call.
 
     Args:
-        first_start: Whether the fleet starts for the first time before the first call;
-            otherwise all of it has just been restarted then.
+        first_start: Whether the fleet starts for the first time; otherwise all nodes
+            have just been restarted when calls begin.
         cuts: Network partitions.
-        events: Time and what is done to the fleet then.
+        events: Times and functions that inject a fault into the fleet.
     """
 
     __slots__ = ("cuts", "events", "first_start")
@@ -39,7 +38,7 @@
 
 
 def scenario(name: str) -> Callable[[Callable[[], Scenario]], Callable[[], Scenario]]:
-    """Register a scenario."""
+    """Return a decorator that registers the builder of a scenario."""
 
     def register(build: Callable[[], Scenario]) -> Callable[[], Scenario]:
         _scenarios[name] = build
@@ -49,115 +48,115 @@
 
 
 def build_scenarios() -> dict[str, Scenario]:
-    """Return all scenarios by name."""
+    """Build all registered scenarios, by name."""
     return {name: build() for name, build in _scenarios.items()}
 
 
 def split_zones(number: int) -> int:
-    """Put whole availability zones on either side."""
+    """Return a node's side of a partition between halves of the zones."""
     return number % 2
 
 
 def split_each_zone(number: int) -> int:
-    """Put nodes of every availability zone on either side."""
+    """Return a node's side of a partition through every zone."""
     return number // 7 % 2
 
 
 def isolate_zone(number: int) -> int:
-    """Cut off one availability zone."""
+    """Return a node's side of a partition around one zone."""
     return int(number % HOLDER_COUNT == 1)
 
 
 def isolate_nodes(number: int) -> int:
-    """Cut off two token holders and another node, from each other too."""
+    """Return a node's side; two holders and another node are each on their own."""
     return number if number in (0, 1, 9) else -1
 
 
 def build_partition(start: float, sides: Callable[[int], int]) -> Scenario:
-    """Return a scenario with one partition."""
+    """Return a scenario with one partition of `FAULT_SECONDS`."""
     return Scenario(cuts=(Cut(start, start + FAULT_SECONDS, sides),))
 
 
 @scenario("calm")
 def build_calm() -> Scenario:
-    """Nothing happens."""
+    """Build the scenario without faults."""
     return Scenario()
 
 
 @scenario("half cut off before the rise")
 def build_partition_before_rise() -> Scenario:
-    """Half of the nodes of each zone, five seconds that end after the rise."""
+    """Cut off half of each zone 3 s before the rise, for 5 s."""
     return build_partition(RISE_SECONDS - 3.0, split_each_zone)
 
 
 @scenario("half cut off at the rise")
 def build_partition_at_rise() -> Scenario:
-    """Half of the nodes of each zone."""
+    """Cut off half of the nodes of each zone at the rise."""
     return build_partition(RISE_SECONDS, split_each_zone)
 
 
 @scenario("half cut off after the rise")
 def build_partition_after_rise() -> Scenario:
-    """Half of the nodes of each zone."""
+    """Cut off half of the nodes of each zone just after the rise."""
     return build_partition(RISE_SECONDS + 0.3, split_each_zone)
 
 
 @scenario("half of the zones cut off at the rise")
 def build_partitioned_zones() -> Scenario:
-    """Half of the zones."""
+    """Cut off half of the zones at the rise."""
     return build_partition(RISE_SECONDS, split_zones)
 
 
 @scenario("zone cut off at the rise")
 def build_isolated_zone() -> Scenario:
-    """One zone."""
+    """Cut off one zone at the rise."""
     return build_partition(RISE_SECONDS, isolate_zone)
 
 
 @scenario("nodes cut off at the rise")
 def build_isolated_nodes() -> Scenario:
-    """Two token holders and another node."""
+    """Isolate two token holders and another node at the rise."""
     return build_partition(RISE_SECONDS, isolate_nodes)
 
 
 def kill_holders(fleet: RateFleet) -> None:
-    """Kill the token holders of all zones."""
+    """Kill the token holders of all zones; they restart after 0.2 s."""
     for number in range(HOLDER_COUNT):
         fleet.kill(number, 0.2)
 
 
 @scenario("holders killed twice in a second")
 def build_killed_holders() -> Scenario:
-    """The token holders of all zones, just before the rise."""
+    """Kill the token holders of all zones before and at the rise."""
     times = (RISE_SECONDS - 0.5, RISE_SECONDS)
     return Scenario(events=tuple((at, kill_holders) for at in times))
 
 
 def freeze_holders(fleet: RateFleet) -> None:
-    """Have the token holders of half of the zones stand still."""
+    """Freeze the token holders of half of the zones."""
     for number in range(HOLDER_COUNT // 2):
         fleet.freeze(number, FAULT_SECONDS)
 
 
 @scenario("holders frozen for 5 s")
 def build_frozen_holders() -> Scenario:
-    """The token holders of half of the zones, from just before the rise."""
+    """Freeze the token holders of half of the zones just before the rise."""
     return Scenario(events=((RISE_SECONDS - 0.5, freeze_holders),))
 
 
 def kill_all(fleet: RateFleet) -> None:
-    """Kill all nodes; they are back at different times."""
+    """Kill all nodes; they restart at different times."""
     for number in range(fleet.size):
         fleet.kill(number, fleet.rng.uniform(0.5, 1.5))
 
 
 @scenario("all nodes killed at the rise")
 def build_killed_fleet() -> Scenario:
-    """All nodes at once."""
+    """Kill all nodes at the rise."""
     return Scenario(events=((RISE_SECONDS, kill_all),))
 
 
 @scenario("start after the end of all nodes")
 def build_restart() -> Scenario:
-    """The first calls come while all nodes start again."""
+    """Let calls begin while all nodes restart."""
     return Scenario(first_start=False)
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -1,4 +1,4 @@
-"""Rates of workspaces over a fleet, with the modules that the nodes use for them."""
+"""Emulates a fleet that enforces the rates of workspaces with the nodes' own code."""
 
 import math
 import random
@@ -24,22 +24,23 @@
 from .network import Cut, Network
 from .simulation import Simulation
 
-# A node that was just started lends its share within this time.
+# A node first lends its share within this time of its start.
 MAX_FIRST_RENEWAL_SECONDS = 0.1
-# A node looks anew after this time whom it reaches.
+# Interval at which a node updates which others it reaches.
 VIEW_REFRESH_SECONDS = 0.25
-# What operators tolerate.
+# Operators tolerate, in any window, this fraction of rate and burst and this number of
+# calls on top of them.
 WINDOW_SECONDS = 5.0
 TOLERATED_OVERSHOOT_RATIO = 0.1
 TOLERATED_EXTRA_CALLS = 20
 
 
 class RateNode:
-    """One process of a node, with its parts for rates; itself a token network.
+    """Process of one node, with its rate limiting; implements `TokenNetwork`.
 
     Args:
-        fleet: The other nodes.
-        number: Of this node.
+        fleet: The whole fleet.
+        number: Number of this node.
         first_start: Whether the whole fleet starts for the first time.
     """
 
@@ -65,7 +66,7 @@
         )
 
     def get_holder(self) -> str:
-        """Return the holder that this node asks."""
+        """Return the name of the holder that this node requests tokens from."""
         return self.lender.choose_holder(
             self._fleet.find_holder(self._number),
             lambda name: self._fleet.network.is_connected(self._number, int(name)),
@@ -73,13 +74,13 @@
         )
 
     def list_holders(self) -> list[str]:
-        """Return the holders of all zones that can be reached."""
+        """Return the names of the reachable holders of all zones."""
         return self._fleet.list_holders(self._number)
 
     def request_tokens(
         self, node: str, request: TokenRequest, done: GrantHandler
     ) -> None:
-        """Send a request."""
+        """Send a request; ``done`` is called once, with None after a timeout."""
         fleet = self._fleet
         number = int(node)
         answered: list[TokenGrant | None] = []
@@ -103,7 +104,7 @@
         fleet.simulation.schedule(timeout, lambda: finish(None))
 
     def renew(self) -> None:
-        """Lend the share to the zone's holder if it is due, as nodes do with pings."""
+        """Lend the share to its assigned holder by a ping, if a renewal is due."""
         fleet = self._fleet
         now = fleet.simulation.now
         holder = int(fleet.find_holder(self._number))
@@ -127,11 +128,11 @@
 
 
 class RateFleet:
-    """Nodes whose callers send calls of some workspaces.
+    """Nodes that admit calls of workspaces, and their emulated network.
 
     Args:
         zones: Availability zone of each node.
-        seed: Of all that is drawn.
+        seed: Seed of all random numbers.
         cuts: Network partitions.
         first_start: Whether the fleet starts for the first time.
     """
@@ -161,11 +162,11 @@
 
     @property
     def size(self) -> int:
-        """Nodes among which rates are divided."""
+        """Number of nodes among which rates are divided."""
         return len(self.network.zones)
 
     def kill(self, number: int, down_seconds: float) -> None:
-        """End a node's process, and start another one later."""
+        """Kill a node's process, and start a new one after ``down_seconds``."""
         self.network.started[number] = math.inf
         self._views.clear()
         self.simulation.schedule(
@@ -173,11 +174,11 @@
         )
 
     def freeze(self, number: int, seconds: float) -> None:
-        """Have a node's process stand still."""
+        """Freeze a node's process for some seconds."""
         self.network.frozen_until[number] = self.simulation.now + seconds
 
     def find_holder(self, number: int) -> str:
-        """Return the token holder that is assigned to a node, as it sees its zone."""
+        """Return the token holder assigned to a node by its view of the zone."""
         return self._get_view(number)[0]
 
     def list_holders(self, number: int) -> list[str]:
@@ -185,7 +186,7 @@
         return self._get_view(number)[1]
 
     def handle_ping(self, lender: int, holder: int, until: float) -> None:
-        """Have a holder take in a ping, and answer it with its clock."""
+        """Record a ping's lease at its holder, and send the holder's clock back."""
         now = self.simulation.now
         self.nodes[holder].leases.renew(str(lender), until, now)
 
@@ -200,7 +201,7 @@
         self.network.send(holder, lender, record)
 
     def call(self, number: int, tenant: Tenant, done: Callable[[bool], None]) -> None:
-        """Have a call come to a node; one that is down or stands still refuses it."""
+        """Send a call to a node; it is refused if the node is down or frozen."""
         if not self.network.is_running(number):
             done(False)
             return
@@ -217,7 +218,7 @@
         self.nodes[number] = RateNode(self, number, first_start=False)
         for other, node in enumerate(self.nodes):
             node.clocks.pop(number, None)
-            # The new process introduces itself to all nodes that it reaches.
+            # The new process announces its start to all nodes that it reaches.
             if self.network.is_reachable(number, other):
                 node.leases.revoke(str(number), self.simulation.now)
         at = self.simulation.now + self.rng.uniform(0.0, MAX_FIRST_RENEWAL_SECONDS)
@@ -239,7 +240,7 @@
         self.simulation.schedule(at, renew)
 
     def _get_view(self, number: int) -> tuple[str, list[str]]:
-        """Return a node's assigned holder and all holders, as it sees the fleet."""
+        """Return a node's assigned holder and all holders, by its view of the fleet."""
         now = self.simulation.now
         cached = self._views.get(number)
         if cached is not None and now - cached[0] < VIEW_REFRESH_SECONDS:
--- a/primroseglade/emulator/simulation.py
+++ b/primroseglade/emulator/simulation.py
@@ -1,4 +1,4 @@
-"""A queue of events in simulated time."""
+"""Discrete-event simulation."""
 
 import heapq
 import itertools
@@ -6,7 +6,7 @@
 
 
 class Simulation:
-    """Runs events in the order of their times; times in seconds."""
+    """Runs events in the order of their times, which are in seconds."""
 
     def __init__(self) -> None:
         self._now = 0.0
@@ -15,20 +15,20 @@
 
     @property
     def now(self) -> float:
-        """The simulated time."""
+        """Current simulated time."""
         return self._now
 
     def read_clock(self) -> float:
-        """Return the simulated time."""
+        """Return the current simulated time."""
         return self._now
 
     def schedule(self, at: float, event: Callable[[], None]) -> None:
-        """Have an event run at a time, or now if that has passed."""
+        """Schedule an event at a time, or at once if that has passed."""
         sequence_number = next(self._sequence_numbers)
         heapq.heappush(self._events, (max(at, self._now), sequence_number, event))
 
     def run(self, until: float) -> None:
-        """Run all events before a time.
+        """Run all events before a time, then advance the clock to it.
 
         >>> simulation = Simulation()
         >>> simulation.schedule(2.0, lambda: print("second"))
--- a/primroseglade/sidecar/bucket_snapshot.py
+++ b/primroseglade/sidecar/bucket_snapshot.py
@@ -2,19 +2,19 @@
 
 from .token_pool import Bucket, TokenPool
 
-# Fraction of the capacity below which a bucket is low on tokens.
+# Fraction of a holder's part of the burst below which a bucket is low on tokens.
 LOW_TOKENS_RATIO = 0.5
 
 
 class BucketSnapshot:
-    """State of a bucket at its holder.
+    """State of a workspace's bucket at one holder.
 
     Attributes:
         rate: Enforced calls per second over the whole fleet.
         burst: Enforced burst of the whole fleet, in calls.
         share: Fraction of rate and burst that is lent to this holder.
-        demand: Calls per second for which tokens are asked here.
-        tokens: Left here, as of the last request.
+        demand: Calls per second for which tokens are requested here.
+        tokens: Tokens left here after the last request.
     """
 
     __slots__ = ("burst", "demand", "rate", "share", "tokens")
@@ -28,7 +28,7 @@
 
     @property
     def low_on_tokens(self) -> bool:
-        """Whether fewer than `LOW_TOKENS` of the tokens are left in a used bucket."""
+        """Whether a bucket with demand is filled to less than `LOW_TOKENS_RATIO`."""
         return (
             self.demand > 0 and self.tokens < LOW_TOKENS_RATIO * self.burst * self.share
         )
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -1,4 +1,4 @@
-"""Tokens of workspaces at one entry: which calls may go, and asking for more tokens."""
+"""Admits calls by their workspace's rate, with tokens requested from a token holder."""
 
 import collections
 import random
@@ -11,24 +11,26 @@
 from .token_broker import TokenBroker, TokenNetwork
 from .token_pool import DEMAND_WINDOW_SECONDS, PREFETCHED_TOKEN_SECONDS
 
-# Tokens are asked for calls expected within this time, and fetched when half are left.
+# Tokens are requested for the calls expected within this time, once at most half as
+# many are left.
 PREFETCH_SECONDS = 0.25
-# After a refusal no tokens are asked for during this time.
+# For this time after a refusal, calls are refused without a request to the holder.
 REFUSAL_CACHE_SECONDS = 0.05
-# A token holder that did not answer is not asked during this time.
+# A token holder that did not answer gets no requests for this time.
 HOLDER_BACKOFF_SECONDS = 1.0
-# Part of the calls refused by admission that get their token back. A workspace far over
-# its rate would otherwise take part in admission with all of its calls.
+# Fraction of the calls refused by admission whose token is refunded. If all were, a
+# workspace far over its rate would offer all of its calls to admission.
 REFUNDED_RATIO = 1.0 / 3.0
 
 
 class TokenDecision:
-    """Whether a call may go, as far as its workspace's rate is concerned.
+    """Whether a call is within its workspace's rate.
 
     Args:
-        granted: Whether it may go.
-        holder: Node that was asked for a token last; empty if none was.
-        remaining_tokens: Tokens that it had left.
+        granted: Whether the call got a token.
+        holder: Name of the token holder that refused the request; empty if the call got
+            a token or no holder could be asked.
+        remaining_tokens: Tokens that the holder had left.
     """
 
     __slots__ = ("granted", "holder", "remaining_tokens")
@@ -39,25 +41,25 @@
         self.remaining_tokens = remaining_tokens
 
 
-# Called with the decision; returns whether the call is still there to use it.
+# Called with the decision; returns False if the call was canceled in the meantime.
 DecisionHandler = Callable[[TokenDecision], bool]
 
 
 class TokenCache:
-    """Tokens of one workspace at one entry.
+    """Unspent tokens and waiting calls of one workspace at this entry node.
 
     Attributes:
-        tenant: With the limits that the operator set; rate 0 for none.
-        limits: Those that are enforced.
-        tokens: Expiry and number of unspent tokens.
-        lapsed: Expired and returned tokens that go back to a holder with the next
-            request.
-        waiting: Calls that wait for an answer of the holder.
-        asking: Whether a request is under way.
-        refused_until: Until then, calls are refused without asking.
-        refusal: The last refusal.
-        demand: Calls that came lately.
-        admitted: Calls that were granted a token, less those that did not run.
+        tenant: The workspace with the operator's limits; a rate of 0 means no limit.
+        limits: Enforced limits.
+        tokens: Pairs of expiry and number of unspent tokens, oldest first.
+        pending_returns: Expired and returned tokens that go back to a holder with the
+            next request.
+        waiting: Calls that wait for the holder's answer.
+        request_in_flight: Whether a request for tokens is in flight.
+        refused_until: Time until which calls are refused without a request.
+        refusal: Last refusal.
+        demand: Calls received within `DEMAND_WINDOW_SECONDS`.
+        admitted: Calls that got a token, less those that did not run.
     """
 
     __slots__ = (
@@ -84,34 +86,34 @@
         self.admitted = 0
 
     def set_limits(self, tenant: Tenant, limits: TokenLimits) -> None:
-        """Set the limits in force."""
+        """Replace the limits; calls are no longer refused by the former ones."""
         self.tenant = tenant
         self.limits = limits
         self.refused_until = 0.0
 
     def count_unspent(self, now: float) -> int:
-        """Return the unspent tokens."""
+        """Return the number of unspent tokens, without those that have expired."""
         while self.tokens and self.tokens[0][0] <= now:
             self.pending_returns += int(self.tokens.popleft()[1])
         return int(sum(count for _, count in self.tokens))
 
     def add(self, count: int, until: float) -> None:
-        """Add tokens that expire."""
+        """Add tokens that expire at ``until``."""
         if count > 0:
             self.tokens.append([until, count])
 
     def return_token(self) -> None:
         """Return the token of a call that did not run.
 
-        It goes back to the holder, whose capacity bounds what is stored: calls that
-        were held for seconds and then did not run would otherwise be let through again
-        beside those of the following seconds.
+        It goes back to the holder, which stores tokens up to its capacity only. If it
+        stayed here, the tokens of calls that waited for seconds and did not run would
+        admit as many calls on top of those of the next seconds.
         """
         self.admitted -= 1
         self.pending_returns += 1
 
     def try_spend(self, now: float) -> bool:
-        """Spend one token, if there is any."""
+        """Spend one token; return False if there is none."""
         if not self.count_unspent(now):
             return False
         self.tokens[0][1] -= 1
@@ -121,20 +123,20 @@
         return True
 
     def estimate_upcoming_calls(self, now: float) -> int:
-        """Return the calls expected within `AHEAD_SECONDS`."""
+        """Return the number of calls expected within `PREFETCH_SECONDS`."""
         return int(self.demand.total(now) / DEMAND_WINDOW_SECONDS * PREFETCH_SECONDS)
 
 
 class Quotas:
-    """Tokens of all workspaces at this entry.
+    """Enforces the rates of all workspaces at this entry node.
 
     Args:
-        name: Of this node.
-        broker: Answers where this node is the token holder.
-        network: The token holders.
-        rate_tolerance: Beyond the rates.
+        name: Name of this node.
+        broker: Answers the requests if this node itself is the token holder.
+        network: Finds the token holders and sends requests to them.
+        rate_tolerance: Calls that are allowed beyond the rates.
         clock: Returns seconds on the monotonic clock.
-        rng: Draws which calls refused by admission get their token back.
+        rng: Draws which calls refused by admission have their token refunded.
     """
 
     def __init__(
@@ -156,21 +158,21 @@
         self._backoff_until: dict[str, float] = {}
 
     def list_admitted(self) -> Iterator[tuple[str, int]]:
-        """Yield each rate-limited workspace and the calls that were granted a token."""
+        """Yield the name and the number of admitted calls of each workspace."""
         for name, cache in self._caches.items():
             yield name, cache.admitted
 
     def acquire(
         self, tenant: Tenant, version: int, rolled_out: bool, done: DecisionHandler
     ) -> None:
-        """Get a token for one call.
+        """Acquire a token for one call.
 
         Args:
-            tenant: With its rate and burst in force.
-            version: Version of the configuration that they are from.
-            settled: Whether all nodes have that configuration by now. Before, a lower
-                rate would be enforced by some nodes and not by others.
-            done: Called once, now or when the holder has answered.
+            tenant: The workspace with its configured rate and burst.
+            version: Version of the configuration that has these limits.
+            rolled_out: Whether all nodes have that configuration by now. Until then a
+                lower rate is not applied: other nodes would still use the higher one.
+            done: Called once with the decision, at once or after the holder's answer.
         """
         cache = self._get_cache(tenant, version, rolled_out)
         if cache.tenant.rate <= 0:
@@ -190,13 +192,13 @@
             self._request_tokens(cache, now)
 
     def refund(self, tenant: Tenant) -> None:
-        """Take back the token of a call that did not run."""
+        """Refund the token of a call that did not run."""
         cache = self._caches.get(tenant.name)
         if cache is not None and cache.tenant.rate > 0:
             cache.return_token()
 
     def refund_refused(self, tenant: Tenant) -> None:
-        """Take back the token of a call that admission refused, or void it."""
+        """Refund or discard the token of a call that admission refused."""
         cache = self._caches.get(tenant.name)
         if cache is None or cache.tenant.rate <= 0:
             return
@@ -217,7 +219,7 @@
         return cache
 
     def _request_tokens(self, cache: TokenCache, now: float) -> None:
-        """Ask a holder for tokens, unless a request is under way."""
+        """Request tokens from a holder, unless a request is in flight."""
         if cache.request_in_flight:
             return
         holder = self._choose_holder(now)
@@ -245,7 +247,7 @@
             self._network.request_tokens(holder, request, handle)
 
     def _choose_holder(self, now: float) -> str:
-        """Return whom to ask; empty if no holder has answered lately."""
+        """Return the first holder that is not in backoff; empty if there is none."""
         for name in (self._network.get_holder(), *self._network.list_holders()):
             if self._backoff_until.get(name, 0.0) <= now:
                 return name
@@ -281,7 +283,7 @@
     def _refuse_waiting(
         self, cache: TokenCache, refusal: TokenDecision, now: float
     ) -> None:
-        """Refuse the calls that wait, and those that come in a moment."""
+        """Refuse the waiting calls, and new ones for `REFUSAL_CACHE_SECONDS`."""
         cache.refusal = refusal
         cache.refused_until = now + REFUSAL_CACHE_SECONDS
         waiting, cache.waiting = cache.waiting, collections.deque()
@@ -290,5 +292,5 @@
 
     def _deliver_token(self, cache: TokenCache, done: DecisionHandler) -> None:
         if not done(TokenDecision(True)):
-            # Its caller has left in the meantime.
+            # The call was canceled while it waited.
             cache.return_token()
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -1,4 +1,4 @@
-"""The parts of a node that keep workspaces to their rates, put together."""
+"""Connects the components that enforce the rates of workspaces at a node."""
 
 import random
 import time
@@ -22,26 +22,28 @@
 from .token_broker import GrantHandler, TokenBroker
 from .token_pool import TokenPool
 
-# Leases are renewed this often.
 LEASE_RENEWAL_SECONDS = 0.45
-# A node that was just started waits for the holder that the list of nodes names: what
-# it lends to another one first is missed there until the lease ends.
+# For this time after its start, a node lends its share only to the holder that it would
+# have with all known nodes reachable. That holder could not use a share lent to another
+# one first until that lease ends.
 HOLDER_DISCOVERY_SECONDS = 1.0
 
 
 class RateControl:
-    """Rates of workspaces at one node: its entry, its share, and its pool if it is a
-    token holder.
+    """Enforces the rates of workspaces at one node.
+
+    It admits the node's own calls, lends its share to a token holder, and keeps the
+    buckets if the node itself is one.
 
     Args:
-        entry: Of this node.
+        entry: This node's entry in the list of nodes.
         fleet: The other nodes.
         count_nodes: Returns the number of nodes among which rates are divided; 0 while
             it is unknown.
         first_start: Whether the whole fleet starts for the first time.
-        rate_tolerance: Beyond the rates.
+        rate_tolerance: Calls that are allowed beyond the rates.
         journal: Receives events.
-        rng: Chooses among other holders.
+        rng: Makes the random choices, such as among other holders.
     """
 
     def __init__(
@@ -71,7 +73,7 @@
         self.monitor = RateMonitor(self.pool, journal)
 
     def get_holder(self) -> str:
-        """Return the holder that this node asks."""
+        """Return the name of the holder that this node requests tokens from."""
         if not self._is_reachable(self._assigned_holder):
             self._update_holders()
         return self._lender.choose_holder(
@@ -79,13 +81,13 @@
         )
 
     def list_holders(self) -> list[str]:
-        """Return the holders of all availability zones that can be reached."""
+        """Return the names of the reachable holders of all availability zones."""
         return self._holders
 
     def request_tokens(
         self, node: str, request: TokenRequest, done: GrantHandler
     ) -> None:
-        """Send a request for tokens."""
+        """Send a request for tokens; it fails at once if the node is unknown."""
         peer = self._fleet.get(node)
         if peer is None:
             done(None)
@@ -104,7 +106,7 @@
         self.broker.handle(sender, request, reply)
 
     def renew_lease(self, now: float) -> None:
-        """Lend this node's share to the zone's holder, if that is due."""
+        """Lend this node's share to its assigned holder, if a renewal is due."""
         self._leases.advance(now)
         self._update_holders()
         holder = self._assigned_holder
@@ -120,14 +122,15 @@
             return
         peer = self._fleet.get(holder)
         if peer is not None and peer.lend_share(LEASE_SECONDS):
-            # Not before it was sent: it must have ended when the next one begins.
+            # Read after sending, so that this lease has ended before the share is lent
+            # to another holder.
             self._lender.record_lease_sent(holder, time.monotonic())
 
     def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Take in that a node lends its share.
+        """Record that a node lends its share to this node.
 
         Args:
-            lender: The node.
+            lender: The lending node.
             lease_ms: End of the lease, in milliseconds on this node's clock.
         """
         now = time.monotonic()
@@ -136,7 +139,7 @@
         self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
 
     def record_node_start(self, entry: NodeEntry) -> None:
-        """End the lease of a node's former process."""
+        """End the lease of the node's former process after a restart."""
         if self._lender_starts.get(entry.name, entry.started) < entry.started:
             del self._lender_starts[entry.name]
             self._leases.revoke(entry.name, time.monotonic())
--- a/primroseglade/sidecar/rate_monitor.py
+++ b/primroseglade/sidecar/rate_monitor.py
@@ -5,15 +5,15 @@
 from .token_pool import TokenPool
 
 RATE_LOG_SECONDS = 1.0
-# Limits the length of a log line; workspaces with the highest demand come first.
+# Limits the length of a log line to the workspaces with the highest demand.
 MAX_LOGGED_WORKSPACES = 8
 
 
 class RateMonitor:
-    """Logs buckets with less than half of their tokens left, at their holder.
+    """Logs the buckets of a token holder that have less than half of their tokens left.
 
     Args:
-        pool: All buckets of this node.
+        pool: Buckets of this node.
         journal: Receives the events.
     """
 
@@ -22,7 +22,7 @@
         self._journal = journal
 
     def log_buckets(self, now: float) -> None:
-        """Log the buckets that are low on tokens in one event, if there are any."""
+        """Log all buckets that are low on tokens as one event, if there are any."""
         snapshots = build_snapshots(self._pool, now)
         low = {name: item for name, item in snapshots.items() if item.low_on_tokens}
         if not low:
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -1,29 +1,29 @@
-"""Leases by which nodes pool their shares of all rates at one node of their zone.
+"""Leases by which nodes lend their shares of all rates to a token holder of their zone.
 
-Every node owns an equal share of each workspace's rate and burst. It lends the share,
-for all workspaces at once, to a token holder of its availability zone. Because a share
-is lent to one holder at a time, the shares of all holders add up to one at most,
-whatever the nodes believe about each other.
+Every node owns an equal share of each workspace's rate and burst. It lends this share,
+for all workspaces at once, to one token holder in its availability zone. As no share is
+lent to two holders at the same time, the shares of all holders never add up to more
+than one, even if nodes disagree about who is up.
 """
 
 import math
 import zlib
 from collections.abc import Callable, Iterable
 
-# Renewed twice a second; outlasts one renewal that is late or lost.
+# Leases are renewed twice a second, so that one late or lost renewal does not end them.
 LEASE_SECONDS = 1.2
-# A holder begins with some tokens for what is lent to it within this time of its start.
+# Shares lent to a holder within this time of its start come with initial tokens.
 INITIAL_LEASE_SECONDS = 2.0
-# Token holders of the only zone of a fleet. While one fails, the other has tokens left;
-# with several zones, the holders of the others do.
+# Number of token holders if the fleet has only one zone: when one fails, the other
+# still has tokens. With several zones, the holders of the other zones do.
 SINGLE_ZONE_HOLDERS = 2
 
 
 def count_zone_holders(zones: int) -> int:
-    """Return the number of token holders in each zone, its first nodes by name.
+    """Return how many nodes of each zone, the first by name, are token holders.
 
     Args:
-        zones: Number of the fleet's availability zones.
+        zones: Number of availability zones in the fleet.
     """
     return SINGLE_ZONE_HOLDERS if zones == 1 else 1
 
@@ -31,13 +31,13 @@
 def assign_holder(node: str, holders: Iterable[str]) -> str:
     """Return the holder to which a node lends its share.
 
-    Rendezvous hashing: if a holder is replaced, only its own lenders move.
+    Uses rendezvous hashing: if a holder is replaced, only its own lenders move.
     """
     return max(holders, key=lambda name: zlib.crc32(f"{node} {name}".encode()))
 
 
 class RemoteClock:
-    """Lower bound of the clock of another node, as last told by it."""
+    """Lower bound of another node's clock, computed from the time that it last sent."""
 
     __slots__ = ("_received_at", "_remote_time")
 
@@ -46,12 +46,12 @@
         self._received_at = 0.0
 
     def record(self, remote_time: float, now: float) -> None:
-        """Take in the other clock's time; it has advanced by the way here since."""
+        """Record the other clock's time, as it was when the other node sent it."""
         self._remote_time = remote_time
         self._received_at = now
 
     def estimate(self, now: float) -> float | None:
-        """Return a time that the other clock has reached; None if it is unknown."""
+        """Return a time that the other clock has reached; None if none was recorded."""
         if self._remote_time is None:
             return None
         return self._remote_time + now - self._received_at
@@ -60,8 +60,8 @@
 class ShareLender:
     """Lends this node's share to one holder at a time.
 
-    A node that was just restarted does not know to whom its former process lent the
-    share. A lease of the new process replaces the former one at the same holder.
+    After a restart, the node does not know to which holder its former process lent the
+    share. At the same holder, a lease of the new process replaces the former one.
     """
 
     __slots__ = ("_holder", "_lent_at")
@@ -73,11 +73,11 @@
     def choose_holder(
         self, assigned: str, reachable: Callable[[str], bool], now: float
     ) -> str:
-        """Return the node to ask for tokens: where this node's share is, if possible.
+        """Return the node to request tokens from: the one with this share if reachable.
 
         Args:
-            preferred: The holder assigned to this node, as it sees its zone.
-            reachable: Whether a node can be asked.
+            assigned: Holder assigned to this node by its current view of the zone.
+            reachable: Returns whether requests can be sent to a node.
             now: Seconds on the monotonic clock.
         """
         if now < self._lent_at + LEASE_SECONDS and reachable(self._holder):
@@ -85,29 +85,32 @@
         return assigned
 
     def may_lend(self, holder: str, now: float) -> bool:
-        """Whether the share is not lent to another holder."""
+        """Return whether no other holder has an unexpired lease of the share."""
         return holder == self._holder or now >= self._lent_at + LEASE_SECONDS
 
     def is_renewal_due(self, holder: str, now: float, seconds: float) -> bool:
-        """Whether the last lease is of another holder, or older than some seconds."""
+        """Return whether the last lease is ``seconds`` old or was sent elsewhere."""
         return holder != self._holder or now - self._lent_at >= seconds
 
     def record_lease_sent(self, holder: str, now: float) -> None:
-        """Record a lease that was sent."""
+        """Record that a lease was sent to a holder."""
         self._holder = holder
         self._lent_at = now
 
 
 class LeaseTable:
-    """Shares lent to this node.
+    """Shares that nodes lend to this node, and what accrued from them over time.
+
+    Accrued time is in full-rate seconds: half of all shares for two seconds accrue one.
+    Multiplied by a workspace's rate, it gives the number of tokens accrued here.
 
     Args:
         count_nodes: Returns the number of nodes among which rates are divided; 0 while
             it is unknown.
-        started: When this node started, in seconds on the monotonic clock.
+        started_at: When this node started, in seconds on the monotonic clock.
 
     Attributes:
-        on_lease_lost: Called when a lease has ended; stored tokens are lost with it.
+        on_lease_lost: Called when a lease has ended, to drop the tokens stored for it.
     """
 
     def __init__(self, count_nodes: Callable[[], int], started_at: float):
@@ -127,32 +130,32 @@
 
     @property
     def initial_share(self) -> float:
-        """Share that was lent within `EARLY_SECONDS` of this node's start."""
+        """Largest share held within `INITIAL_LEASE_SECONDS` of this node's start."""
         return self._initial_share
 
     @property
     def share(self) -> float:
-        """Fraction of each rate and burst that this node holds."""
+        """Fraction of each rate and burst that is lent to this node."""
         nodes = self._count_nodes()
         return min(1.0, len(self._expiries) / nodes) if nodes else 0.0
 
     @property
     def accrued_seconds(self) -> float:
-        """Seconds of the whole rate that accrued here, as of the last advance."""
+        """Full-rate seconds accrued here up to the last call of `advance`."""
         return self._accrued_seconds
 
     @property
     def uninterrupted(self) -> bool:
-        """Whether no lease has ended so far."""
+        """Whether no lease has ended since this node started."""
         return self._uninterrupted
 
     @property
     def uninterrupted_seconds(self) -> float:
-        """Seconds of the whole rate accrued since a lease was last lost."""
+        """Full-rate seconds accrued since a lease last ended."""
         return self._accrued_seconds - self._accrued_at_last_loss
 
     def renew(self, lender: str, until: float, now: float) -> None:
-        """Add or extend a lease; one that arrives after its end is ignored."""
+        """Add or extend a lease, unless it has already expired."""
         self.advance(now)
         if until <= now:
             return
@@ -162,13 +165,13 @@
             self._initial_share = max(self._initial_share, self.share)
 
     def revoke(self, lender: str, now: float) -> None:
-        """End the lease of a node that was restarted."""
+        """End the lease of a node that was restarted, if there is one."""
         self.advance(now)
         if self._expiries.pop(lender, None) is not None:
             self._record_lease_end()
 
     def advance(self, now: float) -> float:
-        """Return the seconds of the whole rate that accrued here until now."""
+        """End expired leases; return the full-rate seconds accrued here until now."""
         while self._next_expiry <= now:
             self._accrue(self._next_expiry)
             expired = [n for n, at in self._expiries.items() if at <= self._next_expiry]
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -1,4 +1,4 @@
-"""Answers requests for tokens, and borrows from holders of other availability zones."""
+"""Answers requests for tokens, and borrows tokens from other holders."""
 
 import collections
 import math
@@ -9,34 +9,34 @@
 from .frames import TokenGrant, TokenLimits, TokenRequest
 from .token_pool import TokenPool
 
-# Called with the answer; None if there was none in time.
+# Called with the answer; None if the request failed or timed out.
 GrantHandler = Callable[[TokenGrant | None], None]
 
-# A holder that has nothing to lend is not asked again for this time, which doubles
-# while it stays so.
+# Backoff of requests to a holder that lent nothing or did not answer; doubles while it
+# stays so.
 INITIAL_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.5
-# Holders asked one after another for a call that waits.
+# Holders that are asked one after another while a call waits.
 MAX_LENDERS_PER_CALL = 3
 
 
 class TokenNetwork(Protocol):
-    """Where the token holders are, and how to ask them."""
+    """Finds the token holders and sends requests to them."""
 
     def get_holder(self) -> str:
-        """Return the holder that this node asks."""
+        """Return the name of the holder that this node requests tokens from."""
 
     def list_holders(self) -> list[str]:
-        """Return the holders of all availability zones that can be reached."""
+        """Return the names of the reachable holders of all availability zones."""
 
     def request_tokens(
         self, node: str, request: TokenRequest, done: GrantHandler
     ) -> None:
-        """Send a request; ``done`` is called once, also if no answer comes in time."""
+        """Send a request; ``done`` is called once, with None after a timeout."""
 
 
 class LenderState:
-    """What is known of another holder's tokens of one workspace."""
+    """Last known tokens of one workspace at another holder, and its backoff."""
 
     __slots__ = ("backoff_seconds", "backoff_until", "remaining_tokens")
 
@@ -46,12 +46,12 @@
         self.backoff_seconds = 0.0
 
     def record_grant(self, grant: TokenGrant | None, now: float) -> None:
-        """Take in what it lent; None if it did not answer."""
+        """Record the holder's answer to a request; None if there was none."""
         if grant is not None and grant.tokens > 0:
             self.remaining_tokens = grant.remaining_tokens
             self.backoff_seconds = 0.0
             return
-        # It is asked again after the pause, whatever others have.
+        # Infinite: after the backoff it is tried before the others.
         self.remaining_tokens = math.inf
         doubled = max(INITIAL_BACKOFF_SECONDS, 2.0 * self.backoff_seconds)
         self.backoff_seconds = min(MAX_BACKOFF_SECONDS, doubled)
@@ -59,7 +59,7 @@
 
 
 class WaitingRequests:
-    """Requests for tokens of one workspace while tokens are borrowed."""
+    """Requests for tokens of one workspace that wait until tokens are borrowed."""
 
     __slots__ = ("limits", "requests", "tried_lenders")
 
@@ -72,19 +72,19 @@
 
     @property
     def needed(self) -> int:
-        """Calls that wait."""
+        """Number of calls that wait for tokens."""
         return sum(request.needed for _, request, _ in self.requests)
 
 
 class TokenBroker:
-    """Answers requests for tokens at one node.
+    """Answers requests for tokens at one holder.
 
     Args:
-        name: Of this node.
-        pool: Its buckets.
-        network: The other holders.
+        name: Name of this node.
+        pool: Buckets of this node.
+        network: Finds the other holders and sends requests to them.
         clock: Returns seconds on the monotonic clock.
-        rng: Chooses among other holders.
+        rng: Chooses among the other holders.
     """
 
     def __init__(
@@ -104,7 +104,7 @@
         self._lenders: dict[tuple[str, str], LenderState] = {}
 
     def handle(self, sender: str, request: TokenRequest, reply: GrantHandler) -> None:
-        """Answer a node's request, at once or after borrowing."""
+        """Answer a node's request, at once or after borrowing tokens."""
         limits = request.limits
         now = self._clock()
         if request.loan > 0:
@@ -166,7 +166,7 @@
             del self._waiting[limits.workspace]
 
     def _top_up_reserve(self, limits: TokenLimits, now: float) -> None:
-        """Borrow what would exceed the capacity of another holder, before it is due."""
+        """Fill the reserve here with tokens that would overflow at another holder."""
         loan = self._pool.get_reserve_shortfall(limits, now)
         key = (limits.workspace, "")
         state = self._lenders.get(key)
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -1,4 +1,4 @@
-"""Token buckets of all workspaces at the token holder of an availability zone."""
+"""Token buckets of all workspaces at a token holder."""
 
 from collections.abc import Iterator
 
@@ -6,34 +6,33 @@
 from .retry_budget import SlidingCount
 from .share_leases import LeaseTable
 
-# Tokens granted ahead of need are returned or void after this time.
+# Tokens that an entry node has not spent after this time expire and are returned.
 PREFETCHED_TOKEN_SECONDS = 0.5
-# Part of a bucket below which nothing is granted ahead of need, and tokens are borrowed
-# that would exceed the capacity elsewhere.
+# Fraction of a bucket's capacity that is reserved for waiting calls and not prefetched.
+# A bucket with less borrows tokens that would overflow at another holder.
 RESERVED_CAPACITY_RATIO = 0.5
-# Demand is averaged over this time.
 DEMAND_WINDOW_SECONDS = 2.0
-# Tokens for the own demand of this time are not lent.
+# A holder does not lend the tokens for its own demand within this time.
 LOAN_RESERVE_SECONDS = 0.05
-# Tokens are borrowed for the own demand of this time.
+# A holder that has to borrow also borrows for its own demand within this time.
 BORROW_AHEAD_SECONDS = 0.25
-# Less than this part of a token is not lent.
+# Smaller loans are refused.
 MIN_LOAN_TOKENS = 0.05
-# Absorbs rounding errors of sums of fractions.
+# Absorbs rounding errors in sums of fractional tokens.
 EPSILON = 1e-9
 
 
 class Bucket:
-    """Tokens of one workspace.
+    """Token bucket of one workspace at one holder.
 
     Attributes:
         limits: Enforced rate and burst of the whole fleet.
-        tokens: Left for this holder.
-        demand: Calls for which tokens were asked lately.
-        seconds: Seconds of the whole rate up to which the bucket is filled.
-        initial_share: Part of the share lent at the start for which it is filled.
-        ahead: Expiry and number of the tokens granted ahead of need, by entry. Until
-            they are spent or expire they count as stored here.
+        tokens: Tokens left here; may be a fraction.
+        demand: Calls that needed tokens within `DEMAND_WINDOW_SECONDS`.
+        seconds: Value of `LeaseTable.accrued_seconds` up to which the bucket is filled.
+        initial_share: Share for which initial tokens were added.
+        prefetched: Expiry and number of prefetched tokens, by entry node. They count
+            against the capacity until they are spent or expire.
     """
 
     __slots__ = ("demand", "initial_share", "limits", "prefetched", "seconds", "tokens")
@@ -47,23 +46,24 @@
         self.prefetched: dict[str, tuple[float, int]] = {}
 
     def count_prefetched(self, now: float) -> int:
-        """Return the tokens granted ahead of need that may still be unspent."""
+        """Return the number of prefetched tokens that may still be unspent."""
         expired = [name for name, (until, _) in self.prefetched.items() if until <= now]
         for name in expired:
             del self.prefetched[name]
         return sum(count for _, count in self.prefetched.values())
 
     def get_demand(self, now: float) -> float:
-        """Return calls a second."""
+        """Return the demand in calls per second."""
         return self.demand.total(now) / DEMAND_WINDOW_SECONDS
 
 
 class TokenPool:
-    """All buckets of one holder.
+    """Buckets of all workspaces at one holder.
 
     Args:
         leases: Shares that nodes lend to this holder.
-        first_start: Whether the whole fleet starts for the first time.
+        first_start: Whether the whole fleet starts for the first time, with full
+            buckets.
     """
 
     def __init__(self, leases: LeaseTable, first_start: bool):
@@ -77,11 +77,11 @@
 
     @property
     def share(self) -> float:
-        """Fraction of each rate and burst that is held here."""
+        """Fraction of each rate and burst that is lent to this holder."""
         return self._leases.share
 
     def record_request(self, entry: str, request: TokenRequest, now: float) -> None:
-        """Take in what an entry needs, still has, and gives back."""
+        """Record an entry node's demand, its unspent tokens, and those it returns."""
         bucket = self._refill(request.limits, now)
         bucket.demand.add(now, request.needed)
         grant = bucket.prefetched.get(entry)
@@ -96,14 +96,18 @@
     def take(
         self, limits: TokenLimits, needed: int, ahead: int, now: float, entry: str = ""
     ) -> int:
-        """Take tokens for calls that wait, and for some that are expected.
+        """Take tokens for waiting calls, and for expected ones if there are enough.
 
         Args:
-            limits: Of the workspace.
-            needed: Calls that wait.
-            ahead: Further calls expected soon; served from a well filled bucket only.
+            limits: Limits of the workspace.
+            needed: Number of waiting calls.
+            ahead: Number of further calls expected soon. They get tokens only above
+                `RESERVED_CAPACITY_RATIO`, and after all waiting calls.
             now: Seconds on the monotonic clock.
-            entry: Name of the node that asks.
+            entry: Name of the entry node that requests the tokens.
+
+        Returns:
+            Number of tokens taken.
         """
         bucket = self._refill(limits, now)
         granted = min(needed, int(bucket.tokens + EPSILON))
@@ -125,15 +129,18 @@
     ) -> float:
         """Take tokens for another holder, except those needed here soon.
 
-        Parts of a token are lent, too: a small burst is less than a token at each
-        holder.
+        Fractions of a token are lent, too: of a small burst, each holder has less than
+        one token.
 
         Args:
-            limits: Of the workspace.
-            wanted: Tokens, or parts of tokens.
-            urgent: Whether calls wait there; else only stored tokens are lent that are
-                about to exceed the capacity.
+            limits: Limits of the workspace.
+            requested: Number of tokens, may be a fraction.
+            urgent: Whether calls wait at the borrower. Otherwise only tokens above
+                `RESERVED_CAPACITY_RATIO`, which would soon overflow, are lent.
             now: Seconds on the monotonic clock.
+
+        Returns:
+            Number of tokens lent, may be a fraction.
         """
         bucket = self._refill(limits, now)
         reserved = bucket.get_demand(now) * LOAN_RESERVE_SECONDS
@@ -151,13 +158,13 @@
     def deposit(
         self, limits: TokenLimits, tokens: float, now: float, needed: int = 0
     ) -> None:
-        """Add tokens of another holder, or returned ones, up to the capacity.
+        """Add borrowed or returned tokens, up to the capacity.
 
         Args:
-            limits: Of the workspace.
-            tokens: To be added.
+            limits: Limits of the workspace.
+            tokens: Number of tokens to add.
             now: Seconds on the monotonic clock.
-            needed: Calls that wait; tokens for these are not subject to the capacity.
+            needed: Number of waiting calls, whose tokens may exceed the capacity.
         """
         bucket = self._refill(limits, now)
         max_tokens = max(needed, bucket.tokens, self._get_capacity(bucket, now))
@@ -166,19 +173,19 @@
     def count_tokens_to_borrow(
         self, limits: TokenLimits, needed: int, now: float
     ) -> float:
-        """Return the tokens to borrow for calls that wait, and for those expected."""
+        """Return the number of tokens to borrow for waiting and expected calls."""
         bucket = self._refill(limits, now)
         room = max(0.0, self._get_capacity(bucket, now) - needed)
         expected = min(room, bucket.get_demand(now) * BORROW_AHEAD_SECONDS)
         return needed + expected - bucket.tokens
 
     def get_reserve_shortfall(self, limits: TokenLimits, now: float) -> float:
-        """Return the tokens missing to `AHEAD_LEVEL`."""
+        """Return how many tokens are missing to `RESERVED_CAPACITY_RATIO`."""
         bucket = self._refill(limits, now)
         return RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now) - bucket.tokens
 
     def get_remaining_tokens(self, workspace: str) -> float:
-        """Return the tokens left, as of the last request."""
+        """Return the number of tokens left after the last request."""
         bucket = self._buckets.get(workspace)
         return bucket.tokens if bucket is not None else 0.0
 
@@ -187,12 +194,12 @@
         bucket = self._buckets.get(limits.workspace)
         if bucket is None:
             bucket = self._buckets[limits.workspace] = Bucket(limits, seconds)
-            # What has accrued for it without any call since a lease was last lost.
+            # No call has spent the tokens accrued since a lease last ended.
             accrued = limits.rate * self._leases.uninterrupted_seconds
             bucket.tokens = min(accrued, self._get_capacity(bucket, now))
             if not self._leases.uninterrupted:
                 bucket.initial_share = self._leases.initial_share
-        # Tokens borrowed for calls that wait may exceed the capacity, and stay.
+        # Tokens borrowed for waiting calls are kept even beyond the capacity.
         max_tokens = max(bucket.tokens, self._get_capacity(bucket, now))
         self._accrue(bucket, seconds)
         self._add_initial_tokens(bucket)
@@ -207,7 +214,7 @@
         bucket.seconds = seconds
 
     def _drop_excess(self) -> None:
-        """Drop tokens that were stored by the right of leases that have ended."""
+        """Drop the tokens that exceed the burst of the remaining leases."""
         seconds = self._leases.accrued_seconds
         for bucket in self._buckets.values():
             self._accrue(bucket, seconds)
@@ -215,9 +222,10 @@
             bucket.tokens = min(bucket.tokens, stored)
 
     def _add_initial_tokens(self, bucket: Bucket) -> None:
-        """Add what a holder has at its start, for the shares that were lent since.
+        """Add the initial tokens for shares lent since the last call.
 
-        After a restart the burst may have been spent just before it.
+        Only at the first start of the fleet are these the whole burst: it may have been
+        spent just before a restart.
         """
         added_share = self._leases.initial_share - bucket.initial_share
         if added_share > 0:
--- a/primroseglade/sidecar/token_requests.py
+++ b/primroseglade/sidecar/token_requests.py
@@ -1,4 +1,4 @@
-"""Requests for tokens that wait for an answer on a stream."""
+"""Pending requests for tokens on the stream to another node."""
 
 import asyncio
 
@@ -9,7 +9,7 @@
 
 
 class TokenRequests:
-    """Requests for tokens sent to one node."""
+    """Matches requests for tokens sent to one node with their answers."""
 
     __slots__ = ("_loop", "_pending")
 
@@ -18,18 +18,18 @@
         self._pending: dict[int, tuple[GrantHandler, asyncio.TimerHandle]] = {}
 
     def add(self, request_id: int, done: GrantHandler) -> None:
-        """Wait for the answer to a request for `REQUEST_TIMEOUT_SECONDS`."""
+        """Add a request; it fails after `REQUEST_TIMEOUT_SECONDS` without an answer."""
         timer = self._loop.call_later(
             REQUEST_TIMEOUT_SECONDS, self._complete, request_id, None
         )
         self._pending[request_id] = (done, timer)
 
     def answer(self, grant: TokenGrant) -> None:
-        """Hand on an answer; one that comes too late is dropped with its tokens."""
+        """Complete a request; the tokens of an answer after its timeout are lost."""
         self._complete(grant.id, grant)
 
     def fail_all(self) -> None:
-        """End all requests: the stream is lost."""
+        """Fail all pending requests, because the stream was lost."""
         for request_id in list(self._pending):
             self._complete(request_id, None)
 
--- a/tests/rates.py
+++ b/tests/rates.py
@@ -1,4 +1,4 @@
-"""One node's quotas beside the token holder that it asks, without a network."""
+"""An entry node and its token holder, connected without a network."""
 
 import random
 
@@ -12,12 +12,12 @@
 
 
 class OneHolder:
-    """A token holder of a share of all rates; also the network of its entry.
+    """Token holder with one node's share of all rates, and its entry node's network.
 
     Args:
-        nodes: Among which rates are divided.
+        nodes: Number of nodes among which rates are divided.
         first_start: Whether the fleet starts for the first time.
-        rate_tolerance: Beyond the rates.
+        rate_tolerance: Calls that are allowed beyond the rates.
     """
 
     def __init__(
@@ -48,17 +48,17 @@
         return self.now
 
     def get_holder(self) -> str:
-        """Return the only holder."""
+        """Return the name of the only holder."""
         return "there"
 
     def list_holders(self) -> list[str]:
-        """Return the only holder."""
+        """Return the name of the only holder."""
         return ["there"]
 
     def request_tokens(
         self, node: str, request: TokenRequest, done: GrantHandler
     ) -> None:
-        """Answer at once."""
+        """Answer at once; fail if the holder is silent."""
         self.requests.append(request)
         if self.silent:
             done(None)
@@ -68,7 +68,7 @@
     def decide(
         self, tenant: Tenant, version: int = 1, rolled_out: bool = True
     ) -> TokenDecision:
-        """Return whether one more call may go."""
+        """Return the decision on one more call."""
         decisions: list[TokenDecision] = []
 
         def take(decision: TokenDecision) -> bool:
@@ -80,5 +80,5 @@
         return decision
 
     def take(self, tenant: Tenant, version: int = 1, rolled_out: bool = True) -> bool:
-        """Return whether one more call may go."""
+        """Return whether one more call is granted a token."""
         return self.decide(tenant, version, rolled_out).granted
--- a/tests/test_mesh_rates.py
+++ b/tests/test_mesh_rates.py
@@ -1,4 +1,4 @@
-"""Rates of workspaces over nodes with streams between them."""
+"""Tests of workspace rates over nodes that are connected by streams."""
 
 import asyncio
 import contextlib
@@ -9,7 +9,7 @@
 
 @contextlib.asynccontextmanager
 async def run_two_zones(rate: float) -> AsyncIterator[Mesh]:
-    """Run two nodes in each of two zones, with a rate that is the burst, too."""
+    """Run two nodes in each of two zones, with a burst equal to the rate."""
     tenant = {
         "name": "north",
         "api_keys": ["key-1"],
@@ -28,13 +28,13 @@
 
 
 def get_shares(mesh: Mesh) -> list[float]:
-    """Return the shares that nodes hold, the largest first."""
+    """Return the shares lent to each node, the largest first."""
     shares = [place.node.rates.pool.share for place in mesh.places]
     return sorted(shares, reverse=True)
 
 
 async def wait_for_shares(mesh: Mesh) -> None:
-    """Wait until one holder in each zone has the shares of its zone."""
+    """Wait until one holder in each zone has all shares of its zone."""
     async with asyncio.timeout(8.0):
         while get_shares(mesh) != [0.5, 0.5, 0.0, 0.0]:
             await asyncio.sleep(0.02)
@@ -46,8 +46,8 @@
 
 
 async def test_nodes_keep_a_rate_together():
-    """Guards against nodes that each let through the whole rate, or that refuse calls
-    while other holders have tokens.
+    """Guards against nodes that each admit the whole rate, or that refuse calls while
+    other holders have tokens.
     """
     async with run_two_zones(20.0) as mesh:
         await asyncio.sleep(1.5)
@@ -56,13 +56,13 @@
             for number in range(80)
         ]
         statuses = [answer.status for answer in await asyncio.gather(*calls)]
-        # The enforced burst is 31; some tokens accrue meanwhile.
+        # The enforced burst is 31; some tokens accrue during the calls.
         assert 28 <= statuses.count(200) <= 60
         assert statuses.count(200) + statuses.count(429) == 80
 
 
 async def test_a_restarted_holder_gets_its_shares_back():
-    """Guards against tokens that stay lost, or come twice, after a holder's end."""
+    """Guards against shares lost or counted twice after a holder was killed."""
     async with run_two_zones(50.0) as mesh:
         holder = find_holder(mesh)
         await holder.kill_node()
@@ -83,7 +83,7 @@
 
 
 async def test_a_refusal_names_the_holder():
-    """Guards against refusals that do not tell who had how many tokens left."""
+    """Guards against refusals without the holder and its remaining tokens."""
     async with run_two_zones(1.0) as mesh:
         answers = [await ask(mesh.places[0], "/deep/a", f"r{n}") for n in range(40)]
         refused = [answer.body for answer in answers if answer.status == 429]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""A workspace's rate over many nodes whose token holders share it."""
+"""Tests of workspace rates that the token holders of a fleet share."""
 
 from collections.abc import Callable
 
@@ -28,7 +28,7 @@
 
 
 def assert_kept(play: Play, rate: float) -> None:
-    """Check that no window of a workspace has more calls than are tolerated."""
+    """Check that no window has more admitted calls than operators tolerate."""
     assert play.find_worst_window() <= count_allowed(rate, rate)
 
 
@@ -39,7 +39,7 @@
 def test_a_workspace_at_several_times_its_rate_keeps_to_it(
     nodes: int, rate: float, times: float
 ):
-    """Guards against many nodes spending the same tokens when demand starts."""
+    """Guards against many nodes spending the same tokens when calls begin."""
     play = play_workspace(nodes, rate, Demand(times), 12.0, seed=1)
     assert_kept(play, rate)
     assert len(play.admitted) >= 0.75 * rate * 12.0
@@ -84,7 +84,7 @@
 
 
 def at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
-    """Return what has an event happen twice about the time at which demand rises."""
+    """Return a function that schedules an event twice around the rise of demand."""
 
     def inject_faults(fleet: RateFleet) -> None:
         for at in (LEAD_SECONDS + 6.0, LEAD_SECONDS + 6.5):
@@ -97,8 +97,8 @@
 @pytest.mark.parametrize("event", [kill_holders, freeze_holders, kill_all])
 @pytest.mark.parametrize(("nodes", "rate"), [(14, 147.0), (78, 20.0), (195, 5.0)])
 def test_holders_that_fail_make_no_tokens(nodes: int, rate: float, event, seed: int):
-    """Guards against spending a bucket twice when its holder is killed, paused and
-    woken, or restarted twice in a second.
+    """Guards against spending a bucket twice after its holder was killed, frozen and
+    resumed, or restarted twice within a second.
     """
     demand = Demand(3.0, (5.5, 7.5))
     play = play_workspace(nodes, rate, demand, 16.0, seed, inject_faults=at_rise(event))
@@ -107,14 +107,14 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_a_small_rate_is_kept_by_many_nodes(seed: int):
-    """Guards against many nodes exceeding a small rate, each with a few calls."""
+    """Guards against many nodes that exceed a small rate by a few calls each."""
     play = play_workspace(78, 20.0, Demand(4.5), 12.0, seed)
     assert_kept(play, 20.0)
 
 
 @pytest.mark.parametrize("nodes", [18, 88])
 def test_a_workspace_within_its_rate_is_not_refused(nodes: int):
-    """Guards against refusing calls at the usual six tenths of the rate."""
+    """Guards against refusing calls at the usual load of 60 % of the rate."""
     play = play_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
 
@@ -123,15 +123,15 @@
 def test_a_workspace_close_to_its_rate_is_served_as_by_one_bucket(
     nodes: int, rate: float
 ):
-    """Guards against refusing calls while another zone has the tokens for them."""
+    """Guards against refusing calls while a holder in another zone has tokens."""
     play = play_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
     assert len(play.admitted) >= 0.999 * count_ideal(play.arrivals, rate, rate)
 
 
 @pytest.mark.parametrize("nodes", [14, 195])
 def test_a_burst_of_less_than_a_token_at_each_holder_is_of_use(nodes: int):
-    """Guards against refusing all calls of a workspace with a very small burst, whose
-    holders have to put a token together from parts.
+    """Guards against refusing all calls of a workspace whose burst is so small that
+    holders have to borrow fractions to get a whole token.
     """
     plays = [play_workspace(nodes, 2.0, Demand(0.9), 16.0, seed) for seed in (1, 2, 3)]
     ideal = sum(count_ideal(play.arrivals, 2.0, 2.0) for play in plays)
@@ -139,7 +139,7 @@
 
 
 def test_callers_of_one_zone_get_the_whole_rate():
-    """Guards against refusing calls whose tokens are in zones without callers."""
+    """Guards against refusing calls while only zones without calls have tokens."""
     fleet = RateFleet([n % 6 for n in range(30)], seed=1)
     tenant = Tenant("north", 1, 60.0, 60.0)
     zone_nodes = [n for n in range(30) if n % 6 == 2]
@@ -152,8 +152,8 @@
 def test_workspaces_are_served_after_the_whole_fleet_started_again(
     nodes: int, rate: float
 ):
-    """Guards against refusing most calls in the seconds after a restart of all nodes,
-    when no holder has stored any tokens.
+    """Guards against refusing most calls in the first seconds after a restart of all
+    nodes, when no holder has any tokens stored.
     """
     play = play_workspace(nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False)
     calls = len(play.arrivals)
@@ -163,8 +163,8 @@
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 20.0), (88, 5.0), (195, 5.0)])
 def test_small_workspaces_are_served_at_once_after_a_restart(nodes: int, rate: float):
-    """Guards against refusing all calls of small workspaces for a second after a
-    restart of all nodes, until their rate has accrued a token at each holder.
+    """Guards against refusing all calls of workspaces with small rates for a second
+    after a restart of all nodes, until each holder has accrued a whole token.
     """
     plays = [
         play_workspace(nodes, rate, Demand(0.65), 2.0, seed, first_start=False)
@@ -177,7 +177,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("rate", [5.0, 147.0])
 def test_two_restarts_in_a_window_keep_the_rate(rate: float, seed: int):
-    """Guards against tokens that each restart of the whole fleet adds."""
+    """Guards against exceeding the rate by the initial tokens of two restarts."""
 
     def inject_faults(fleet: RateFleet) -> None:
         for at in (6.0, 7.5):
@@ -194,8 +194,8 @@
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 60.0), (78, 45.0), (78, 300.0)])
 def test_a_restart_gives_no_second_burst(nodes: int, rate: float):
-    """Guards against a second burst for workspaces that had spent theirs just before
-    the whole fleet was restarted.
+    """Guards against a second burst for workspaces that spent theirs just before the
+    whole fleet was restarted.
     """
     play = play_workspace(
         nodes, rate, Demand(4.5), WINDOW_SECONDS, seed=2, first_start=False
@@ -204,14 +204,14 @@
 
 
 def test_a_workspace_a_little_over_its_rate_gets_what_operators_allow():
-    """Guards against refusing to the last call what operators tolerate."""
+    """Guards against refusing calls beyond the rate that operators tolerate."""
     play = play_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
     assert_kept(play, 100.0)
 
 
 def test_calls_given_back_reserve_no_tokens():
-    """Guards against refusing calls within the rate after calls are given back."""
+    """Guards against refusing calls within the rate after tokens were refunded."""
     holder = OneHolder(nodes=2)
     tenant = Tenant("north", 1, 100.0, 100.0)
     holder.now = 0.1
@@ -219,13 +219,13 @@
         holder.take(tenant)
         holder.quotas.refund(tenant)
     holder.now = 0.2
-    # Of two nodes, this holder has the share of one: half of a bucket of 100 tokens.
+    # The holder has the share of one of two nodes: half of the burst of 100 tokens.
     assert sum(holder.take(tenant) for _ in range(100)) >= 45
 
 
 def test_calls_given_back_late_add_no_burst():
-    """Guards against letting calls through a second time, beside those of the next
-    seconds, that were held for two seconds and then did not run.
+    """Guards against admitting a second burst with the tokens of calls that waited for
+    two seconds and then did not run.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 100.0, 100.0)
@@ -234,27 +234,27 @@
         holder.take(tenant)
     for _ in range(250):
         holder.quotas.refund(tenant)
-    # The refusal of the last call holds for a moment.
+    # By now, calls are no longer refused because of the last refusal.
     holder.now = 2.1
     taken = sum(holder.take(tenant) for _ in range(400))
     assert 90 <= taken <= 100 + 1
 
 
 def test_unspent_tokens_go_back_to_the_holder():
-    """Guards against losing tokens that an entry got ahead of calls that never came."""
+    """Guards against losing tokens prefetched for calls that never arrived."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 0.001, 100.0)
     for number in range(20):
         holder.now = number * 0.01
         assert holder.take(tenant)
-    # Whatever was granted ahead has expired by now.
+    # All prefetched tokens have expired by now.
     holder.now = 5.0
     taken = sum(holder.take(tenant) for _ in range(100))
     assert taken == 80
 
 
 def test_a_lower_rate_holds_once_all_nodes_know_it():
-    """Guards against refusing by a lower rate before all nodes have it."""
+    """Guards against applying a lower rate before all nodes have it."""
     holder = OneHolder()
     before = Tenant("north", 1, 100.0, 100.0)
     after = Tenant("north", 1, 1.0, 1.0)
@@ -268,7 +268,7 @@
 
 
 def test_a_higher_rate_holds_at_once():
-    """Guards against delaying what the operator has just granted."""
+    """Guards against applying a raised rate only after it has reached all nodes."""
     holder = OneHolder()
     low = Tenant("north", 1, 1.0, 1.0)
     high = Tenant("north", 1, 100.0, 100.0)
@@ -283,7 +283,7 @@
 
 
 def test_no_limit_is_the_highest():
-    """Guards against taking a rate of 0, which means none, for the lowest of all."""
+    """Guards against treating a rate of 0, which means no limit, as the lowest."""
     assert Tenant("n", 1, 0.0, 0.0).is_higher_than(Tenant("n", 1, 5.0, 5.0))
     assert not Tenant("n", 1, 5.0, 5.0).is_higher_than(Tenant("n", 1, 0.0, 0.0))
     holder = OneHolder()
@@ -291,8 +291,8 @@
 
 
 def test_a_greedy_workspace_gets_no_more_of_an_overloaded_service():
-    """Guards against counting all calls of a workspace over its rate as demand, while
-    admission refuses them and their tokens are given back.
+    """Guards against offering admission all calls of a workspace far over its rate,
+    because the tokens of the calls that it refuses are refunded.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 100.0, 100.0)
@@ -307,7 +307,7 @@
 
 
 def test_a_refusal_tells_who_held_the_tokens():
-    """Guards against refusals that say nothing of how they came about."""
+    """Guards against refusals without the holder and its remaining tokens."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 2.0, 2.0)
     decisions = [holder.decide(tenant) for _ in range(3)]
@@ -317,7 +317,7 @@
 
 
 def test_an_entry_over_the_rate_does_not_ask_for_each_call():
-    """Guards against a request to the holder for each call of a flood."""
+    """Guards against sending the holder a request for each call over the rate."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 10.0, 10.0)
     for number in range(3000):
@@ -327,7 +327,7 @@
 
 
 def test_a_holder_that_does_not_answer_delays_few_calls():
-    """Guards against waiting for a silent holder with each call."""
+    """Guards against each call waiting for a holder that does not answer."""
     holder = OneHolder()
     holder.silent = True
     tenant = Tenant("north", 1, 10.0, 10.0)
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -1,4 +1,4 @@
-"""Leases of nodes' shares of all rates."""
+"""Tests of the leases by which nodes lend their shares of all rates."""
 
 import pytest
 
@@ -21,7 +21,7 @@
 
 
 def test_a_share_is_lent_to_one_holder_at_a_time():
-    """Guards against two holders that spend the same share."""
+    """Guards against two holders using the same share."""
     lender = ShareLender()
     assert lender.may_lend("a", 0.0)
     lender.record_lease_sent("a", 0.0)
@@ -31,7 +31,7 @@
 
 
 def test_tokens_are_asked_where_the_share_is():
-    """Guards against asking a new holder while the former one has all tokens."""
+    """Guards against requests to a new holder while the former one has the share."""
     lender = ShareLender()
     lender.record_lease_sent("a", 0.0)
     assert lender.choose_holder("b", lambda name: True, 0.5) == "a"
@@ -40,8 +40,8 @@
 
 
 def test_a_lease_that_arrives_late_ends_when_its_lender_believes():
-    """Guards against two holders of a share after a message was held up: the end of a
-    lease is told in the receiver's time, which never runs ahead.
+    """Guards against two holders of a share after a lease was delayed: its end is sent
+    as an estimate of the receiver's clock, which is never ahead of that clock.
     """
     holder_ahead = 1000.0
     clock = RemoteClock()
@@ -56,7 +56,7 @@
 
 
 def test_shares_accrue_until_the_leases_end():
-    """Guards against accruing for a lender that is gone, however late it is noticed."""
+    """Guards against accruing past a lease's end when `advance` is called late."""
     leases = LeaseTable(lambda: 4, 0.0)
     leases.renew("a", 1.0, 0.0)
     leases.renew("b", 2.0, 0.0)
@@ -65,7 +65,7 @@
 
 
 def test_a_restarted_lender_is_counted_once():
-    """Guards against a second share for the new process of a node."""
+    """Guards against counting the share of a restarted node twice."""
     leases = LeaseTable(lambda: 2, 0.0)
     leases.renew("a", 1.2, 0.0)
     leases.revoke("a", 0.1)
@@ -77,7 +77,7 @@
 
 
 def test_no_share_before_the_number_of_nodes_is_known():
-    """Guards against taking the whole rate before the others are known."""
+    """Guards against using the whole rate before the other nodes are known."""
     leases = LeaseTable(lambda: 0, 0.0)
     leases.renew("a", 1.0, 0.0)
     assert leases.share == 0.0
@@ -87,8 +87,8 @@
 @pytest.mark.parametrize("sides", [split_zones, split_each_zone, isolate_nodes])
 @pytest.mark.parametrize("nodes", [14, 78])
 def test_shares_of_all_holders_never_exceed_the_whole(nodes: int, sides):
-    """Guards against two holders of one share while nodes are cut off, killed twice in
-    a second, and stand still for five seconds.
+    """Guards against two holders of one share while nodes are cut off, killed twice
+    within a second, and frozen for five seconds.
     """
     cut = Cut(LEAD_SECONDS, LEAD_SECONDS + 5.0, sides)
     fleet = RateFleet([n % 6 for n in range(nodes)], seed=1, cuts=[cut])
--- a/tests/test_token_pool.py
+++ b/tests/test_token_pool.py
@@ -1,4 +1,4 @@
-"""Token buckets at a holder, what they lend, and what the log tells of them."""
+"""Tests of token buckets at a holder, of loans, token frames and bucket logs."""
 
 import pytest
 
@@ -22,14 +22,14 @@
 
 
 def build_pool(first_start: bool = True) -> tuple[LeaseTable, TokenPool]:
-    """Return a pool that holds the share of one node of two until 10 s."""
+    """Return a pool to which one of two nodes lends its share until 10 s."""
     leases = LeaseTable(lambda: 2, 0.0)
     leases.renew("a", 10.0, 0.0)
     return leases, TokenPool(leases, first_start)
 
 
 def test_expected_reports_do_not_drain_the_bucket_of_an_idle_node():
-    """Guards against an idle holder's bucket running empty while others are in use."""
+    """Guards against draining an idle holder's bucket while another is in use."""
     _, pool = build_pool()
     pool.take(NORTH, 1, 0, 0.0)
     other_leases, other = build_pool()
@@ -42,8 +42,8 @@
 
 
 def test_a_holder_that_lost_its_leases_has_no_tokens():
-    """Guards against a paused holder that wakes up and spends its bucket, which its
-    successor has filled again in the meantime.
+    """Guards against a holder that was frozen spending its bucket after its successor
+    has filled another one with the same shares.
     """
     leases, pool = build_pool()
     assert pool.take(NORTH, 1, 0, 0.0) == 1
@@ -54,7 +54,7 @@
 
 
 def test_a_workspace_without_calls_gets_no_second_burst():
-    """Guards against a full bucket, after a gap, for a workspace unused before it."""
+    """Guards against a full bucket after a gap in the leases, if first used then."""
     leases, pool = build_pool()
     leases.advance(15.0)
     leases.renew("a", 20.0, 15.1)
@@ -62,37 +62,37 @@
 
 
 def test_tokens_granted_ahead_count_as_stored():
-    """Guards against refilling a bucket whose tokens may still be spent at an entry."""
+    """Guards against refilling tokens that an entry node may still spend."""
     _, pool = build_pool()
     granted = pool.take(NORTH, 1, 40, 0.0)
     assert granted == 1 + 24
-    # At most 50 of 100 are stored here, 24 of these at the entry.
+    # The capacity is 50 of 100 tokens; 24 of them are prefetched at the entry node.
     assert pool.take(NORTH, 50, 0, 0.49) <= 26
     assert pool.take(NORTH, 50, 0, 1.0) >= 25
 
 
 def test_a_holder_keeps_what_its_own_zone_needs():
-    """Guards against lending the tokens of calls that come in a moment."""
+    """Guards against lending the tokens for calls expected here soon."""
     _, pool = build_pool()
     for step in range(20):
         pool.record_request("e", TokenRequest(0, NORTH, 4), step * 0.1)
         pool.take(NORTH, 4, 0, step * 0.1)
-    # Of 50 that it can store, the demand of 40 a second needs 2 in a twentieth.
+    # Of 50 tokens stored, 2 are kept for 0.05 s of a demand of 40 calls per second.
     assert pool.lend(NORTH, 100, True, 2.0) == pytest.approx(48.0)
 
 
 def test_a_lower_limit_empties_the_bucket():
-    """Guards against spending tokens that were stored by a higher limit."""
+    """Guards against spending tokens that were stored under a higher limit."""
     _, pool = build_pool()
     pool.take(NORTH, 1, 0, 0.0)
     lower = TokenLimits("north", 2.0, 2.0, 2)
     assert pool.take(lower, 50, 0, 0.1) == 1
-    # A node that does not know the new version yet does not bring back the old one.
+    # A request from a node with the old version does not restore the old limit.
     assert pool.take(NORTH, 50, 0, 0.2) == 0
 
 
 def test_returned_tokens_never_exceed_the_capacity():
-    """Guards against a request that returns more tokens than there can be."""
+    """Guards against a request that returns more tokens than the capacity."""
     holder = OneHolder()
     limits = TokenLimits("north", 1.0, 10.0, 1)
     holder.broker.handle(
@@ -111,13 +111,13 @@
     ],
 )
 def test_torn_token_messages_are_dropped(payload: bytes):
-    """Guards against taking a message of another version for a request or a grant."""
+    """Guards against decoding frames of another version as requests or grants."""
     with pytest.raises(FrameError):
         FrameReader().feed(LENGTH_PREFIX.pack(len(payload)) + payload)
 
 
 def test_token_messages_survive_the_wire():
-    """Guards against fields that change places on the way."""
+    """Guards against encoding and decoding the fields in different orders."""
     frames = [TokenRequest(7, NORTH, 3, 2, 1, 4, 0.5), TokenGrant(7, 4, 1.5)]
     data = b"".join(encode_frame(frame) for frame in frames)
     assert FrameReader().feed(data) == frames
