--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -19,7 +19,7 @@
 # Smaller loans are refused.
 MIN_LOAN_TOKENS = 0.05
 # Absorbs rounding errors in sums of fractional tokens.
-EPSILON = 1e-9
+TOKEN_EPSILON = 1e-9
 
 
 class Bucket:
@@ -29,19 +29,26 @@
         limits: Enforced rate and burst of the whole fleet.
         tokens: Tokens left here; may be a fraction.
         demand: Calls that needed tokens within `DEMAND_WINDOW_SECONDS`.
-        seconds: Value of `LeaseTable.accrued_seconds` up to which the bucket is filled.
+        accrued_seconds: `LeaseTable.accrued_seconds` up to which the bucket is filled.
         initial_share: Share for which initial tokens were added.
         prefetched: Expiry and number of prefetched tokens, by entry node. They count
             against the capacity until they are spent or expire.
     """
 
-    __slots__ = ("demand", "initial_share", "limits", "prefetched", "seconds", "tokens")
+    __slots__ = (
+        "accrued_seconds",
+        "demand",
+        "initial_share",
+        "limits",
+        "prefetched",
+        "tokens",
+    )
 
-    def __init__(self, limits: TokenLimits, seconds: float):
+    def __init__(self, limits: TokenLimits, accrued_seconds: float):
         self.limits = limits
         self.tokens = 0.0
         self.demand = SlidingCount(DEMAND_WINDOW_SECONDS)
-        self.seconds = seconds
+        self.accrued_seconds = accrued_seconds
         self.initial_share = 0.0
         self.prefetched: dict[str, tuple[float, int]] = {}
 
@@ -110,7 +117,7 @@
             Number of tokens taken.
         """
         bucket = self._refill(limits, now)
-        granted = min(needed, int(bucket.tokens + EPSILON))
+        granted = min(needed, int(bucket.tokens + TOKEN_EPSILON))
         if granted == needed:
             reserved = RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
             extra = min(ahead, int(bucket.tokens - granted - reserved))
@@ -210,8 +217,8 @@
         return bucket
 
     def _accrue(self, bucket: Bucket, seconds: float) -> None:
-        bucket.tokens += bucket.limits.rate * (seconds - bucket.seconds)
-        bucket.seconds = seconds
+        bucket.tokens += bucket.limits.rate * (seconds - bucket.accrued_seconds)
+        bucket.accrued_seconds = seconds
 
     def _drop_excess(self) -> None:
         """Drop the tokens that exceed the burst of the remaining leases."""
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -27,7 +27,7 @@
 from .rates import OneHolder
 
 
-def assert_kept(play: Play, rate: float) -> None:
+def assert_rate_kept(play: Play, rate: float) -> None:
     """Check that no window has more admitted calls than operators tolerate."""
     assert play.find_worst_window() <= count_allowed(rate, rate)
 
@@ -41,7 +41,7 @@
 ):
     """Guards against many nodes spending the same tokens when calls begin."""
     play = play_workspace(nodes, rate, Demand(times), 12.0, seed=1)
-    assert_kept(play, rate)
+    assert_rate_kept(play, rate)
     assert len(play.admitted) >= 0.75 * rate * 12.0
 
 
@@ -62,7 +62,7 @@
 ):
     """Guards against all nodes spending the same tokens when demand rises suddenly."""
     play = play_workspace(nodes, rate, Demand(1.1, (7.0, times)), 14.0, seed)
-    assert_kept(play, rate)
+    assert_rate_kept(play, rate)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -78,12 +78,12 @@
     demand = Demand(1.06, (rise_at, 7.5))
     cuts = [Cut(*partition, sides)]
     play = play_workspace(14, 147.0, demand, 18.0, seed, cuts=cuts)
-    assert_kept(play, 147.0)
+    assert_rate_kept(play, 147.0)
     ideal = count_ideal(play.arrivals, 147.0, 147.0)
     assert len(play.admitted) >= 0.8 * ideal
 
 
-def at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
+def schedule_at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
     """Return a function that schedules an event twice around the rise of demand."""
 
     def inject_faults(fleet: RateFleet) -> None:
@@ -96,20 +96,24 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("event", [kill_holders, freeze_holders, kill_all])
 @pytest.mark.parametrize(("nodes", "rate"), [(14, 147.0), (78, 20.0), (195, 5.0)])
-def test_holders_that_fail_make_no_tokens(nodes: int, rate: float, event, seed: int):
+def test_failed_holders_do_not_spend_a_bucket_twice(
+    nodes: int, rate: float, event, seed: int
+):
     """Guards against spending a bucket twice after its holder was killed, frozen and
     resumed, or restarted twice within a second.
     """
     demand = Demand(3.0, (5.5, 7.5))
-    play = play_workspace(nodes, rate, demand, 16.0, seed, inject_faults=at_rise(event))
-    assert_kept(play, rate)
+    play = play_workspace(
+        nodes, rate, demand, 16.0, seed, inject_faults=schedule_at_rise(event)
+    )
+    assert_rate_kept(play, rate)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_a_small_rate_is_kept_by_many_nodes(seed: int):
     """Guards against many nodes that exceed a small rate by a few calls each."""
     play = play_workspace(78, 20.0, Demand(4.5), 12.0, seed)
-    assert_kept(play, 20.0)
+    assert_rate_kept(play, 20.0)
 
 
 @pytest.mark.parametrize("nodes", [18, 88])
@@ -129,7 +133,7 @@
 
 
 @pytest.mark.parametrize("nodes", [14, 195])
-def test_a_burst_of_less_than_a_token_at_each_holder_is_of_use(nodes: int):
+def test_a_burst_of_less_than_a_token_at_each_holder_admits_calls(nodes: int):
     """Guards against refusing all calls of a workspace whose burst is so small that
     holders have to borrow fractions to get a whole token.
     """
@@ -189,7 +193,7 @@
     play = play_workspace(
         14, rate, Demand(7.5), 14.0, seed, inject_faults=inject_faults
     )
-    assert_kept(play, rate)
+    assert_rate_kept(play, rate)
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 60.0), (78, 45.0), (78, 300.0)])
@@ -203,14 +207,14 @@
     assert len(play.admitted) <= rate * WINDOW_SECONDS * 1.1 + 20
 
 
-def test_a_workspace_a_little_over_its_rate_gets_what_operators_allow():
+def test_a_workspace_a_little_over_its_rate_may_use_the_tolerance():
     """Guards against refusing calls beyond the rate that operators tolerate."""
     play = play_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
-    assert_kept(play, 100.0)
+    assert_rate_kept(play, 100.0)
 
 
-def test_calls_given_back_reserve_no_tokens():
+def test_refunded_tokens_can_be_used_again():
     """Guards against refusing calls within the rate after tokens were refunded."""
     holder = OneHolder(nodes=2)
     tenant = Tenant("north", 1, 100.0, 100.0)
@@ -223,7 +227,7 @@
     assert sum(holder.take(tenant) for _ in range(100)) >= 45
 
 
-def test_calls_given_back_late_add_no_burst():
+def test_tokens_refunded_late_add_no_burst():
     """Guards against admitting a second burst with the tokens of calls that waited for
     two seconds and then did not run.
     """
@@ -253,7 +257,7 @@
     assert taken == 80
 
 
-def test_a_lower_rate_holds_once_all_nodes_know_it():
+def test_a_lower_rate_applies_once_it_is_rolled_out():
     """Guards against applying a lower rate before all nodes have it."""
     holder = OneHolder()
     before = Tenant("north", 1, 100.0, 100.0)
@@ -267,7 +271,7 @@
     assert late <= 2
 
 
-def test_a_higher_rate_holds_at_once():
+def test_a_higher_rate_applies_at_once():
     """Guards against applying a raised rate only after it has reached all nodes."""
     holder = OneHolder()
     low = Tenant("north", 1, 1.0, 1.0)
@@ -282,7 +286,7 @@
     assert later >= 45
 
 
-def test_no_limit_is_the_highest():
+def test_a_rate_of_zero_means_no_limit():
     """Guards against treating a rate of 0, which means no limit, as the lowest."""
     assert Tenant("n", 1, 0.0, 0.0).is_higher_than(Tenant("n", 1, 5.0, 5.0))
     assert not Tenant("n", 1, 5.0, 5.0).is_higher_than(Tenant("n", 1, 0.0, 0.0))
@@ -290,7 +294,7 @@
     assert all(holder.take(Tenant("n", 1, 0.0, 0.0)) for _ in range(50))
 
 
-def test_a_greedy_workspace_gets_no_more_of_an_overloaded_service():
+def test_a_workspace_over_its_rate_gets_few_refunds():
     """Guards against offering admission all calls of a workspace far over its rate,
     because the tokens of the calls that it refuses are refunded.
     """
@@ -306,7 +310,7 @@
     assert passed > 100.0 * 10
 
 
-def test_a_refusal_tells_who_held_the_tokens():
+def test_a_refusal_contains_the_holder_and_its_remaining_tokens():
     """Guards against refusals without the holder and its remaining tokens."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 2.0, 2.0)
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -30,7 +30,7 @@
     assert lender.may_lend("b", LEASE_SECONDS)
 
 
-def test_tokens_are_asked_where_the_share_is():
+def test_tokens_are_requested_from_the_holder_of_the_share():
     """Guards against requests to a new holder while the former one has the share."""
     lender = ShareLender()
     lender.record_lease_sent("a", 0.0)
@@ -39,7 +39,7 @@
     assert lender.choose_holder("b", lambda name: True, LEASE_SECONDS) == "b"
 
 
-def test_a_lease_that_arrives_late_ends_when_its_lender_believes():
+def test_a_delayed_lease_ends_no_later_than_its_lender_expects():
     """Guards against two holders of a share after a lease was delayed: its end is sent
     as an estimate of the receiver's clock, which is never ahead of that clock.
     """
--- a/tests/test_token_pool.py
+++ b/tests/test_token_pool.py
@@ -28,7 +28,7 @@
     return leases, TokenPool(leases, first_start)
 
 
-def test_expected_reports_do_not_drain_the_bucket_of_an_idle_node():
+def test_an_idle_holder_keeps_its_tokens_while_another_is_in_use():
     """Guards against draining an idle holder's bucket while another is in use."""
     _, pool = build_pool()
     pool.take(NORTH, 1, 0, 0.0)
@@ -61,7 +61,7 @@
     assert pool.take(NORTH, 50, 0, 15.2) <= 5
 
 
-def test_tokens_granted_ahead_count_as_stored():
+def test_prefetched_tokens_count_against_the_capacity():
     """Guards against refilling tokens that an entry node may still spend."""
     _, pool = build_pool()
     granted = pool.take(NORTH, 1, 40, 0.0)
@@ -81,7 +81,7 @@
     assert pool.lend(NORTH, 100, True, 2.0) == pytest.approx(48.0)
 
 
-def test_a_lower_limit_empties_the_bucket():
+def test_a_lower_limit_applies_to_stored_tokens():
     """Guards against spending tokens that were stored under a higher limit."""
     _, pool = build_pool()
     pool.take(NORTH, 1, 0, 0.0)
@@ -110,13 +110,13 @@
         b"\x93\x0f\xa1x\x01",
     ],
 )
-def test_torn_token_messages_are_dropped(payload: bytes):
+def test_malformed_token_frames_are_rejected(payload: bytes):
     """Guards against decoding frames of another version as requests or grants."""
     with pytest.raises(FrameError):
         FrameReader().feed(LENGTH_PREFIX.pack(len(payload)) + payload)
 
 
-def test_token_messages_survive_the_wire():
+def test_token_frames_are_decoded_as_encoded():
     """Guards against encoding and decoding the fields in different orders."""
     frames = [TokenRequest(7, NORTH, 3, 2, 1, 4, 0.5), TokenGrant(7, 4, 1.5)]
     data = b"".join(encode_frame(frame) for frame in frames)
