--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -58,7 +58,7 @@
     ):
         self._simulation = simulation
         self._zones = zones
-        self._cuts = cuts
+        self._partitions = cuts
         self._rng = rng
         self._reconnects = [rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones]
         #: Start time of each node's process; infinite while it is down.
@@ -89,7 +89,7 @@
         # A freeze of five seconds is detected after `FAILURE_DETECTION_SECONDS`.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
-        for cut in self._cuts:
+        for cut in self._partitions:
             detected_at = cut.start + FAILURE_DETECTION_SECONDS
             reconnected_at = cut.end + self._reconnects[a]
             if detected_at <= now < reconnected_at and cut.separates(a, b):
@@ -126,5 +126,6 @@
         if self.started[b] > now:
             return False
         return not any(
-            cut.start <= now < cut.end and cut.separates(a, b) for cut in self._cuts
+            cut.start <= now < cut.end and cut.separates(a, b)
+            for cut in self._partitions
         )
