--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -24,7 +24,7 @@
     Args:
         start: Start of the partition, in seconds.
         end: End of the partition, in seconds.
-        sides: Maps the number of a node to its side of the partition.
+        get_side: Maps the number of a node to its side of the partition.
     """
 
     __slots__ = ("end", "sides", "start")
@@ -45,7 +45,7 @@
     Args:
         simulation: Delivers the messages at their time of arrival.
         zones: Availability zone of each node.
-        cuts: Network partitions.
+        partitions: Network partitions.
         rng: Draws the delays.
     """
 
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -23,7 +23,7 @@
     Attributes:
         arrivals: Arrival times of all calls.
         admitted: Times at which calls were admitted.
-        waits_of_admitted: Seconds that each admitted call waited for a token.
+        wait_seconds: Seconds that each admitted call waited for a token.
     """
 
     __slots__ = ("admitted", "arrivals", "waits_of_admitted")
@@ -164,9 +164,9 @@
         first_start: Whether the fleet starts for the first time; otherwise all nodes
             have just been restarted when calls begin.
         zones: Number of availability zones.
-        cuts: Network partitions; times from the first call.
+        partitions: Network partitions; times from the first call.
         inject_faults: Schedules other faults, in simulated time: the calls begin at
-            `LEAD_SECONDS` if the fleet starts for the first time, else at 0.
+            `WARM_UP_SECONDS` if the fleet starts for the first time, else at 0.
 
     Returns:
         The calls and their outcome.
--- a/primroseglade/emulator/rate_scenarios.py
+++ b/primroseglade/emulator/rate_scenarios.py
@@ -17,7 +17,7 @@
     Args:
         first_start: Whether the fleet starts for the first time; otherwise all nodes
             have just been restarted when calls begin.
-        cuts: Network partitions.
+        partitions: Network partitions.
         events: Times and functions that inject a fault into the fleet.
     """
 
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -133,7 +133,7 @@
     Args:
         zones: Availability zone of each node.
         seed: Seed of all random numbers.
-        cuts: Network partitions.
+        partitions: Network partitions.
         first_start: Whether the fleet starts for the first time.
     """
 
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -23,9 +23,9 @@
 from .token_pool import TokenPool
 
 LEASE_RENEWAL_SECONDS = 0.45
-# For this time after its start, a node lends its share only to the holder that it would
-# have with all known nodes reachable. That holder could not use a share lent to another
-# one first until that lease ends.
+# For this time after its start, a node lends its share only to the holder assigned to
+# it when all known nodes are reachable. If it lent to another one first, the share
+# would be missing at the assigned holder until that lease ends.
 HOLDER_DISCOVERY_SECONDS = 1.0
 
 
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -46,7 +46,7 @@
         self._received_at = 0.0
 
     def record(self, remote_time: float, now: float) -> None:
-        """Record the other clock's time, as it was when the other node sent it."""
+        """Record the other clock's time as sent; it has advanced since then."""
         self._remote_time = remote_time
         self._received_at = now
 
@@ -73,7 +73,7 @@
     def choose_holder(
         self, assigned: str, reachable: Callable[[str], bool], now: float
     ) -> str:
-        """Return the node to request tokens from: the one with this share if reachable.
+        """Return the holder to request tokens from: the share's, if it is reachable.
 
         Args:
             assigned: Holder assigned to this node by its current view of the zone.
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -12,8 +12,8 @@
 # Called with the answer; None if the request failed or timed out.
 GrantHandler = Callable[[TokenGrant | None], None]
 
-# Backoff of requests to a holder that lent nothing or did not answer; doubles while it
-# stays so.
+# Backoff of requests to a holder that lent nothing or did not answer. It doubles with
+# each further failure.
 INITIAL_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.5
 # Holders that are asked one after another while a call waits.
