--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -1,4 +1,4 @@
-"""Nodes in availability zones, and messages between them that may be late or lost."""
+"""Emulates the network between nodes in availability zones, with delays and losses."""
 
 import math
 import random
@@ -6,24 +6,25 @@
 
 from .simulation import Simulation
 
-ZONE_SECONDS = 0.0003
-OTHER_ZONE_SECONDS = 0.0008
-# A stream on which nothing comes is given up after this time.
-SILENCE_SECONDS = 1.5
-# Streams to a node that was restarted or reached again are opened within this time.
-RECONNECT_SECONDS = 1.0
-# Part of the messages that are late, and by how much at most.
-LATE_PART = 0.002
-LATE_SECONDS = 0.4
+# Minimum one-way delays; the maximum is twice as long.
+SAME_ZONE_DELAY_SECONDS = 0.0003
+CROSS_ZONE_DELAY_SECONDS = 0.0008
+# A node closes a stream on which nothing arrives for this time.
+FAILURE_DETECTION_SECONDS = 1.5
+# Streams are opened within this time after a restart or the end of a partition.
+MAX_RECONNECT_SECONDS = 1.0
+# Fraction of the messages that are delayed further, and the maximum extra delay.
+DELAYED_MESSAGE_RATIO = 0.002
+MAX_EXTRA_DELAY_SECONDS = 0.4
 
 
 class Cut:
     """A network partition.
 
     Args:
-        start: Of the partition.
-        end: Of the partition.
-        sides: Returns the side on which a node is, by its number.
+        start: Start of the partition, in seconds.
+        end: End of the partition, in seconds.
+        get_side: Maps the number of a node to its side of the partition.
     """
 
     __slots__ = ("end", "sides", "start")
@@ -34,18 +35,18 @@
         self.sides = sides
 
     def separates(self, a: int, b: int) -> bool:
-        """Whether two nodes are on different sides."""
+        """Return whether two nodes are on different sides."""
         return self.sides(a) != self.sides(b)
 
 
 class Network:
-    """Which nodes reach each other, and when messages arrive.
+    """Delivers messages between nodes that reach each other.
 
     Args:
-        simulation: Runs the arrivals.
+        simulation: Delivers the messages at their time of arrival.
         zones: Availability zone of each node.
-        cuts: Network partitions.
-        rng: Draws delays.
+        partitions: Network partitions.
+        rng: Draws the delays.
     """
 
     def __init__(
@@ -57,12 +58,12 @@
     ):
         self._simulation = simulation
         self._zones = zones
-        self._cuts = cuts
+        self._partitions = cuts
         self._rng = rng
-        self._reconnects = [rng.uniform(0.05, RECONNECT_SECONDS) for _ in zones]
-        #: When each process started; infinite while there is none.
+        self._reconnects = [rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones]
+        #: Start time of each node's process; infinite while it is down.
         self.started = [math.inf] * len(zones)
-        #: Until when each process stands still.
+        #: Time until which each node's process is frozen.
         self.frozen_until = [0.0] * len(zones)
 
     @property
@@ -71,53 +72,60 @@
         return self._zones
 
     def is_running(self, node: int) -> bool:
-        """Whether a node has a process that does not stand still."""
+        """Return whether a node's process is up and not frozen."""
         now = self._simulation.now
         return self.started[node] <= now and self.frozen_until[node] <= now
 
     def is_connected(self, a: int, b: int) -> bool:
-        """Whether a node believes that it can reach another."""
+        """Return whether node ``a`` regards node ``b`` as reachable.
+
+        Failures are detected only after some time.
+        """
         now = self._simulation.now
         if a == b:
             return True
         if now < self.started[b] + (self._reconnects[b] if self.started[b] else 0.0):
             return False
+        # A freeze of five seconds is detected after `FAILURE_DETECTION_SECONDS`.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
-        for cut in self._cuts:
-            noticed = cut.start + SILENCE_SECONDS
-            healed = cut.end + self._reconnects[a]
-            if noticed <= now < healed and cut.separates(a, b):
+        for cut in self._partitions:
+            detected_at = cut.start + FAILURE_DETECTION_SECONDS
+            reconnected_at = cut.end + self._reconnects[a]
+            if detected_at <= now < reconnected_at and cut.separates(a, b):
                 return False
         return True
 
     def send(self, a: int, b: int, receive: Callable[[], None]) -> None:
-        """Deliver a message, unless a partition or the end of a process prevents it."""
+        """Send a message; it is lost if the receiver is cut off, down or restarted."""
         now = self._simulation.now
         same = self._zones[a] == self._zones[b]
-        delay = (ZONE_SECONDS if same else OTHER_ZONE_SECONDS) * self._rng.uniform(1, 2)
-        if self._rng.random() < LATE_PART:
-            delay += self._rng.uniform(0.0, LATE_SECONDS)
-        process = self.started[b]
-        if not self.is_reached(a, b):
+        delay = (
+            SAME_ZONE_DELAY_SECONDS if same else CROSS_ZONE_DELAY_SECONDS
+        ) * self._rng.uniform(1, 2)
+        if self._rng.random() < DELAYED_MESSAGE_RATIO:
+            delay += self._rng.uniform(0.0, MAX_EXTRA_DELAY_SECONDS)
+        receiver_started_at = self.started[b]
+        if not self.is_reachable(a, b):
             return
 
         def arrive() -> None:
-            if self.started[b] != process:
+            if self.started[b] != receiver_started_at:
                 return
             if self.frozen_until[b] > self._simulation.now:
                 self._simulation.schedule(self.frozen_until[b], arrive)
                 return
-            if self.is_reached(a, b):
+            if self.is_reachable(a, b):
                 receive()
 
         self._simulation.schedule(now + delay, arrive)
 
-    def is_reached(self, a: int, b: int) -> bool:
-        """Whether messages from one node get to another now."""
+    def is_reachable(self, a: int, b: int) -> bool:
+        """Return whether node ``b`` is up and not cut off from ``a``."""
         now = self._simulation.now
         if self.started[b] > now:
             return False
         return not any(
-            cut.start <= now < cut.end and cut.separates(a, b) for cut in self._cuts
+            cut.start <= now < cut.end and cut.separates(a, b)
+            for cut in self._partitions
         )
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -1,4 +1,4 @@
-"""Calls of workspaces that come to an emulated fleet, and what becomes of them."""
+"""Simulates calls of workspaces to an emulated fleet and records the outcome."""
 
 import bisect
 import random
@@ -6,19 +6,24 @@
 
 from ..sidecar.model import Tenant
 from .network import Cut
-from .rates import OVERSHOOT, RateFleet, SLACK, WINDOW_SECONDS
-
-# Nodes exist for this long before the first call, unless they were just restarted.
+from .rates import (
+    RateFleet,
+    TOLERATED_EXTRA_CALLS,
+    TOLERATED_OVERSHOOT_RATIO,
+    WINDOW_SECONDS,
+)
+
+# Nodes are up for this long before the first call, unless they were just restarted.
 LEAD_SECONDS = 5.0
 
 
 class Play:
-    """What became of the calls of a workspace.
+    """Calls of a workspace in one simulation; times in seconds from the first call.
 
     Attributes:
-        arrivals: Times of all calls.
-        admitted: Times at which calls were let through.
-        waits_of_admitted: Seconds that each call let through waited for a token.
+        arrivals: Arrival times of all calls.
+        admitted: Times at which calls were admitted.
+        wait_seconds: Seconds that each admitted call waited for a token.
     """
 
     __slots__ = ("admitted", "arrivals", "waits_of_admitted")
@@ -29,7 +34,7 @@
         self.waits_of_admitted: list[float] = []
 
     def find_worst_window(self) -> int:
-        """Return the most calls let through in any window."""
+        """Return the maximum number of calls admitted within `WINDOW_SECONDS`."""
         return max(
             (
                 bisect.bisect_right(self.admitted, start + WINDOW_SECONDS) - number
@@ -40,22 +45,24 @@
 
 
 def count_allowed(rate: float, burst: float) -> float:
-    """Return the calls that operators tolerate in any window."""
-    return (rate * WINDOW_SECONDS + burst) * (1.0 + OVERSHOOT) + SLACK
+    """Return the number of calls that operators tolerate in any window."""
+    return (rate * WINDOW_SECONDS + burst) * (
+        1.0 + TOLERATED_OVERSHOOT_RATIO
+    ) + TOLERATED_EXTRA_CALLS
 
 
 def count_ideal(arrivals: Sequence[float], rate: float, burst: float) -> int:
-    """Return the calls that one exact token bucket would let through.
+    """Return the number of calls that one exact token bucket would admit.
 
     >>> count_ideal([0.0, 0.0, 0.0, 1.0], rate=1.0, burst=2.0)
     3
     """
     tokens = burst
-    before = 0.0
+    last_arrival = 0.0
     admitted = 0
     for arrival in arrivals:
-        tokens = min(burst, tokens + rate * (arrival - before))
-        before = arrival
+        tokens = min(burst, tokens + rate * (arrival - last_arrival))
+        last_arrival = arrival
         if tokens >= 1.0:
             tokens -= 1.0
             admitted += 1
@@ -63,29 +70,29 @@
 
 
 class Demand:
-    """Calls a second of a workspace, as a multiple of its rate, over time.
+    """Call rate of a workspace over time, as a multiple of its rate limit.
 
     Args:
-        times: Before the rise.
-        rise: Time of the rise and the multiple after it; None if there is none.
+        multiple: Multiple before the rise.
+        rise: Time of the rise in seconds and the multiple after it; None for no rise.
     """
 
-    __slots__ = ("rise", "times")
+    __slots__ = ("multiple", "rise")
 
-    def __init__(self, times: float, rise: tuple[float, float] | None = None):
-        self.times = times
+    def __init__(self, multiple: float, rise: tuple[float, float] | None = None):
+        self.multiple = multiple
         self.rise = rise
 
     def get(self, now: float) -> float:
-        """Return the multiple at a time."""
+        """Return the multiple at a time in seconds."""
         if self.rise is not None and now >= self.rise[0]:
             return self.rise[1]
-        return self.times
+        return self.multiple
 
     @property
     def most(self) -> float:
-        """The largest multiple."""
-        return max(self.times, self.rise[1] if self.rise is not None else 0.0)
+        """Maximum multiple."""
+        return max(self.multiple, self.rise[1] if self.rise is not None else 0.0)
 
 
 def add_callers(
@@ -96,39 +103,42 @@
     end: float,
     nodes: Sequence[int],
 ) -> Play:
-    """Have calls of a workspace come to some nodes, at random times.
+    """Schedule calls of a workspace to some nodes, at random times.
 
     Args:
-        fleet: Of the nodes.
+        fleet: Fleet that serves the calls.
         tenant: The workspace.
-        demand: By its rate; times from the start.
-        start: Of the calls.
-        end: Of the calls.
-        nodes: Numbers of the nodes; some get more calls than others.
+        demand: Demand of the workspace; times from ``start``.
+        start: Simulated time from which calls arrive, in seconds.
+        end: Simulated time at which they end, in seconds.
+        nodes: Numbers of the nodes that get calls; some get more than others.
+
+    Returns:
+        The calls, which are recorded while the simulation runs.
     """
-    # Of its own, so that all designs and settings are played with the same calls.
+    # A generator of its own, so that every design and setting gets the same calls.
     rng = random.Random(f"{fleet.seed} {tenant.name}")
     play = Play()
     weights = [rng.uniform(0.5, 2.0) for _ in nodes]
-    total = demand.most * tenant.rate
+    max_calls_per_second = demand.most * tenant.rate
 
     def arrive() -> None:
         now = fleet.simulation.now
-        fleet.simulation.schedule(now + rng.expovariate(total), arrive)
+        fleet.simulation.schedule(now + rng.expovariate(max_calls_per_second), arrive)
         if now >= end or rng.random() >= demand.get(now - start) / demand.most:
             return
         play.arrivals.append(now - start)
-        number = rng.choices(nodes, cum_weights=cumulated)[0]
+        number = rng.choices(nodes, cum_weights=cumulative_weights)[0]
 
-        def note(granted: bool) -> None:
+        def record_decision(granted: bool) -> None:
             if granted:
                 play.waits_of_admitted.append(fleet.simulation.now - now)
                 play.admitted.append(fleet.simulation.now - start)
 
-        fleet.call(number, tenant, note)
+        fleet.call(number, tenant, record_decision)
 
-    cumulated = [sum(weights[: index + 1]) for index in range(len(weights))]
-    fleet.simulation.schedule(start + rng.expovariate(total), arrive)
+    cumulative_weights = [sum(weights[: index + 1]) for index in range(len(weights))]
+    fleet.simulation.schedule(start + rng.expovariate(max_calls_per_second), arrive)
     return play
 
 
@@ -141,27 +151,30 @@
     first_start: bool = True,
     zones: int = 6,
     cuts: Sequence[Cut] = (),
-    disturb: Callable[[RateFleet], None] = lambda fleet: None,
+    inject_faults: Callable[[RateFleet], None] = lambda fleet: None,
 ) -> Play:
-    """Play one workspace whose burst is a second of its rate.
+    """Simulate one workspace whose burst is a second of its rate.
 
     Args:
-        nodes: How many there are.
-        rate: Of the workspace.
-        demand: Of its callers.
-        seconds: For which calls come.
-        seed: Of all that is drawn.
-        first_start: Whether the fleet starts for the first time; otherwise all of it
-            was just restarted when the first call comes.
-        zones: Availability zones among which the nodes are divided.
-        cuts: Network partitions; times from the first call.
-        disturb: Schedules other disturbances; times with `LEAD_SECONDS` before the
-            first call, if the fleet starts for the first time.
+        nodes: Number of nodes.
+        rate: Rate limit of the workspace, in calls per second.
+        demand: Demand of the workspace.
+        seconds: Duration of the calls, in seconds.
+        seed: Seed of all random numbers.
+        first_start: Whether the fleet starts for the first time; otherwise all nodes
+            have just been restarted when calls begin.
+        zones: Number of availability zones.
+        partitions: Network partitions; times from the first call.
+        inject_faults: Schedules other faults, in simulated time: the calls begin at
+            `WARM_UP_SECONDS` if the fleet starts for the first time, else at 0.
+
+    Returns:
+        The calls and their outcome.
     """
     lead = LEAD_SECONDS if first_start else 0.0
     shifted = [Cut(cut.start + lead, cut.end + lead, cut.sides) for cut in cuts]
     fleet = RateFleet([n % zones for n in range(nodes)], seed, shifted, first_start)
-    disturb(fleet)
+    inject_faults(fleet)
     tenant = Tenant("north", 1, rate, rate)
     play = add_callers(fleet, tenant, demand, lead, lead + seconds, range(nodes))
     fleet.simulation.run(lead + seconds)
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -1,4 +1,4 @@
-"""The parts of a node that keep workspaces to their rates, put together."""
+"""Connects the components that enforce the rates of workspaces at a node."""
 
 import random
 import time
@@ -22,26 +22,28 @@
 from .token_broker import GrantHandler, TokenBroker
 from .token_pool import TokenPool
 
-# Leases are renewed this often.
-RENEW_SECONDS = 0.45
-# A node that was just started waits for the holder that the list of nodes names: what
-# it lends to another one first is missed there until the lease ends.
-SETTLE_SECONDS = 1.0
+LEASE_RENEWAL_SECONDS = 0.45
+# For this time after its start, a node lends its share only to the holder assigned to
+# it when all known nodes are reachable. If it lent to another one first, the share
+# would be missing at the assigned holder until that lease ends.
+HOLDER_DISCOVERY_SECONDS = 1.0
 
 
 class RateControl:
-    """Rates of workspaces at one node: its entry, its share, and its pool if it is a
-    token holder.
+    """Enforces the rates of workspaces at one node.
+
+    It admits the node's own calls, lends its share to a token holder, and keeps the
+    buckets if the node itself is one.
 
     Args:
-        entry: Of this node.
+        entry: This node's entry in the list of nodes.
         fleet: The other nodes.
         count_nodes: Returns the number of nodes among which rates are divided; 0 while
             it is unknown.
         first_start: Whether the whole fleet starts for the first time.
-        rate_tolerance: Beyond the rates.
+        rate_tolerance: Calls that are allowed beyond the rates.
         journal: Receives events.
-        rng: Chooses among other holders.
+        rng: Makes the random choices, such as among other holders.
     """
 
     def __init__(
@@ -59,9 +61,9 @@
         self._count_nodes = count_nodes
         self._lender = ShareLender()
         self._lender_starts: dict[str, int] = {}
-        self._settled_at = time.monotonic() + SETTLE_SECONDS
+        self._discovery_until = time.monotonic() + HOLDER_DISCOVERY_SECONDS
         self._holders = [entry.name]
-        self._assigned = entry.name
+        self._assigned_holder = entry.name
         self._leases = LeaseTable(count_nodes, time.monotonic())
         self.pool = TokenPool(self._leases, first_start)
         self.broker = TokenBroker(entry.name, self.pool, self, time.monotonic, rng)
@@ -71,17 +73,21 @@
         self.monitor = RateMonitor(self.pool, journal)
 
     def get_holder(self) -> str:
-        """Return the holder that this node asks."""
-        if not self._is_reachable(self._assigned):
-            self._find_holders()
-        return self._lender.choose(self._assigned, self._is_reachable, time.monotonic())
+        """Return the name of the holder that this node requests tokens from."""
+        if not self._is_reachable(self._assigned_holder):
+            self._update_holders()
+        return self._lender.choose_holder(
+            self._assigned_holder, self._is_reachable, time.monotonic()
+        )
 
     def list_holders(self) -> list[str]:
-        """Return the holders of all availability zones that can be reached."""
+        """Return the names of the reachable holders of all availability zones."""
         return self._holders
 
-    def ask(self, node: str, request: TokenRequest, done: GrantHandler) -> None:
-        """Send a request for tokens."""
+    def request_tokens(
+        self, node: str, request: TokenRequest, done: GrantHandler
+    ) -> None:
+        """Send a request for tokens; it fails at once if the node is unknown."""
         peer = self._fleet.get(node)
         if peer is None:
             done(None)
@@ -100,15 +106,15 @@
         self.broker.handle(sender, request, reply)
 
     def renew_lease(self, now: float) -> None:
-        """Lend this node's share to the zone's holder, if that is due."""
+        """Lend this node's share to its assigned holder, if a renewal is due."""
         self._leases.advance(now)
-        self._find_holders()
-        holder = self._assigned
+        self._update_holders()
+        holder = self._assigned_holder
         if not self._count_nodes() or not self._lender.may_lend(holder, now):
             return
-        if not self._lender.is_due(holder, now, RENEW_SECONDS):
+        if not self._lender.is_renewal_due(holder, now, LEASE_RENEWAL_SECONDS):
             return
-        if now < self._settled_at and holder != self._find_expected():
+        if now < self._discovery_until and holder != self._find_expected_holder():
             return
         if holder == self._entry.name:
             self._leases.renew(holder, now + LEASE_SECONDS, now)
@@ -116,14 +122,15 @@
             return
         peer = self._fleet.get(holder)
         if peer is not None and peer.lend_share(LEASE_SECONDS):
-            # Not before it was sent: it must have ended when the next one begins.
+            # Read after sending, so that this lease has ended before the share is lent
+            # to another holder.
             self._lender.record_lease_sent(holder, time.monotonic())
 
     def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Take in that a node lends its share.
+        """Record that a node lends its share to this node.
 
         Args:
-            lender: The node.
+            lender: The lending node.
             lease_ms: End of the lease, in milliseconds on this node's clock.
         """
         now = time.monotonic()
@@ -132,7 +139,7 @@
         self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
 
     def record_node_start(self, entry: NodeEntry) -> None:
-        """End the lease of a node's former process."""
+        """End the lease of the node's former process after a restart."""
         if (
             self._lender_starts.get(entry.name, entry.start_time_ms)
             < entry.start_time_ms
@@ -140,18 +147,20 @@
             del self._lender_starts[entry.name]
             self._leases.revoke(entry.name, time.monotonic())
 
-    def _find_holders(self) -> None:
-        zones = self._list_holders()
-        self._holders = [name for names in zones.values() for name in names]
-        self._assigned = assign_holder(self._entry.name, zones[self._entry.zone])
+    def _update_holders(self) -> None:
+        holders_by_zone = self._list_holders_by_zone()
+        self._holders = [name for names in holders_by_zone.values() for name in names]
+        self._assigned_holder = assign_holder(
+            self._entry.name, holders_by_zone[self._entry.zone]
+        )
 
-    def _list_holders(self, connected: bool = True) -> dict[str, list[str]]:
+    def _list_holders_by_zone(self, connected: bool = True) -> dict[str, list[str]]:
         index = self._fleet.index
-        return index.list_first(count_zone_holders(index.zone_count), connected)
+        return index.list_first(count_zone_holders(index.zones), connected)
 
-    def _find_expected(self) -> str:
+    def _find_expected_holder(self) -> str:
         """Return the holder assigned to this node if all known nodes are reachable."""
-        holders = self._list_holders(connected=False)[self._entry.zone]
+        holders = self._list_holders_by_zone(connected=False)[self._entry.zone]
         return assign_holder(self._entry.name, holders)
 
     def _is_reachable(self, name: str) -> bool:
--- a/primroseglade/sidecar/token_requests.py
+++ b/primroseglade/sidecar/token_requests.py
@@ -1,4 +1,4 @@
-"""Requests for tokens that wait for an answer on a stream."""
+"""Pending requests for tokens on the stream to another node."""
 
 import asyncio
 
@@ -9,32 +9,34 @@
 
 
 class TokenRequests:
-    """Requests for tokens sent to one node."""
+    """Matches requests for tokens sent to one node with their answers."""
 
-    __slots__ = ("_loop", "_waiting")
+    __slots__ = ("_loop", "_pending")
 
     def __init__(self, loop: asyncio.AbstractEventLoop):
         self._loop = loop
-        self._waiting: dict[int, tuple[GrantHandler, asyncio.TimerHandle]] = {}
+        self._pending: dict[int, tuple[GrantHandler, asyncio.TimerHandle]] = {}
 
-    def add(self, number: int, done: GrantHandler) -> None:
-        """Wait for the answer to a request for `REQUEST_TIMEOUT_SECONDS`."""
-        timer = self._loop.call_later(REQUEST_TIMEOUT_SECONDS, self._end, number, None)
-        self._waiting[number] = (done, timer)
+    def add(self, request_id: int, done: GrantHandler) -> None:
+        """Add a request; it fails after `REQUEST_TIMEOUT_SECONDS` without an answer."""
+        timer = self._loop.call_later(
+            REQUEST_TIMEOUT_SECONDS, self._complete, request_id, None
+        )
+        self._pending[request_id] = (done, timer)
 
     def answer(self, grant: TokenGrant) -> None:
-        """Hand on an answer; one that comes too late is dropped with its tokens."""
-        self._end(grant.id, grant)
+        """Complete a request; the tokens of an answer after its timeout are lost."""
+        self._complete(grant.id, grant)
 
     def fail_all(self) -> None:
-        """End all requests: the stream is lost."""
-        for number in list(self._waiting):
-            self._end(number, None)
+        """Fail all pending requests, because the stream was lost."""
+        for request_id in list(self._pending):
+            self._complete(request_id, None)
 
-    def _end(self, number: int, grant: TokenGrant | None) -> None:
-        waiting = self._waiting.pop(number, None)
-        if waiting is None:
+    def _complete(self, request_id: int, grant: TokenGrant | None) -> None:
+        pending = self._pending.pop(request_id, None)
+        if pending is None:
             return
-        done, timer = waiting
+        done, timer = pending
         timer.cancel()
         done(grant)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""A workspace's rate over many nodes whose token holders share it."""
+"""Tests of workspace rates that the token holders of a fleet share."""
 
 from collections.abc import Callable
 
@@ -16,10 +16,10 @@
 )
 from primroseglade.emulator.rate_scenarios import (
     freeze_holders,
-    halve_nodes,
-    halve_zones,
     kill_all,
     kill_holders,
+    split_each_zone,
+    split_zones,
 )
 from primroseglade.emulator.rates import RateFleet, WINDOW_SECONDS
 from primroseglade.sidecar.model import Tenant
@@ -27,8 +27,8 @@
 from .rates import OneHolder
 
 
-def assert_kept(play: Play, rate: float) -> None:
-    """Check that no window of a workspace has more calls than are tolerated."""
+def assert_rate_kept(play: Play, rate: float) -> None:
+    """Check that no window has more admitted calls than operators tolerate."""
     assert play.find_worst_window() <= count_allowed(rate, rate)
 
 
@@ -39,9 +39,9 @@
 def test_a_workspace_at_several_times_its_rate_keeps_to_it(
     nodes: int, rate: float, times: float
 ):
-    """Guards against many nodes spending the same tokens when demand starts."""
+    """Guards against many nodes spending the same tokens when calls begin."""
     play = play_workspace(nodes, rate, Demand(times), 12.0, seed=1)
-    assert_kept(play, rate)
+    assert_rate_kept(play, rate)
     assert len(play.admitted) >= 0.75 * rate * 12.0
 
 
@@ -62,11 +62,11 @@
 ):
     """Guards against all nodes spending the same tokens when demand rises suddenly."""
     play = play_workspace(nodes, rate, Demand(1.1, (7.0, times)), 14.0, seed)
-    assert_kept(play, rate)
+    assert_rate_kept(play, rate)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("sides", [halve_zones, halve_nodes])
+@pytest.mark.parametrize("sides", [split_zones, split_each_zone])
 @pytest.mark.parametrize(
     ("partition", "rise_at"),
     [((6.0, 11.0), 8.0), ((6.0, 15.0), 13.0), ((6.0, 11.0), 6.0), ((6.0, 11.0), 5.8)],
@@ -78,43 +78,47 @@
     demand = Demand(1.06, (rise_at, 7.5))
     cuts = [Cut(*partition, sides)]
     play = play_workspace(14, 147.0, demand, 18.0, seed, cuts=cuts)
-    assert_kept(play, 147.0)
+    assert_rate_kept(play, 147.0)
     ideal = count_ideal(play.arrivals, 147.0, 147.0)
     assert len(play.admitted) >= 0.8 * ideal
 
 
-def at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
-    """Return what has an event happen twice about the time at which demand rises."""
+def schedule_at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
+    """Return a function that schedules an event twice around the rise of demand."""
 
-    def disturb(fleet: RateFleet) -> None:
+    def inject_faults(fleet: RateFleet) -> None:
         for at in (LEAD_SECONDS + 6.0, LEAD_SECONDS + 6.5):
             fleet.simulation.schedule(at, lambda: event(fleet))
 
-    return disturb
+    return inject_faults
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("event", [kill_holders, freeze_holders, kill_all])
 @pytest.mark.parametrize(("nodes", "rate"), [(14, 147.0), (78, 20.0), (195, 5.0)])
-def test_holders_that_fail_make_no_tokens(nodes: int, rate: float, event, seed: int):
-    """Guards against spending a bucket twice when its holder is killed, paused and
-    woken, or restarted twice in a second.
+def test_failed_holders_do_not_spend_a_bucket_twice(
+    nodes: int, rate: float, event, seed: int
+):
+    """Guards against spending a bucket twice after its holder was killed, frozen and
+    resumed, or restarted twice within a second.
     """
     demand = Demand(3.0, (5.5, 7.5))
-    play = play_workspace(nodes, rate, demand, 16.0, seed, disturb=at_rise(event))
-    assert_kept(play, rate)
+    play = play_workspace(
+        nodes, rate, demand, 16.0, seed, inject_faults=schedule_at_rise(event)
+    )
+    assert_rate_kept(play, rate)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_a_small_rate_is_kept_by_many_nodes(seed: int):
-    """Guards against many nodes exceeding a small rate, each with a few calls."""
+    """Guards against many nodes that exceed a small rate by a few calls each."""
     play = play_workspace(78, 20.0, Demand(4.5), 12.0, seed)
-    assert_kept(play, 20.0)
+    assert_rate_kept(play, 20.0)
 
 
 @pytest.mark.parametrize("nodes", [18, 88])
 def test_a_workspace_within_its_rate_is_not_refused(nodes: int):
-    """Guards against refusing calls at the usual six tenths of the rate."""
+    """Guards against refusing calls at the usual load of 60 % of the rate."""
     play = play_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
 
@@ -123,15 +127,15 @@
 def test_a_workspace_close_to_its_rate_is_served_as_by_one_bucket(
     nodes: int, rate: float
 ):
-    """Guards against refusing calls while another zone has the tokens for them."""
+    """Guards against refusing calls while a holder in another zone has tokens."""
     play = play_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
     assert len(play.admitted) >= 0.999 * count_ideal(play.arrivals, rate, rate)
 
 
 @pytest.mark.parametrize("nodes", [14, 195])
-def test_a_burst_of_less_than_a_token_at_each_holder_is_of_use(nodes: int):
-    """Guards against refusing all calls of a workspace with a very small burst, whose
-    holders have to put a token together from parts.
+def test_a_burst_of_less_than_a_token_at_each_holder_admits_calls(nodes: int):
+    """Guards against refusing all calls of a workspace whose burst is so small that
+    holders have to borrow fractions to get a whole token.
     """
     plays = [play_workspace(nodes, 2.0, Demand(0.9), 16.0, seed) for seed in (1, 2, 3)]
     ideal = sum(count_ideal(play.arrivals, 2.0, 2.0) for play in plays)
@@ -139,11 +143,11 @@
 
 
 def test_callers_of_one_zone_get_the_whole_rate():
-    """Guards against refusing calls whose tokens are in zones without callers."""
+    """Guards against refusing calls while only zones without calls have tokens."""
     fleet = RateFleet([n % 6 for n in range(30)], seed=1)
     tenant = Tenant("north", 1, 60.0, 60.0)
-    near = [n for n in range(30) if n % 6 == 2]
-    play = add_callers(fleet, tenant, Demand(0.9), LEAD_SECONDS, 20.0, near)
+    zone_nodes = [n for n in range(30) if n % 6 == 2]
+    play = add_callers(fleet, tenant, Demand(0.9), LEAD_SECONDS, 20.0, zone_nodes)
     fleet.simulation.run(20.0)
     assert len(play.admitted) >= 0.99 * count_ideal(play.arrivals, 60.0, 60.0)
 
@@ -152,8 +156,8 @@
 def test_workspaces_are_served_after_the_whole_fleet_started_again(
     nodes: int, rate: float
 ):
-    """Guards against refusing most calls in the seconds after a restart of all nodes,
-    when no holder has stored any tokens.
+    """Guards against refusing most calls in the first seconds after a restart of all
+    nodes, when no holder has any tokens stored.
     """
     play = play_workspace(nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False)
     calls = len(play.arrivals)
@@ -163,8 +167,8 @@
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 20.0), (88, 5.0), (195, 5.0)])
 def test_small_workspaces_are_served_at_once_after_a_restart(nodes: int, rate: float):
-    """Guards against refusing all calls of small workspaces for a second after a
-    restart of all nodes, until their rate has accrued a token at each holder.
+    """Guards against refusing all calls of workspaces with small rates for a second
+    after a restart of all nodes, until each holder has accrued a whole token.
     """
     plays = [
         play_workspace(nodes, rate, Demand(0.65), 2.0, seed, first_start=False)
@@ -177,23 +181,25 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("rate", [5.0, 147.0])
 def test_two_restarts_in_a_window_keep_the_rate(rate: float, seed: int):
-    """Guards against tokens that each restart of the whole fleet adds."""
+    """Guards against exceeding the rate by the initial tokens of two restarts."""
 
-    def disturb(fleet: RateFleet) -> None:
+    def inject_faults(fleet: RateFleet) -> None:
         for at in (6.0, 7.5):
             fleet.simulation.schedule(
                 LEAD_SECONDS + at,
                 lambda: [fleet.kill(number, 0.3) for number in range(fleet.size)],
             )
 
-    play = play_workspace(14, rate, Demand(7.5), 14.0, seed, disturb=disturb)
-    assert_kept(play, rate)
+    play = play_workspace(
+        14, rate, Demand(7.5), 14.0, seed, inject_faults=inject_faults
+    )
+    assert_rate_kept(play, rate)
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 60.0), (78, 45.0), (78, 300.0)])
 def test_a_restart_gives_no_second_burst(nodes: int, rate: float):
-    """Guards against a second burst for workspaces that had spent theirs just before
-    the whole fleet was restarted.
+    """Guards against a second burst for workspaces that spent theirs just before the
+    whole fleet was restarted.
     """
     play = play_workspace(
         nodes, rate, Demand(4.5), WINDOW_SECONDS, seed=2, first_start=False
@@ -201,15 +207,15 @@
     assert len(play.admitted) <= rate * WINDOW_SECONDS * 1.1 + 20
 
 
-def test_a_workspace_a_little_over_its_rate_gets_what_operators_allow():
-    """Guards against refusing to the last call what operators tolerate."""
+def test_a_workspace_a_little_over_its_rate_may_use_the_tolerance():
+    """Guards against refusing calls beyond the rate that operators tolerate."""
     play = play_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
-    assert_kept(play, 100.0)
+    assert_rate_kept(play, 100.0)
 
 
-def test_calls_given_back_reserve_no_tokens():
-    """Guards against refusing calls within the rate after calls are given back."""
+def test_refunded_tokens_can_be_used_again():
+    """Guards against refusing calls within the rate after tokens were refunded."""
     holder = OneHolder(nodes=2)
     tenant = Tenant("north", 1, 100.0, 100.0)
     holder.now = 0.1
@@ -217,13 +223,13 @@
         holder.take(tenant)
         holder.quotas.refund(tenant)
     holder.now = 0.2
-    # Of two nodes, this holder has the share of one: half of a bucket of 100 tokens.
+    # The holder has the share of one of two nodes: half of the burst of 100 tokens.
     assert sum(holder.take(tenant) for _ in range(100)) >= 45
 
 
-def test_calls_given_back_late_add_no_burst():
-    """Guards against letting calls through a second time, beside those of the next
-    seconds, that were held for two seconds and then did not run.
+def test_tokens_refunded_late_add_no_burst():
+    """Guards against admitting a second burst with the tokens of calls that waited for
+    two seconds and then did not run.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 100.0, 100.0)
@@ -232,41 +238,41 @@
         holder.take(tenant)
     for _ in range(250):
         holder.quotas.refund(tenant)
-    # The refusal of the last call holds for a moment.
+    # By now, calls are no longer refused because of the last refusal.
     holder.now = 2.1
     taken = sum(holder.take(tenant) for _ in range(400))
     assert 90 <= taken <= 100 + 1
 
 
 def test_unspent_tokens_go_back_to_the_holder():
-    """Guards against losing tokens that an entry got ahead of calls that never came."""
+    """Guards against losing tokens prefetched for calls that never arrived."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 0.001, 100.0)
     for number in range(20):
         holder.now = number * 0.01
         assert holder.take(tenant)
-    # Whatever was granted ahead has expired by now.
+    # All prefetched tokens have expired by now.
     holder.now = 5.0
     taken = sum(holder.take(tenant) for _ in range(100))
     assert taken == 80
 
 
-def test_a_lower_rate_holds_once_all_nodes_know_it():
-    """Guards against refusing by a lower rate before all nodes have it."""
+def test_a_lower_rate_applies_once_it_is_rolled_out():
+    """Guards against applying a lower rate before all nodes have it."""
     holder = OneHolder()
     before = Tenant("north", 1, 100.0, 100.0)
     after = Tenant("north", 1, 1.0, 1.0)
     assert holder.take(before, version=1)
     holder.now = 0.1
-    early = sum(holder.take(after, version=2, settled=False) for _ in range(50))
+    early = sum(holder.take(after, version=2, rolled_out=False) for _ in range(50))
     holder.now = 2.0
-    late = sum(holder.take(after, version=2, settled=True) for _ in range(50))
+    late = sum(holder.take(after, version=2, rolled_out=True) for _ in range(50))
     assert early == 50
     assert late <= 2
 
 
-def test_a_higher_rate_holds_at_once():
-    """Guards against delaying what the operator has just granted."""
+def test_a_higher_rate_applies_at_once():
+    """Guards against applying a raised rate only after it has reached all nodes."""
     holder = OneHolder()
     low = Tenant("north", 1, 1.0, 1.0)
     high = Tenant("north", 1, 100.0, 100.0)
@@ -276,21 +282,21 @@
     later = 0
     for number in range(50):
         holder.now = 0.1 + number * 0.01
-        later += holder.take(high, version=2, settled=False)
+        later += holder.take(high, version=2, rolled_out=False)
     assert later >= 45
 
 
-def test_no_limit_is_the_highest():
-    """Guards against taking a rate of 0, which means none, for the lowest of all."""
+def test_a_rate_of_zero_means_no_limit():
+    """Guards against treating a rate of 0, which means no limit, as the lowest."""
     assert Tenant("n", 1, 0.0, 0.0).has_higher_rate_than(Tenant("n", 1, 5.0, 5.0))
     assert not Tenant("n", 1, 5.0, 5.0).has_higher_rate_than(Tenant("n", 1, 0.0, 0.0))
     holder = OneHolder()
     assert all(holder.take(Tenant("n", 1, 0.0, 0.0)) for _ in range(50))
 
 
-def test_a_greedy_workspace_gets_no_more_of_an_overloaded_service():
-    """Guards against counting all calls of a workspace over its rate as demand, while
-    admission refuses them and their tokens are given back.
+def test_a_workspace_over_its_rate_gets_few_refunds():
+    """Guards against offering admission all calls of a workspace far over its rate,
+    because the tokens of the calls that it refuses are refunded.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 100.0, 100.0)
@@ -304,8 +310,8 @@
     assert passed > 100.0 * 10
 
 
-def test_a_refusal_tells_who_held_the_tokens():
-    """Guards against refusals that say nothing of how they came about."""
+def test_a_refusal_contains_the_holder_and_its_remaining_tokens():
+    """Guards against refusals without the holder and its remaining tokens."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 2.0, 2.0)
     decisions = [holder.decide(tenant) for _ in range(3)]
@@ -315,7 +321,7 @@
 
 
 def test_an_entry_over_the_rate_does_not_ask_for_each_call():
-    """Guards against a request to the holder for each call of a flood."""
+    """Guards against sending the holder a request for each call over the rate."""
     holder = OneHolder()
     tenant = Tenant("north", 1, 10.0, 10.0)
     for number in range(3000):
@@ -325,7 +331,7 @@
 
 
 def test_a_holder_that_does_not_answer_delays_few_calls():
-    """Guards against waiting for a silent holder with each call."""
+    """Guards against each call waiting for a holder that does not answer."""
     holder = OneHolder()
     holder.silent = True
     tenant = Tenant("north", 1, 10.0, 10.0)
