--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -156,7 +156,7 @@
 
     def _list_holders_by_zone(self, connected: bool = True) -> dict[str, list[str]]:
         index = self._fleet.index
-        return index.list_first(count_zone_holders(index.zones), connected)
+        return index.list_first(count_zone_holders(index.zone_count), connected)
 
     def _find_expected_holder(self) -> str:
         """Return the holder assigned to this node if all known nodes are reachable."""
