--- a/bench/choices.py
+++ b/bench/choices.py
@@ -74,7 +74,7 @@
         connection = await pool.acquire()
         head = build_head("POST", b"/x", address, HEADERS, body)
         await connection.exchange(head, body, False)
-        connection.take_held()
+        connection.take_buffered()
         pool.release(connection)
     cost = (time.process_time() - started) / CALLS * 1e6
     pool.close_idle()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -68,7 +68,7 @@
             elapsed = time.perf_counter() - started
             if response.status != 200:
                 raise RuntimeError(f"{self.address} answered {response.status}")
-            connection.take_held()
+            connection.take_buffered()
             self.histogram.record_value(max(1, int(elapsed * 1e6)))
         connection.close()
 
--- a/primroseglade/announcing.py
+++ b/primroseglade/announcing.py
@@ -47,7 +47,7 @@
         return answer_json(200, {"serving": backend.serving})
 
     async def remove_announcement(_: Request) -> Response:
-        backend.withdraw()
+        backend.deregister()
         return answer_json(200, {"serving": False})
 
     app = build_application()
--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -18,21 +18,21 @@
 from ..observe.metrics import Metrics
 from ..settings.node import NodeSettings
 from ..verdicts import not_run, Reason, Refusal, Verdict
-from .call import Answer, Call, InFlight
-from .connections import build_head, Connection, iterate_until, Response
-from .handles import Handles, refuse_withdrawn
+from .call import Call, InFlight, Reply
+from .connections import build_head, Connection, iterate_until_deadline, Response
+from .handles import build_key_refusal, Handles
 from .headers import (
     DEADLINE_MS,
+    filter_response_headers,
     find_header,
     HANDLE,
-    keep_answer_headers,
     TRACEPARENT,
     WORKSPACE,
 )
 from .pool import Pool
-from .silence import SilenceWatch
+from .unresponsive_connections import UnresponsiveConnectionDetector
 
-VERDICT = b"primroseglade-verdict"
+VERDICT_HEADER = b"primroseglade-verdict"
 
 
 class Announcement:
@@ -79,33 +79,33 @@
     def __init__(
         self,
         settings: NodeSettings,
-        trusts: Callable[[str, str], bool],
-        holds_key: Callable[[str, str], bool],
+        is_trusted: Callable[[str, str], bool],
+        is_key_valid: Callable[[str, str], bool],
         on_change: Callable[[], None],
         handles: Handles,
         journal: Journal,
         metrics: Metrics,
     ):
         self._settings = settings
-        self._trusts = trusts
-        self._holds_key = holds_key
+        self._is_trusted = is_trusted
+        self._is_key_valid = is_key_valid
         self._on_change = on_change
         self._handles = handles
         self._journal = journal
         self._metrics = metrics
         self._announcement: Announcement | None = None
         self._pool: Pool | None = None
-        self._leaving = False
+        self._stopping = False
         self._in_flight = InFlight()
         self._queue = AdmissionQueue(
             ConcurrencyLimit(settings.limits.slots),
             settings.limits.queue,
             settings.timeouts.queue,
         )
-        self._watch = SilenceWatch(
+        self._unresponsive_detector = UnresponsiveConnectionDetector(
             settings.timeouts.silence,
             lambda: self._queue.limit.latency,
-            self._tell_silence,
+            self._report_unresponsive,
         )
 
     @property
@@ -117,7 +117,7 @@
     def serving(self) -> bool:
         """Whether it takes new calls."""
         announced = self._announcement
-        return announced is not None and not announced.draining and not self._leaving
+        return announced is not None and not announced.draining and not self._stopping
 
     @property
     def queue(self) -> AdmissionQueue:
@@ -138,7 +138,7 @@
     def announce(self, announcement: Announcement) -> bool:
         """Take an announcement; False where the document does not trust it."""
         known = self._announcement
-        if not self._trusts(announcement.service, announcement.address):
+        if not self._is_trusted(announcement.service, announcement.address):
             if known is None or known.address != announcement.address:
                 self._journal.emit(
                     BACKEND_REFUSED,
@@ -150,7 +150,7 @@
         is_new = known is None or known.address != announcement.address
         self._announcement = announcement
         if is_new:
-            self._connect(announcement)
+            self._replace_pool(announcement)
         elif known is not None and known.slots != announcement.slots:
             self._queue.replace_limit(self._build_limit(announcement))
         if is_new or was_serving != self.serving:
@@ -161,32 +161,32 @@
             self._on_change()
         return True
 
-    def withdraw(self) -> None:
+    def deregister(self) -> None:
         """Forget it: it left, or nobody trusts it any more."""
         self._announcement = None
         if self._pool is not None:
             self._pool.close_idle()
-        self._queue.refuse_where(lambda _: _refuse_draining())
+        self._queue.refuse_where(lambda _: _build_draining_refusal())
         self._on_change()
 
     def leave(self) -> None:
         """Take no new calls: this node stops."""
-        self._leaving = True
+        self._stopping = True
         self._on_change()
 
     def apply_document(self) -> None:
         """Drop what the document withdrew: waiting calls, and the server itself."""
         self._queue.refuse_where(
-            lambda context: refuse_withdrawn(self._holds_key, context)
+            lambda context: build_key_refusal(self._is_key_valid, context)
         )
         announced = self._announcement
-        if announced and not self._trusts(announced.service, announced.address):
+        if announced and not self._is_trusted(announced.service, announced.address):
             self._journal.emit(
                 BACKEND_WITHDRAWN, service=announced.service, address=announced.address
             )
-            self.withdraw()
+            self.deregister()
 
-    async def serve(self, call: Call) -> Answer:
+    async def serve(self, call: Call) -> Reply:
         """Admit a call and send it.
 
         Raises:
@@ -195,17 +195,17 @@
         self._check_serving(call)
         waited = await self._queue.acquire(call.context)
         self._metrics.queue_seconds.observe(waited)
-        released = False
+        slot_transferred = False
         try:
             # The key or the backend server may have gone while the call waited.
-            refusal = refuse_withdrawn(self._holds_key, call.context)
+            refusal = build_key_refusal(self._is_key_valid, call.context)
             if refusal is not None:
                 raise refusal
             self._check_serving(call)
-            answer, released = await self._send(call)
-            return answer
+            reply, slot_transferred = await self._send(call)
+            return reply
         finally:
-            if not released:
+            if not slot_transferred:
                 self._queue.release()
 
     def _check_serving(self, call: Call) -> None:
@@ -215,15 +215,15 @@
                 Reason.NO_BACKEND_SERVER, f"no backend server of {call.service} here"
             )
         if not self.serving:
-            raise _refuse_draining()
+            raise _build_draining_refusal()
 
-    async def _send(self, call: Call) -> tuple[Answer, bool]:
+    async def _send(self, call: Call) -> tuple[Reply, bool]:
         """Return the answer, and whether its stream gives the turn back later."""
         assert self._pool is not None
         pool = self._pool
         started = time.monotonic()
         handle = self._handles.issue(call.context)
-        streams = False
+        is_streamed = False
         self._in_flight.__enter__()
         connection: Connection | None = None
         try:
@@ -232,28 +232,28 @@
             ):
                 connection = await pool.acquire()
                 response = await self._exchange(call, connection, pool, handle)
-            self._note(response, started)
-            headers = keep_answer_headers(response.headers)
+            self._record_latency(response, started)
+            headers = filter_response_headers(response.headers)
             if response.complete:
-                answer = Answer(response.status, headers, connection.take_held())
-                answer.shed = call.context.shed and response.status >= 500
-                return answer, False
-            streams = True
-            stream = iterate_until(connection, call.context)
+                reply = Reply(response.status, headers, connection.take_buffered())
+                reply.shed = call.context.shed and response.status >= 500
+                return reply, False
+            is_streamed = True
+            stream = iterate_until_deadline(connection, call.context)
 
             def close() -> None:
-                self._finish(connection, pool, handle)
+                self._release(connection, pool, handle)
                 self._queue.release()
 
-            answer = Answer(
+            reply = Reply(
                 response.status, headers, None, response.length, stream, close
             )
-            return answer, True
+            return reply, True
         except TimeoutError as error:
-            raise self._build_timeout(connection) from error
+            raise self._build_timeout_refusal(connection) from error
         finally:
-            if not streams:
-                self._finish(connection, pool, handle)
+            if not is_streamed:
+                self._release(connection, pool, handle)
 
     async def _exchange(
         self, call: Call, connection: Connection, pool: Pool, handle: bytes
@@ -268,12 +268,14 @@
             (TRACEPARENT, context.traceparent),
         ]
         head = build_head(call.method, call.target, pool.address, headers, call.body)
-        watch = self._watch.start(connection, pool, context.idempotent)
+        pending = self._unresponsive_detector.start(
+            connection, pool, context.idempotent
+        )
         try:
             response = await connection.exchange(head, call.body, call.method == "HEAD")
         finally:
-            self._watch.end(watch)
-        verdict = find_header(response.headers, VERDICT)
+            self._unresponsive_detector.end(pending)
+        verdict = find_header(response.headers, VERDICT_HEADER)
         if response.status in (429, 503) and verdict == b"not run":
             self._queue.limit.note_shed(time.monotonic())
             raise not_run(
@@ -283,30 +285,32 @@
             )
         return response
 
-    def _tell_silence(self, pool: Pool, idle_closed: int) -> None:
+    def _report_unresponsive(self, pool: Pool, idle_closed: int) -> None:
         self._metrics.silent_connections.inc()
         self._journal.emit(
             BACKEND_SILENT, address=pool.address, idle_closed=idle_closed
         )
 
-    def _note(self, response: Response, started: float) -> None:
+    def _record_latency(self, response: Response, started: float) -> None:
         now = time.monotonic()
         in_flight = self._queue.in_flight
         self._queue.limit.note_served(now - started, in_flight, now)
 
-    def _finish(self, connection: Connection | None, pool: Pool, handle: bytes) -> None:
+    def _release(
+        self, connection: Connection | None, pool: Pool, handle: bytes
+    ) -> None:
         if connection is not None:
             pool.release(connection)
-        self._handles.withdraw(handle)
+        self._handles.revoke(handle)
         self._in_flight.__exit__()
 
-    def _build_timeout(self, connection: Connection | None) -> Refusal:
+    def _build_timeout_refusal(self, connection: Connection | None) -> Refusal:
         detail = "no whole answer before the deadline"
         if connection is None:
             return not_run(Reason.DEADLINE_EXCEEDED, "no connection was free in time")
         return Refusal(Reason.DEADLINE_EXCEEDED, Verdict.MAY_HAVE_RUN, detail)
 
-    def _connect(self, announced: Announcement) -> None:
+    def _replace_pool(self, announced: Announcement) -> None:
         if self._pool is not None:
             self._pool.close_idle()
         self._pool = Pool(
@@ -335,5 +339,5 @@
         }
 
 
-def _refuse_draining() -> Refusal:
+def _build_draining_refusal() -> Refusal:
     return not_run(Reason.DRAINING, "takes no new calls", retry_after=1.0)
--- a/primroseglade/calls/call.py
+++ b/primroseglade/calls/call.py
@@ -90,23 +90,23 @@
         stream: Yields the body where it is not held.
     """
 
-    __slots__ = ("held", "length", "started", "stream")
+    __slots__ = ("content", "length", "started", "stream")
 
     def __init__(
         self,
-        held: bytes | None,
+        content: bytes | None,
         length: int | None = None,
         stream: AsyncIterator[bytes] | None = None,
     ):
-        self.held = held
-        self.length = len(held) if held is not None else length
+        self.content = content
+        self.length = len(content) if content is not None else length
         self.stream = stream
         self.started = False
 
     @property
     def replayable(self) -> bool:
         """Whether it can be sent again from its beginning."""
-        return self.held is not None or not self.started
+        return self.content is not None or not self.started
 
 
 class Call:
@@ -144,7 +144,7 @@
     """Stand in for the close of an answer that holds on to nothing."""
 
 
-class Answer:
+class Reply:
     """A backend server's answer.
 
     Args:
@@ -159,21 +159,21 @@
     ``shed`` says that the answer is an error because of a call that was shed.
     """
 
-    __slots__ = ("close", "headers", "held", "length", "shed", "status", "stream")
+    __slots__ = ("close", "content", "headers", "length", "shed", "status", "stream")
 
     def __init__(
         self,
         status: int,
         headers: Headers,
-        held: bytes | None,
+        content: bytes | None,
         length: int | None = None,
         stream: AsyncIterator[bytes] | None = None,
         close: Callable[[], None] = _do_nothing,
     ):
         self.status = status
         self.headers = headers
-        self.held = held
-        self.length = len(held) if held is not None else length
+        self.content = content
+        self.length = len(content) if content is not None else length
         self.stream = stream
         self.close = close
         self.shed = False
--- a/primroseglade/calls/connections.py
+++ b/primroseglade/calls/connections.py
@@ -15,11 +15,11 @@
 from .call import Body, Context
 from .headers import Headers
 
-HIGH_WATER_BYTES = 256 * 1024
+READ_HIGH_WATER_BYTES = 256 * 1024
 # A peer that vanished without closing, or a link that lost track of the connection:
 # the kernel finds the first kind within these seconds.
-KEEP_ALIVE_IDLE_SECONDS = 2
-UNACKNOWLEDGED_MS = 4000
+TCP_KEEPALIVE_IDLE_SECONDS = 2
+TCP_USER_TIMEOUT_MS = 4000
 
 
 class Response:
@@ -41,8 +41,8 @@
         hold_bytes: Bodies up to this size are waited for whole.
     """
 
-    def __init__(self, hold_bytes: int):
-        self._hold_bytes = hold_bytes
+    def __init__(self, max_buffered_bytes: int):
+        self._max_buffered_bytes = max_buffered_bytes
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._headers: Headers = []
@@ -50,13 +50,13 @@
         self._size = 0
         self._response: Response | None = None
         self._ready: asyncio.Future[None] | None = None
-        self._more: asyncio.Event | None = None
+        self._body_event: asyncio.Event | None = None
         self._writable = asyncio.Event()
         self._writable.set()
         self._head_only = False
         self._reusable = True
         self._error: Refusal | None = None
-        self.first_byte = False
+        self.first_byte_received = False
         self.idle_since = 0.0
 
     @property
@@ -79,7 +79,9 @@
         """Set the options that find a dead peer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS)
+        set_dead_peer_options(
+            transport, TCP_KEEPALIVE_IDLE_SECONDS, TCP_USER_TIMEOUT_MS
+        )
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail what waits for an answer."""
@@ -104,13 +106,13 @@
             # this connection could not be told from them.
             self.close()
             return
-        self.first_byte = True
+        self.first_byte_received = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._break_off("an answer that switches protocols")
+            self._reject_response("an answer that switches protocols")
         except httptools.HttpParserError as error:
-            self._break_off(f"not an HTTP/1.1 answer: {error}")
+            self._reject_response(f"not an HTTP/1.1 answer: {error}")
 
     def on_message_begin(self) -> None:
         """Parser callback."""
@@ -147,9 +149,9 @@
         elif length is None and not chunked and status not in (204, 304):
             # Its end would be the connection's end, which a lost connection shows
             # just the same: whether the answer is whole could not be known.
-            self._break_off("an answer without a length")
-        elif length is not None and length > self._hold_bytes:
-            self._wake()
+            self._reject_response("an answer without a length")
+        elif length is not None and length > self._max_buffered_bytes:
+            self._resolve_ready()
 
     def on_body(self, body: bytes) -> None:
         """Parser callback."""
@@ -157,12 +159,12 @@
             return
         self._chunks.append(body)
         self._size += len(body)
-        if self._size > self._hold_bytes:
-            self._wake()
-        if self._size > HIGH_WATER_BYTES and self._transport is not None:
+        if self._size > self._max_buffered_bytes:
+            self._resolve_ready()
+        if self._size > READ_HIGH_WATER_BYTES and self._transport is not None:
             self._transport.pause_reading()
-        if self._more is not None:
-            self._more.set()
+        if self._body_event is not None:
+            self._body_event.set()
 
     def on_message_complete(self) -> None:
         """Parser callback."""
@@ -178,8 +180,8 @@
         self._begin(head_only)
         assert self._ready is not None and self._transport is not None
         try:
-            if body.held is not None:
-                self._transport.write(head + body.held)
+            if body.content is not None:
+                self._transport.write(head + body.content)
             else:
                 await self._send_stream(head, body)
             await self._ready
@@ -191,12 +193,12 @@
         assert self._response is not None
         return self._response
 
-    def take_held(self) -> bytes:
+    def take_buffered(self) -> bytes:
         """Return the body that has come so far."""
-        held = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
+        content = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
         self._chunks = []
         self._size = 0
-        return held
+        return content
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
         """Yield the body as it comes.
@@ -205,10 +207,10 @@
             Refusal: It broke off.
         """
         assert self._response is not None
-        self._more = asyncio.Event()
+        self._body_event = asyncio.Event()
         while True:
             if self._chunks:
-                yield self.take_held()
+                yield self.take_buffered()
                 if self._transport is not None:
                     self._transport.resume_reading()
                 continue
@@ -216,8 +218,8 @@
                 return
             if self._error is not None:
                 raise self._error
-            self._more.clear()
-            await self._more.wait()
+            self._body_event.clear()
+            await self._body_event.wait()
 
     def close(self) -> None:
         """Close it; the other end takes that as a cancellation."""
@@ -229,10 +231,10 @@
         self._chunks = []
         self._size = 0
         self._response = None
-        self._more = None
+        self._body_event = None
         self._error = None
         self._head_only = head_only
-        self.first_byte = False
+        self.first_byte_received = False
         self._ready = asyncio.get_running_loop().create_future()
         if self.closed:
             raise not_run(Reason.CONNECTION_LOST, "the connection was closed before")
@@ -259,11 +261,11 @@
         assert self._response is not None
         self._response.complete = True
         self._parser = None if self._reusable else self._parser
-        self._wake()
-        if self._more is not None:
-            self._more.set()
+        self._resolve_ready()
+        if self._body_event is not None:
+            self._body_event.set()
 
-    def _break_off(self, detail: str) -> None:
+    def _reject_response(self, detail: str) -> None:
         self._fail(may_have_run(Reason.ANSWER_BROKEN, detail))
         self.close()
 
@@ -274,15 +276,15 @@
             self._ready.set_exception(error)
             # A request that was given up has nobody left to see the error.
             self._ready.exception()
-        if self._more is not None:
-            self._more.set()
+        if self._body_event is not None:
+            self._body_event.set()
 
-    def _wake(self) -> None:
+    def _resolve_ready(self) -> None:
         if self._ready is not None and not self._ready.done():
             self._ready.set_result(None)
 
 
-async def iterate_until(
+async def iterate_until_deadline(
     connection: Connection, context: Context
 ) -> AsyncIterator[bytes]:
     """Yield a body as it comes, up to the call's deadline.
--- a/primroseglade/calls/context.py
+++ b/primroseglade/calls/context.py
@@ -18,7 +18,7 @@
 # Clocks of instances may differ by this much.
 CLOCK_TOLERANCE_MS = 10_000
 MAC_BYTES = 16
-DEEPEST = 64
+MAX_DEPTH = 64
 
 
 class ContextSeal:
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -18,13 +18,13 @@
     Verdict,
 )
 from .backend import BackendServer
-from .call import Answer, Call
+from .call import Call, Reply
 from .relay import Relay
 from .routing import Router
 
 # Of these a throttled call is told one at random, so that callers spread.
-THROTTLED_RETRY_SECONDS = (0.5, 1.5)
-UNREACHED = frozenset({Reason.CONNECTION_LOST, Reason.ANSWER_BROKEN})
+THROTTLED_RETRY_AFTER_SECONDS = (0.5, 1.5)
+CONNECTION_FAILURE_REASONS = frozenset({Reason.CONNECTION_LOST, Reason.ANSWER_BROKEN})
 
 
 class RetryShare:
@@ -40,26 +40,26 @@
         share: Retries per first attempt.
     """
 
-    RESERVE = 5.0
-    WORKSPACES_KEPT = 4096
+    MAX_BALANCE = 5.0
+    MAX_WORKSPACES = 4096
 
-    def __init__(self, share: float):
-        self._share = share
-        self._levels: collections.OrderedDict[str, float] = collections.OrderedDict()
+    def __init__(self, ratio: float):
+        self._ratio = ratio
+        self._balances: collections.OrderedDict[str, float] = collections.OrderedDict()
 
-    def note_first(self, workspace: str) -> None:
+    def record_first_attempt(self, workspace: str) -> None:
         """Count a first attempt."""
-        level = self._levels.pop(workspace, self.RESERVE)
-        self._levels[workspace] = min(self.RESERVE, level + self._share)
-        if len(self._levels) > self.WORKSPACES_KEPT:
-            self._levels.popitem(last=False)
+        balance = self._balances.pop(workspace, self.MAX_BALANCE)
+        self._balances[workspace] = min(self.MAX_BALANCE, balance + self._ratio)
+        if len(self._balances) > self.MAX_WORKSPACES:
+            self._balances.popitem(last=False)
 
-    def take(self, workspace: str) -> bool:
+    def try_spend(self, workspace: str) -> bool:
         """Take one retry, if there is one."""
-        level = self._levels.get(workspace, self.RESERVE)
-        if level < 1:
+        balance = self._balances.get(workspace, self.MAX_BALANCE)
+        if balance < 1:
             return False
-        self._levels[workspace] = level - 1
+        self._balances[workspace] = balance - 1
         return True
 
 
@@ -83,7 +83,7 @@
         router: Router,
         backend: BackendServer,
         relay: Relay,
-        share: RetryShare,
+        retry_budget: RetryShare,
         throttle: Throttle,
         journal: Journal,
         metrics: Metrics,
@@ -92,12 +92,12 @@
         self._router = router
         self._backend = backend
         self._relay = relay
-        self._share = share
+        self._retry_budget = retry_budget
         self._throttle = throttle
         self._journal = journal
         self._metrics = metrics
 
-    async def dispatch(self, call: Call, still_allowed: Callable[[], None]) -> Answer:
+    async def dispatch(self, call: Call, check_key: Callable[[], None]) -> Reply:
         """Get a call answered.
 
         Args:
@@ -112,92 +112,96 @@
             raise not_run(
                 Reason.OVERLOADED,
                 "calls like this one are being shed further on",
-                random.uniform(*THROTTLED_RETRY_SECONDS),
+                random.uniform(*THROTTLED_RETRY_AFTER_SECONDS),
             )
         try:
-            answer = await self._try_until_answered(call, still_allowed)
+            reply = await self._send_with_retries(call, check_key)
         except Refusal as refusal:
-            self._note_end(call, refusal.reason in LOAD_SHEDDING_REASONS)
+            self._record_outcome(call, refusal.reason in LOAD_SHEDDING_REASONS)
             raise
-        self._note_end(call, answer.shed)
-        return answer
+        self._record_outcome(call, reply.shed)
+        return reply
 
-    def _note_end(self, call: Call, shed: bool) -> None:
+    def _record_outcome(self, call: Call, shed: bool) -> None:
         if shed:
             self._throttle.note_shed(call.service, call.context)
         else:
             self._throttle.note_accepted(call.service, call.context)
 
-    async def _try_until_answered(
-        self, call: Call, still_allowed: Callable[[], None]
-    ) -> Answer:
-        self._share.note_first(call.context.workspace)
-        refused: set[str] = set()
+    async def _send_with_retries(
+        self, call: Call, check_key: Callable[[], None]
+    ) -> Reply:
+        self._retry_budget.record_first_attempt(call.context.workspace)
+        excluded: set[str] = set()
         verdict = Verdict.NOT_RUN
         while True:
-            member = self._router.choose(call.service, refused)
+            member = self._router.choose(call.service, excluded)
             if member is None:
                 detail = f"no backend server of {call.service} takes calls"
                 raise not_run(Reason.NO_BACKEND_SERVER, detail, retry_after=1.0)
             try:
-                still_allowed()
+                check_key()
                 return await self._send(call, member)
             except Refusal as refusal:
-                refused.add(member.instance)
+                excluded.add(member.instance)
                 if refusal.verdict is not Verdict.NOT_RUN:
                     verdict = refusal.verdict
                 # An attempt that was lost may have run, whatever the last one says.
                 refusal.verdict = verdict
-                if not self._may_retry(call, refusal, refused):
+                if not self._try_reserve_retry(call, refusal, excluded):
                     raise
 
-    async def _send(self, call: Call, member: Member) -> Answer:
-        peer = self._router.get_peer(member.instance)
-        peer.in_flight += 1
+    async def _send(self, call: Call, member: Member) -> Reply:
+        stats = self._router.get_stats(member.instance)
+        stats.in_flight += 1
         try:
             if member.instance == self._members.own.instance:
-                answer = await self._backend.serve(call)
-                self._router.note_load(peer, self._backend.load)
+                reply = await self._backend.serve(call)
+                self._router.update_load(stats, self._backend.load)
             else:
                 self._metrics.relayed.inc()
-                answer, load = await self._relay.send(call, member)
-                self._router.note_load(peer, load)
+                reply, load = await self._relay.send(call, member)
+                self._router.update_load(stats, load)
         except Refusal as refusal:
-            self._note_refusal(member, refusal)
+            self._record_refusal(member, refusal)
             raise
         finally:
-            peer.in_flight -= 1
-        self._router.note_success(peer)
-        return answer
+            stats.in_flight -= 1
+        self._router.record_success(stats)
+        return reply
 
-    def _note_refusal(self, member: Member, refusal: Refusal) -> None:
-        peer = self._router.get_peer(member.instance)
+    def _record_refusal(self, member: Member, refusal: Refusal) -> None:
+        stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
             # Full, whatever it said last.
-            peer.told = max(peer.told, peer.limit or member.slots or 1)
-            peer.load_at = time.monotonic()
-        if refusal.reason not in UNREACHED:
+            stats.reported_load = max(
+                stats.reported_load, stats.concurrency_limit or member.slots or 1
+            )
+            stats.reported_at = time.monotonic()
+        if refusal.reason not in CONNECTION_FAILURE_REASONS:
             return
-        seconds = self._router.note_failure(peer)
+        seconds = self._router.record_failure(stats)
         if seconds:
             self._journal.emit(
                 PEER_EJECTED, member=member.instance, seconds=round(seconds, 2)
             )
 
-    def _may_retry(self, call: Call, refusal: Refusal, refused: set[str]) -> bool:
-        lost = refusal.reason in UNREACHED and call.context.idempotent
+    def _try_reserve_retry(
+        self, call: Call, refusal: Refusal, excluded: set[str]
+    ) -> bool:
+        lost = refusal.reason in CONNECTION_FAILURE_REASONS and call.context.idempotent
         if not lost and refusal.reason not in RETRYABLE_REASONS:
             return False
         if refusal.verdict is not Verdict.NOT_RUN and not call.context.idempotent:
             return False
         if call.context.remaining <= 0 or not call.body.replayable:
             return False
-        if self._router.choose(call.service, refused) is None:
+        if self._router.choose(call.service, excluded) is None:
             return False
         if call.context.retry_tokens <= 0:
             self._metrics.retries_denied.labels("tokens").inc()
             return False
-        if not self._share.take(call.context.workspace):
+        if not self._retry_budget.try_spend(call.context.workspace):
             self._metrics.retries_denied.labels("share").inc()
             return False
         call.context.retry_tokens -= 1
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -14,20 +14,20 @@
 )
 from ..verdicts import LOAD_SHEDDING_REASONS, not_run, Reason, Refusal, Verdict
 from .backend import BackendServer
-from .call import Answer, Body, Call, Context
+from .call import Body, Call, Context, Reply
 from .context import ContextSeal
 from .dispatch import Dispatcher
-from .entry import Entry, Progress, Tools
+from .entry import Entry, RequestRecord, Tools
 from .exchange import HttpExchange
-from .handles import descend, give_back, Handles
+from .handles import build_nested_context, Handles, return_retry_tokens
 from .headers import (
     ATTEMPT,
     AUTHORIZATION,
     CONTEXT,
+    filter_request_headers,
     HANDLE,
     Headers,
     IDEMPOTENCY_KEY,
-    keep_request_headers,
     LOAD,
     NODES,
     RETRY_TOKENS,
@@ -37,27 +37,32 @@
 )
 from .routing import Router
 
-BEARER = "bearer "
-LONGEST_TIMEOUT_SECONDS = 600.0
-LONGEST_OPERATION_ID = 128
-NODES_TOLD = 3
+BEARER_PREFIX = "bearer "
+MAX_TIMEOUT_SECONDS = 600.0
+MAX_IDEMPOTENCY_KEY_LENGTH = 128
+MAX_ADVERTISED_NODES = 3
 
 
-class Rates(Protocol):
+class RateLimiter(Protocol):
     """Charges root calls to their workspace's rate."""
 
-    async def charge(self, workspace: str, patience: float) -> None:
+    async def charge(self, workspace: str, max_wait: float) -> None:
         """Spend one token, or raise a refusal."""
 
 
-class Operations(Protocol):
+class OperationRecorder(Protocol):
     """Remembers which operations have run."""
 
     async def begin(self, workspace: str, operation: str, attempt: int) -> str:
         """Return who records the attempt, or raise a refusal."""
 
     async def finish(
-        self, name: str, workspace: str, operation: str, attempt: int, verdict: Verdict
+        self,
+        holder: str,
+        workspace: str,
+        operation: str,
+        attempt: int,
+        verdict: Verdict,
     ) -> None:
         """Note what became of it."""
 
@@ -80,34 +85,32 @@
         tools: Tools,
         dispatcher: Dispatcher,
         router: Router,
-        rates: Rates,
-        operations: Operations,
+        rate_limiter: RateLimiter,
+        recorder: OperationRecorder,
     ):
         super().__init__(tools)
         self._dispatcher = dispatcher
         self._router = router
-        self._rates = rates
-        self._operations = operations
+        self._rate_limiter = rate_limiter
+        self._recorder = recorder
 
-    async def _answer(self, exchange: HttpExchange, progress: Progress) -> None:
-        progress.trace, trace = self._read_trace(exchange)
+    async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
+        record.trace, trace = self._read_trace(exchange)
         self._check_ready()
-        target = self._split_target(exchange, progress)
-        context = self._authenticate(exchange, progress, trace, target)
-        self._check_fresh(context.workspace)
-        name = f"{exchange.method} {progress.service}"
+        target = self._split_target(exchange, record)
+        context = self._authenticate(exchange, record, trace, target)
+        self._check_configuration_age(context.workspace)
+        name = f"{exchange.method} {record.service}"
         with self._tools.tracer.trace(name, trace, context.workspace) as span:
             context.call = span or context.call
-            headers = keep_request_headers(exchange.headers)
+            headers = filter_request_headers(exchange.headers)
             body = await self._read_body(exchange, context)
-            call = Call(
-                progress.service, exchange.method, target, headers, body, context
-            )
-            progress.call = call
+            call = Call(record.service, exchange.method, target, headers, body, context)
+            record.call = call
             # Charged last of all checks: what is refused above costs no token.
-            await self._rates.charge(context.workspace, context.remaining)
-            answer = await self._run(exchange, call)
-            await self._send_answer(exchange, answer, progress)
+            await self._rate_limiter.charge(context.workspace, context.remaining)
+            reply = await self._dispatch_or_record(exchange, call)
+            await self._send_reply(exchange, reply, record)
 
     async def _read_body(self, exchange: HttpExchange, context: Context) -> Body:
         """Read a small body whole, for as long as the call may take at the most."""
@@ -118,40 +121,40 @@
             detail = "the body did not arrive before the deadline"
             raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
 
-    async def _run(self, exchange: HttpExchange, call: Call) -> Answer:
+    async def _dispatch_or_record(self, exchange: HttpExchange, call: Call) -> Reply:
         operation = exchange.get_header(IDEMPOTENCY_KEY)
         if not operation or call.context.idempotent:
             return await self._dispatch(call)
-        if len(operation) > LONGEST_OPERATION_ID:
+        if len(operation) > MAX_IDEMPOTENCY_KEY_LENGTH:
             raise not_run(Reason.MALFORMED_REQUEST, "Idempotency-Key is too long")
-        return await self._run_once(call, operation, _read_attempt(exchange))
+        return await self._run_recorded(call, operation, _read_attempt(exchange))
 
-    async def _run_once(self, call: Call, operation: str, attempt: int) -> Answer:
+    async def _run_recorded(self, call: Call, operation: str, attempt: int) -> Reply:
         """Run an operation unless it ran before, and have its end recorded."""
         workspace = call.context.workspace
-        name = await self._operations.begin(workspace, operation, attempt)
+        holder = await self._recorder.begin(workspace, operation, attempt)
         verdict = Verdict.MAY_HAVE_RUN
-        answer: Answer | None = None
+        reply: Reply | None = None
         try:
-            answer = await self._dispatch(call)
+            reply = await self._dispatch(call)
             verdict = Verdict.RAN
         except Refusal as refusal:
             verdict = refusal.verdict
             raise
         finally:
             try:
-                await self._operations.finish(
-                    name, workspace, operation, attempt, verdict
+                await self._recorder.finish(
+                    holder, workspace, operation, attempt, verdict
                 )
             except BaseException:
                 # The caller left while the recorder was told: nobody will send the
                 # answer, and what it holds on to must not be lost with it.
-                if answer is not None:
-                    answer.close()
+                if reply is not None:
+                    reply.close()
                 raise
-        return answer
+        return reply
 
-    async def _dispatch(self, call: Call) -> Answer:
+    async def _dispatch(self, call: Call) -> Reply:
         return await self._dispatcher.dispatch(
             call, lambda: self._check_key(call.context)
         )
@@ -166,24 +169,24 @@
     def _authenticate(
         self,
         exchange: HttpExchange,
-        progress: Progress,
+        record: RequestRecord,
         trace: TraceParent,
         target: bytes,
     ) -> Context:
         document = self._tools.configuration.document
         authorization = exchange.get_header(AUTHORIZATION)
-        if not authorization.lower().startswith(BEARER):
+        if not authorization.lower().startswith(BEARER_PREFIX):
             raise not_run(Reason.KEY_MISSING, "Authorization: Bearer KEY is missing")
         key = document.find_key_by_digest(
-            digest_key(authorization[len(BEARER) :].strip())
+            digest_key(authorization[len(BEARER_PREFIX) :].strip())
         )
         if key is None:
             raise not_run(Reason.KEY_UNKNOWN, "no workspace has this key")
-        progress.workspace = key.workspace
+        record.workspace = key.workspace
         if document.is_withdrawn(key.workspace, key.id, key.batch):
             raise not_run(Reason.KEY_WITHDRAWN, "the key was withdrawn")
         path = target.partition(b"?")[0].decode("latin-1")
-        service = progress.service
+        service = record.service
         return Context(
             call=generate_span_id(),
             trace=trace,
@@ -203,28 +206,28 @@
         if not text:
             known = document.services[service].timeout
             return known or self._tools.settings.timeouts.call
-        if not text.isdecimal() or not 0 < int(text) <= LONGEST_TIMEOUT_SECONDS * 1000:
+        if not text.isdecimal() or not 0 < int(text) <= MAX_TIMEOUT_SECONDS * 1000:
             name = TIMEOUT_MS.decode()
             raise not_run(Reason.MALFORMED_REQUEST, f"{name} is not a number of ms")
         return int(text) / 1000
 
-    def _check_fresh(self, workspace: str) -> None:
+    def _check_configuration_age(self, workspace: str) -> None:
         """Refuse a workspace that would rather stop than run on old configuration.
 
         A zone that is cut off from the platform and from other zones cannot learn of
         a withdrawn key, and cannot tell that from an outage of the platform.
         """
-        bound = self._tools.configuration.document.get_stale_after(workspace)
-        if bound is not None and self._tools.configuration.age > bound:
-            detail = f"the configuration is older than {bound:g} s"
+        max_age = self._tools.configuration.document.get_stale_after(workspace)
+        if max_age is not None and self._tools.configuration.age > max_age:
+            detail = f"the configuration is older than {max_age:g} s"
             raise not_run(Reason.CONFIGURATION_STALE, detail, retry_after=1.0)
 
-    def _build_headers(self, progress: Progress) -> Headers:
-        headers = super()._build_headers(progress)
-        headers.append((b"primroseglade-trace", progress.trace.encode()))
+    def _build_headers(self, record: RequestRecord) -> Headers:
+        headers = super()._build_headers(record)
+        headers.append((b"primroseglade-trace", record.trace.encode()))
         # Addresses are told to callers with a key only.
-        nodes = self._router.find_nodes(progress.service, NODES_TOLD)
-        if nodes and progress.workspace:
+        nodes = self._router.find_nodes(record.service, MAX_ADVERTISED_NODES)
+        if nodes and record.workspace:
             headers.append((NODES, ",".join(nodes).encode()))
         return headers
 
@@ -245,32 +248,32 @@
         self._backend = backend
         self._seal = seal
 
-    async def _answer(self, exchange: HttpExchange, progress: Progress) -> None:
+    async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         value = exchange.get_header(CONTEXT).encode("latin-1")
         if not value:
             raise not_run(Reason.CONTEXT_INVALID, "only nodes call this address")
         context = self._seal.read(value)
-        progress.trace, progress.workspace = context.root, context.workspace
+        record.trace, record.workspace = context.root, context.workspace
         self._check_ready()
-        target = self._split_target(exchange, progress)
+        target = self._split_target(exchange, record)
         self._check_key(context)
         body = await exchange.read_body()
-        headers = keep_request_headers(exchange.headers)
-        call = Call(progress.service, exchange.method, target, headers, body, context)
-        progress.call = call
+        headers = filter_request_headers(exchange.headers)
+        call = Call(record.service, exchange.method, target, headers, body, context)
+        record.call = call
         parent = TraceParent(context.root, context.call, context.trace.sampled)
-        name = f"relayed {progress.service}"
+        name = f"relayed {record.service}"
         with self._tools.tracer.trace(name, parent, context.workspace):
-            answer = await self._backend.serve(call)
-            await self._send_answer(exchange, answer, progress)
+            reply = await self._backend.serve(call)
+            await self._send_reply(exchange, reply, record)
 
-    def _build_headers(self, progress: Progress) -> Headers:
-        headers = super()._build_headers(progress)
+    def _build_headers(self, record: RequestRecord) -> Headers:
+        headers = super()._build_headers(record)
         headers.append((LOAD, self._backend.load))
-        if progress.call is not None:
-            tokens = progress.call.context.retry_tokens
+        if record.call is not None:
+            tokens = record.call.context.retry_tokens
             headers.append((RETRY_TOKENS, b"%d" % tokens))
-        if progress.shed:
+        if record.shed:
             headers.append((SHED, b"1"))
         return headers
 
@@ -291,17 +294,17 @@
         self._dispatcher = dispatcher
         self._handles = handles
 
-    async def _answer(self, exchange: HttpExchange, progress: Progress) -> None:
+    async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         handle = exchange.get_header(HANDLE).encode("latin-1")
-        parent = self._handles.find(handle)
-        progress.trace, progress.workspace = parent.root, parent.workspace
-        target = self._split_target(exchange, progress)
+        parent = self._handles.find_context(handle)
+        record.trace, record.workspace = parent.root, parent.workspace
+        target = self._split_target(exchange, record)
         path = target.partition(b"?")[0].decode("latin-1")
-        service = progress.service
+        service = record.service
         document = self._tools.configuration.document
         importance: Importance = document.get_importance(service, exchange.method, path)
         idempotent = self._is_idempotent(exchange, service, path)
-        context = descend(parent, idempotent, importance)
+        context = build_nested_context(parent, idempotent, importance)
         name = f"nested {service}"
         try:
             with self._tools.tracer.trace(
@@ -309,18 +312,18 @@
             ) as span:
                 context.call = span or context.call
                 body: Body = await exchange.read_body()
-                headers = keep_request_headers(exchange.headers)
+                headers = filter_request_headers(exchange.headers)
                 call = Call(service, exchange.method, target, headers, body, context)
-                answer = await self._dispatcher.dispatch(
+                reply = await self._dispatcher.dispatch(
                     call, lambda: self._check_key(context)
                 )
-                parent.shed = parent.shed or answer.shed
-                await self._send_answer(exchange, answer, progress)
+                parent.shed = parent.shed or reply.shed
+                await self._send_reply(exchange, reply, record)
         except Refusal as refusal:
             parent.shed = parent.shed or refusal.reason in LOAD_SHEDDING_REASONS
             raise
         finally:
-            give_back(parent, context)
+            return_retry_tokens(parent, context)
 
 
 def _read_attempt(exchange: HttpExchange) -> int:
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -13,14 +13,14 @@
 )
 from ..settings.node import NodeSettings
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
-from .call import Answer, Call, Context, IDEMPOTENT_METHODS, InFlight
-from .exchange import CallerGoneError, HttpExchange, Receive, Send
-from .handles import refuse_withdrawn
+from .call import Call, Context, IDEMPOTENT_METHODS, InFlight, Reply
+from .exchange import CallerDisconnectedError, HttpExchange, Receive, Send
+from .handles import build_key_refusal
 from .headers import (
     Headers,
 )
 
-SLOW_SECONDS = 1.0
+SLOW_CALL_SECONDS = 1.0
 
 
 class Tools:
@@ -54,7 +54,7 @@
         self.in_flight = InFlight()
 
 
-class Progress:
+class RequestRecord:
     """How far a request came, for what is told of it afterwards."""
 
     __slots__ = ("call", "service", "shed", "started", "trace", "workspace")
@@ -92,55 +92,55 @@
         exchange = HttpExchange(scope, receive, send, limits.body_buffer, limits.body)
         task = asyncio.current_task()
         assert task is not None
-        exchange.cancel_with(task)
-        progress = Progress()
+        exchange.cancel_on_disconnect(task)
+        record = RequestRecord()
         with self._tools.in_flight:
             try:
-                await self._serve(exchange, progress)
-            except (asyncio.CancelledError, CallerGoneError):
+                await self._serve(exchange, record)
+            except (asyncio.CancelledError, CallerDisconnectedError):
                 # The caller went away; whatever the call held was given back on the
                 # way here, and there is nobody to answer.
                 refusal = Refusal(Reason.CANCELLED, Verdict.MAY_HAVE_RUN)
-                self._tell(progress, refusal)
+                self._record_outcome(record, refusal)
 
-    async def _serve(self, exchange: HttpExchange, progress: Progress) -> None:
+    async def _serve(self, exchange: HttpExchange, record: RequestRecord) -> None:
         try:
-            await self._answer(exchange, progress)
-            self._tell(progress, None)
+            await self._handle(exchange, record)
+            self._record_outcome(record, None)
         except Refusal as refusal:
-            self._tell(progress, refusal)
+            self._record_outcome(record, refusal)
             if exchange.started:
                 # The answer broke off in the middle. Ending it properly would pass
                 # a part for the whole, so the connection is cut instead.
                 exchange.cut()
                 return
-            added = self._build_headers(progress)
-            await exchange.refuse(refusal, self._tools.settings.instance, added)
+            added = self._build_headers(record)
+            await exchange.send_refusal(refusal, self._tools.settings.instance, added)
         except Exception as error:
             text = f"{type(error).__name__}: {error}"
-            self._tools.journal.emit(CALL_FAILED, error=text, trace=progress.trace)
+            self._tools.journal.emit(CALL_FAILED, error=text, trace=record.trace)
             refusal = may_have_run(Reason.ANSWER_BROKEN, "the node failed")
-            self._tell(progress, refusal)
+            self._record_outcome(record, refusal)
             if exchange.started:
                 exchange.cut()
                 return
-            await exchange.refuse(refusal, self._tools.settings.instance, [])
+            await exchange.send_refusal(refusal, self._tools.settings.instance, [])
 
-    async def _answer(self, exchange: HttpExchange, progress: Progress) -> None:
+    async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         raise NotImplementedError
 
-    def _build_headers(self, progress: Progress) -> Headers:
+    def _build_headers(self, record: RequestRecord) -> Headers:
         """Return what the node adds to an answer."""
         return [(b"connection", b"close")] if self._closing else []
 
-    async def _send_answer(
-        self, exchange: HttpExchange, answer: Answer, progress: Progress
+    async def _send_reply(
+        self, exchange: HttpExchange, reply: Reply, record: RequestRecord
     ) -> None:
-        progress.shed = answer.shed
+        record.shed = reply.shed
         try:
-            await exchange.answer(answer, self._build_headers(progress))
+            await exchange.send_reply(reply, self._build_headers(record))
         finally:
-            answer.close()
+            reply.close()
 
     def _check_ready(self) -> None:
         if not self._tools.configuration.ready:
@@ -149,23 +149,23 @@
 
     def _check_key(self, context: Context) -> None:
         document = self._tools.configuration.document
-        refusal = refuse_withdrawn(document.is_key_valid, context)
+        refusal = build_key_refusal(document.is_key_valid, context)
         if refusal is not None:
             raise refusal
 
-    def _tell(self, progress: Progress, refusal: Refusal | None) -> None:
+    def _record_outcome(self, record: RequestRecord, refusal: Refusal | None) -> None:
         tools = self._tools
-        seconds = progress.seconds
+        seconds = record.seconds
         outcome = refusal.reason.code if refusal else "served"
         tools.metrics.calls.labels(self.listener, outcome).inc()
         tools.metrics.seconds.labels(self.listener).observe(seconds)
-        if refusal is None and seconds < SLOW_SECONDS:
+        if refusal is None and seconds < SLOW_CALL_SECONDS:
             return
         decision = Decision(
-            trace=progress.trace,
+            trace=record.trace,
             listener=self.listener,
-            service=progress.service,
-            workspace=progress.workspace,
+            service=record.service,
+            workspace=record.workspace,
             outcome=outcome,
             verdict=refusal.verdict.value if refusal else Verdict.RAN.value,
             detail=refusal.detail if refusal else "slow",
@@ -179,21 +179,21 @@
                 CALL_REFUSED,
                 reason=outcome,
                 verdict=refusal.verdict.value,
-                trace=progress.trace,
-                service=progress.service,
-                workspace=progress.workspace,
+                trace=record.trace,
+                service=record.service,
+                workspace=record.workspace,
             )
 
-    def _split_target(self, exchange: HttpExchange, progress: Progress) -> bytes:
+    def _split_target(self, exchange: HttpExchange, record: RequestRecord) -> bytes:
         """Note the service, the first segment of the path, and return the rest."""
         first, slash, rest = exchange.target[1:].partition(b"/")
         if not slash:
             first, question, query = first.partition(b"?")
             rest = question + query
-        progress.service = first.decode("latin-1")
+        record.service = first.decode("latin-1")
         document = self._tools.configuration.document
-        if progress.service not in document.services:
-            detail = f"there is no service {progress.service[:60]!r}"
+        if record.service not in document.services:
+            detail = f"there is no service {record.service[:60]!r}"
             raise not_run(Reason.SERVICE_UNKNOWN, detail)
         return b"/" + rest
 
--- a/primroseglade/calls/exchange.py
+++ b/primroseglade/calls/exchange.py
@@ -11,7 +11,7 @@
 
 from ..answers import render_refusal
 from ..verdicts import not_run, Reason, Refusal
-from .call import Answer, Body
+from .call import Body, Reply
 from .headers import find_header, Headers
 
 Receive = Callable[[], Awaitable[dict[str, Any]]]
@@ -20,7 +20,7 @@
 NO_BODY_METHODS = frozenset({"GET", "HEAD", "OPTIONS"})
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed its connection before its request was whole."""
 
 
@@ -36,8 +36,8 @@
     """
 
     __slots__ = (
-        "_body_buffer",
-        "_largest_body",
+        "_max_body_bytes",
+        "_max_buffered_bytes",
         "_receive",
         "_scope",
         "_send",
@@ -51,14 +51,14 @@
         scope: dict[str, Any],
         receive: Receive,
         send: Send,
-        body_buffer: int,
-        largest_body: int,
+        max_buffered_bytes: int,
+        max_body_bytes: int,
     ):
         self._scope = scope
         self._receive = receive
         self._send = send
-        self._body_buffer = body_buffer
-        self._largest_body = largest_body
+        self._max_buffered_bytes = max_buffered_bytes
+        self._max_body_bytes = max_body_bytes
         self.method: str = scope["method"]
         self.headers: Headers = scope["headers"]
         self.started = False
@@ -74,7 +74,7 @@
         query = self._scope["query_string"]
         return self.path + b"?" + query if query else self.path
 
-    def cancel_with(self, task: asyncio.Task[None]) -> None:
+    def cancel_on_disconnect(self, task: asyncio.Task[None]) -> None:
         """Cancel a task when the caller goes away."""
         self._scope["on_disconnect"] = task.cancel
 
@@ -100,43 +100,45 @@
             return Body(b"")
         if length:
             size = int(length)
-            if size > self._largest_body:
+            if size > self._max_body_bytes:
                 raise not_run(
                     Reason.BODY_TOO_LARGE,
-                    f"the body is over {self._largest_body} bytes",
+                    f"the body is over {self._max_body_bytes} bytes",
                 )
-            if size > self._body_buffer:
-                return Body(None, size, self._stream())
-        return await self._hold()
+            if size > self._max_buffered_bytes:
+                return Body(None, size, self._stream_body())
+        return await self._read_buffered()
 
-    async def answer(self, answer: Answer, added: Headers) -> None:
+    async def send_reply(self, reply: Reply, added: Headers) -> None:
         """Send an answer on, whole or breaking off where it broke off.
 
         Raises:
             Refusal: It broke off; the connection must not end as if it were whole.
         """
-        headers = answer.headers + added
-        if answer.length is not None:
-            headers.append((b"content-length", b"%d" % answer.length))
+        headers = reply.headers + added
+        if reply.length is not None:
+            headers.append((b"content-length", b"%d" % reply.length))
         self.started = True
         await self._send(
-            {"type": "http.response.start", "status": answer.status, "headers": headers}
+            {"type": "http.response.start", "status": reply.status, "headers": headers}
         )
-        if answer.held is not None:
-            await self._send({"type": "http.response.body", "body": answer.held})
+        if reply.content is not None:
+            await self._send({"type": "http.response.body", "body": reply.content})
             return
-        assert answer.stream is not None
-        async for chunk in answer.stream:
+        assert reply.stream is not None
+        async for chunk in reply.stream:
             message = {"type": "http.response.body", "body": chunk, "more_body": True}
             await self._send(message)
         await self._send({"type": "http.response.body", "body": b""})
 
-    async def refuse(self, refusal: Refusal, instance: str, added: Headers) -> None:
+    async def send_refusal(
+        self, refusal: Refusal, instance: str, added: Headers
+    ) -> None:
         """Send a refusal."""
         status, headers, body = render_refusal(refusal, instance)
-        await self.answer(Answer(status, headers, body), added)
+        await self.send_reply(Reply(status, headers, body), added)
 
-    async def _hold(self) -> Body:
+    async def _read_buffered(self) -> Body:
         """Read a body that is small, or of unknown length as long as it is small."""
         chunks: list[bytes] = []
         size = 0
@@ -145,27 +147,27 @@
             chunk, more = await self._receive_chunk()
             chunks.append(chunk)
             size += len(chunk)
-            if more and size > self._body_buffer:
-                return Body(None, None, self._stream(chunks, size))
+            if more and size > self._max_buffered_bytes:
+                return Body(None, None, self._stream_body(chunks, size))
         return Body(b"".join(chunks))
 
     async def _receive_chunk(self) -> tuple[bytes, bool]:
         """Return the next part of the body, and whether there is more."""
         message = await self._receive()
         if message["type"] == "http.disconnect":
-            raise CallerGoneError
+            raise CallerDisconnectedError
         return message.get("body", b""), message.get("more_body", False)
 
-    async def _stream(
-        self, first: list[bytes] | None = None, size: int = 0
+    async def _stream_body(
+        self, chunks: list[bytes] | None = None, size: int = 0
     ) -> AsyncIterator[bytes]:
-        for chunk in first or ():
+        for chunk in chunks or ():
             yield chunk
         more = True
         while more:
             chunk, more = await self._receive_chunk()
             size += len(chunk)
-            if size > self._largest_body:
+            if size > self._max_body_bytes:
                 # Part of it has left already; closing tells the backend server.
-                raise CallerGoneError
+                raise CallerDisconnectedError
             yield chunk
--- a/primroseglade/calls/handles.py
+++ b/primroseglade/calls/handles.py
@@ -26,11 +26,11 @@
         self._contexts[handle] = context
         return handle
 
-    def withdraw(self, handle: bytes) -> None:
+    def revoke(self, handle: bytes) -> None:
         """End a handle, with its call."""
         self._contexts.pop(handle, None)
 
-    def find(self, handle: bytes) -> Context:
+    def find_context(self, handle: bytes) -> Context:
         """Return the call that a handle stands for.
 
         Raises:
@@ -42,7 +42,9 @@
         return context
 
 
-def descend(parent: Context, idempotent: bool, importance: Importance) -> Context:
+def build_nested_context(
+    parent: Context, idempotent: bool, importance: Importance
+) -> Context:
     """Return the context of a call nested in another.
 
     The nested call takes its parent's retry tokens and gives back what it does not
@@ -65,16 +67,16 @@
     )
 
 
-def give_back(parent: Context, child: Context) -> None:
+def return_retry_tokens(parent: Context, child: Context) -> None:
     """Return a nested call's unused retry tokens to its parent."""
     parent.retry_tokens += child.retry_tokens
     child.retry_tokens = 0
 
 
-def refuse_withdrawn(
-    holds_key: Callable[[str, str], bool], context: Context
+def build_key_refusal(
+    is_key_valid: Callable[[str, str], bool], context: Context
 ) -> Refusal | None:
     """Return the refusal of a call whose key was withdrawn meanwhile, else None."""
-    if holds_key(context.workspace, context.key):
+    if is_key_valid(context.workspace, context.key):
         return None
     return not_run(Reason.KEY_WITHDRAWN, "the key was withdrawn")
--- a/primroseglade/calls/headers.py
+++ b/primroseglade/calls/headers.py
@@ -16,7 +16,7 @@
 TRACEPARENT = b"traceparent"
 WORKSPACE = b"primroseglade-workspace"
 
-OWN_PREFIX = b"primroseglade-"
+NODE_HEADER_PREFIX = b"primroseglade-"
 
 # RFC 9110, section 7.6.1: these speak of one connection only.
 HOP_BY_HOP = frozenset(
@@ -40,7 +40,7 @@
     b"host",
     TRACEPARENT,
 }
-_DROPPED_FROM_ANSWERS = HOP_BY_HOP | {b"content-length"}
+_DROPPED_FROM_RESPONSES = HOP_BY_HOP | {b"content-length"}
 
 
 def find_header(headers: Headers, name: bytes) -> bytes:
@@ -51,25 +51,25 @@
     return b""
 
 
-def keep_request_headers(headers: Headers) -> Headers:
+def filter_request_headers(headers: Headers) -> Headers:
     """Return what goes on of a request: neither the key nor any claim on a call.
 
     >>> keep_request_headers([(b"authorization", b"Bearer k"), (b"accept", b"*/*")])
     [(b'accept', b'*/*')]
     """
-    return _keep(headers, _DROPPED_FROM_REQUESTS)
+    return _filter(headers, _DROPPED_FROM_REQUESTS)
 
 
-def keep_answer_headers(headers: Headers) -> Headers:
+def filter_response_headers(headers: Headers) -> Headers:
     """Return what goes on of a backend server's answer.
 
     Headers that only nodes may set are left out, so that no backend server can
     answer with a verdict or a load of its own making.
     """
-    return _keep(headers, _DROPPED_FROM_ANSWERS)
+    return _filter(headers, _DROPPED_FROM_RESPONSES)
 
 
-def _keep(headers: Headers, dropped: frozenset[bytes]) -> Headers:
+def _filter(headers: Headers, dropped: frozenset[bytes]) -> Headers:
     named = find_header(headers, b"connection")
     if named:
         tokens = (token.strip().lower() for token in named.split(b","))
@@ -77,5 +77,5 @@
     return [
         (name, value)
         for name, value in headers
-        if name not in dropped and not name.startswith(OWN_PREFIX)
+        if name not in dropped and not name.startswith(NODE_HEADER_PREFIX)
     ]
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -7,9 +7,9 @@
 from ..verdicts import Reason, Refusal, Verdict
 from .connections import Connection
 
-IDLE_SECONDS = 20.0
-PROBE_SECONDS = 1.0
-PROBE = b"OPTIONS * HTTP/1.1\r\nhost: probe\r\ncontent-length: 0\r\n\r\n"
+MAX_IDLE_SECONDS = 20.0
+PROBE_TIMEOUT_SECONDS = 1.0
+PROBE_REQUEST = b"OPTIONS * HTTP/1.1\r\nhost: probe\r\ncontent-length: 0\r\n\r\n"
 
 
 class Pool:
@@ -28,7 +28,7 @@
         address: str,
         limit: int,
         connect_timeout: float,
-        hold_bytes: int,
+        max_buffered_bytes: int,
         network: Network | None = None,
     ):
         self._network = network or Network()
@@ -36,7 +36,7 @@
         self._host, self._port = parse_address(address)
         self._limit = limit
         self._connect_timeout = connect_timeout
-        self._hold_bytes = hold_bytes
+        self._max_buffered_bytes = max_buffered_bytes
         self._idle: list[Connection] = []
         self._open = 0
         self._freed = asyncio.Condition()
@@ -58,7 +58,7 @@
             Refusal: ``not run``: none could be opened.
         """
         if self._network.is_cut(self._address):
-            return await self._dial()
+            return await self._open_connection()
         connection = self._pop_idle()
         if connection is not None:
             return connection
@@ -72,7 +72,7 @@
                 return connection
         self._open += 1
         try:
-            return await self._dial()
+            return await self._open_connection()
         except BaseException:
             self._open -= 1
             raise
@@ -85,7 +85,7 @@
         else:
             self._discard(connection)
         if self._open >= self._limit:
-            asyncio.get_running_loop().create_task(self._notify())
+            asyncio.get_running_loop().create_task(self._notify_waiter())
 
     def close_idle(self) -> int:
         """Close the connections that carry nothing and return how many there were."""
@@ -97,10 +97,10 @@
     async def probe(self) -> bool:
         """Whether the address answers on a new connection, within a second."""
         try:
-            async with asyncio.timeout(PROBE_SECONDS):
+            async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(self._host, self._port)
                 try:
-                    writer.write(PROBE)
+                    writer.write(PROBE_REQUEST)
                     return bool(await reader.read(1))
                 finally:
                     writer.transport.abort()
@@ -108,10 +108,10 @@
             return False
 
     def _pop_idle(self) -> Connection | None:
-        oldest = asyncio.get_running_loop().time() - IDLE_SECONDS
+        idle_since_limit = asyncio.get_running_loop().time() - MAX_IDLE_SECONDS
         while self._idle:
             connection = self._idle.pop()
-            if connection.reusable and connection.idle_since > oldest:
+            if connection.reusable and connection.idle_since > idle_since_limit:
                 return connection
             self._discard(connection)
         return None
@@ -120,17 +120,17 @@
         connection.close()
         self._open -= 1
 
-    async def _notify(self) -> None:
+    async def _notify_waiter(self) -> None:
         async with self._freed:
             self._freed.notify()
 
-    async def _dial(self) -> Connection:
+    async def _open_connection(self) -> Connection:
         loop = asyncio.get_running_loop()
         try:
             await self._network.wait_if_cut(self._address, self._connect_timeout)
             async with asyncio.timeout(self._connect_timeout):
                 _, connection = await loop.create_connection(
-                    lambda: Connection(self._hold_bytes), self._host, self._port
+                    lambda: Connection(self._max_buffered_bytes), self._host, self._port
                 )
         except (TimeoutError, OSError) as error:
             reason = str(error) or "timed out"
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -8,13 +8,13 @@
 from ..network import Network
 from ..settings.node import NodeSettings
 from ..verdicts import may_have_run, not_run, Reason, Refusal
-from .call import Answer, Call
-from .connections import build_head, Connection, iterate_until, Response
+from .call import Call, Reply
+from .connections import build_head, Connection, iterate_until_deadline, Response
 from .context import ContextSeal
 from .headers import (
     CONTEXT,
+    filter_response_headers,
     find_header,
-    keep_answer_headers,
     LOAD,
     RETRY_TOKENS,
     SHED,
@@ -22,8 +22,8 @@
 )
 from .pool import Pool
 
-POOLS_KEPT = 256
-TOKENS_KEPT = 1
+MAX_POOLS = 256
+RETRY_TOKENS_KEPT = 1
 
 
 class Relay:
@@ -41,7 +41,7 @@
         self._seal = seal
         self._pools: dict[str, Pool] = {}
 
-    async def send(self, call: Call, member: Member) -> tuple[Answer, bytes]:
+    async def send(self, call: Call, member: Member) -> tuple[Reply, bytes]:
         """Send a call to a member's node.
 
         All but one of the call's retry tokens go along, and what is unused comes back
@@ -58,11 +58,11 @@
         context = call.context
         sent = False
         connection = None
-        streams = False
+        is_streamed = False
         try:
             async with asyncio.timeout(context.remaining):
                 connection = await pool.acquire()
-                carried = max(0, context.retry_tokens - TOKENS_KEPT)
+                carried = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
                 headers = [
                     *call.headers,
                     (CONTEXT, self._seal.write(context, member.instance, carried)),
@@ -75,35 +75,35 @@
                 response = await connection.exchange(
                     head, call.body, call.method == "HEAD"
                 )
-            context.retry_tokens += _read_tokens(response, carried)
-            refusal = self._read_refusal(response, connection)
+            context.retry_tokens += _parse_returned_tokens(response, carried)
+            refusal = self._parse_refusal(response, connection)
             if refusal is not None:
                 raise refusal
             load = find_header(response.headers, LOAD)
-            headers = keep_answer_headers(response.headers)
+            headers = filter_response_headers(response.headers)
             if response.complete:
-                answer = Answer(response.status, headers, connection.take_held())
-                answer.shed = bool(find_header(response.headers, SHED))
-                return answer, load
-            streams = True
-            stream = iterate_until(connection, context)
-            kept = connection
-            answer = Answer(
+                reply = Reply(response.status, headers, connection.take_buffered())
+                reply.shed = bool(find_header(response.headers, SHED))
+                return reply, load
+            is_streamed = True
+            stream = iterate_until_deadline(connection, context)
+            used_connection = connection
+            reply = Reply(
                 response.status,
                 headers,
                 None,
                 response.length,
                 stream,
-                lambda: pool.release(kept),
+                lambda: pool.release(used_connection),
             )
-            return answer, load
+            return reply, load
         except TimeoutError as error:
             detail = f"no answer of {member.instance} before the deadline"
             if not sent:
                 raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         finally:
-            if connection is not None and not streams:
+            if connection is not None and not is_streamed:
                 pool.release(connection)
 
     def forget(self, address: str) -> None:
@@ -117,7 +117,7 @@
         for address in list(self._pools):
             self.forget(address)
 
-    def _read_refusal(
+    def _parse_refusal(
         self, response: Response, connection: Connection
     ) -> Refusal | None:
         headers = {
@@ -129,7 +129,7 @@
         detail = ""
         if response.complete:
             try:
-                detail = str(json.loads(connection.take_held()).get("detail", ""))
+                detail = str(json.loads(connection.take_buffered()).get("detail", ""))
             except (ValueError, AttributeError):
                 detail = ""
         refusal = parse_refusal(headers, detail)
@@ -147,12 +147,12 @@
             )
         # The most recently used stands last.
         self._pools[address] = pool
-        while len(self._pools) > POOLS_KEPT:
+        while len(self._pools) > MAX_POOLS:
             self.forget(next(iter(self._pools)))
         return pool
 
 
-def _read_tokens(response: Response, carried: int) -> int:
+def _parse_returned_tokens(response: Response, carried: int) -> int:
     """Return the retry tokens that came back: never more than went out."""
     value = find_header(response.headers, RETRY_TOKENS)
     return min(int(value), carried) if value.isdigit() else 0
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -5,23 +5,23 @@
 
 from ..fleet.members import Member, Members, State
 
-EJECTED_SECONDS = 2.0
-LONGEST_EJECTED_SECONDS = 20.0
+BASE_EJECTION_SECONDS = 2.0
+MAX_EJECTION_SECONDS = 20.0
 # However many fail, most of a service's members stay in the choice: when all seem
 # bad, the fault is more likely here than there.
-EJECTED_SHARE = 0.3
+MAX_EJECTED_FRACTION = 0.3
 FAILURES_TO_EJECT = 3
 # A told load ages: after this long the own count alone decides.
-LOAD_SECONDS = 1.0
+REPORTED_LOAD_MAX_AGE_SECONDS = 1.0
 # A call leaves its zone only for a place that is this much less loaded.
-ZONE_MARGIN = 0.3
+CROSS_ZONE_UTILIZATION_MARGIN = 0.3
 # A backend server that just started gets a growing share of its calls.
-WARM_UP_SECONDS = 10.0
-COLDEST_SHARE = 0.1
-ASSUMED_SLOTS = 20
+SLOW_START_SECONDS = 10.0
+MIN_SLOW_START_FRACTION = 0.1
+DEFAULT_SLOTS = 20
 
 
-class Peer:
+class BackendStats:
     """What this node knows of one backend server from its own calls.
 
     Args:
@@ -29,22 +29,22 @@
     """
 
     __slots__ = (
+        "concurrency_limit",
         "ejected_until",
         "ejections",
         "failures",
         "in_flight",
         "instance",
-        "limit",
-        "load_at",
-        "told",
+        "reported_at",
+        "reported_load",
     )
 
     def __init__(self, instance: str):
         self.instance = instance
         self.in_flight = 0
-        self.told = 0
-        self.limit = 0
-        self.load_at = -float("inf")
+        self.reported_load = 0
+        self.concurrency_limit = 0
+        self.reported_at = -float("inf")
         self.failures = 0
         self.ejections = 0
         self.ejected_until = -float("inf")
@@ -59,126 +59,140 @@
 
     def __init__(self, members: Members):
         self._members = members
-        self._peers: dict[str, Peer] = {}
-        self._services: dict[str, list[Member]] = {}
+        self._stats: dict[str, BackendStats] = {}
+        self._members_by_service: dict[str, list[Member]] = {}
         self._version = -1
 
-    def choose(self, service: str, refused: set[str]) -> Member | None:
+    def choose(self, service: str, excluded: set[str]) -> Member | None:
         """Return the member to send a call to, or None where there is none.
 
         Args:
             service: The call's service.
             refused: Instances that refused this call already.
         """
-        serving = self._get_serving(service)
-        candidates = [m for m in serving if m.instance not in refused]
-        candidates = self._leave_out_ejected(candidates)
+        serving = self._get_serving_members(service)
+        candidates = [m for m in serving if m.instance not in excluded]
+        candidates = self._exclude_ejected(candidates)
         if not candidates:
             return None
         zone = self._members.own.zone
-        local = [member for member in candidates if member.zone == zone]
-        remote = [member for member in candidates if member.zone != zone]
-        if not local:
-            return self._choose_of_two(remote)
-        best = self._choose_of_two(local)
-        if remote:
-            other = self._choose_of_two(remote)
-            if self._weigh(other) + ZONE_MARGIN < self._weigh(best):
+        same_zone = [member for member in candidates if member.zone == zone]
+        cross_zone = [member for member in candidates if member.zone != zone]
+        if not same_zone:
+            return self._choose_from_two(cross_zone)
+        best = self._choose_from_two(same_zone)
+        if cross_zone:
+            other = self._choose_from_two(cross_zone)
+            if self._compute_utilization(
+                other
+            ) + CROSS_ZONE_UTILIZATION_MARGIN < self._compute_utilization(best):
                 return other
         return best
 
-    def find_nodes(self, service: str, most: int) -> list[str]:
+    def find_nodes(self, service: str, max_count: int) -> list[str]:
         """Return callers' addresses of some nodes that serve the service."""
-        serving = self._get_serving(service)
+        serving = self._get_serving_members(service)
         zone = self._members.own.zone
-        local = [member for member in serving if member.zone == zone]
-        pool = local or serving
-        chosen = random.sample(pool, min(most, len(pool)))
+        same_zone = [member for member in serving if member.zone == zone]
+        pool = same_zone or serving
+        chosen = random.sample(pool, min(max_count, len(pool)))
         return [member.callers for member in chosen]
 
-    def get_peer(self, instance: str) -> Peer:
+    def get_stats(self, instance: str) -> BackendStats:
         """Return what is known of a member."""
-        peer = self._peers.get(instance)
-        if peer is None:
-            peer = self._peers[instance] = Peer(instance)
-        return peer
+        stats = self._stats.get(instance)
+        if stats is None:
+            stats = self._stats[instance] = BackendStats(instance)
+        return stats
 
-    def note_load(self, peer: Peer, load: bytes) -> None:
+    def update_load(self, stats: BackendStats, load: bytes) -> None:
         """Take the load that came with an answer; it may be wrong or old."""
         parts = load.split(b",")
         if len(parts) != 3 or not all(part.isdigit() for part in parts):
             return
-        in_flight, limit, queued = (int(part) for part in parts)
-        peer.told = in_flight + queued
-        peer.limit = limit
-        peer.load_at = time.monotonic()
+        in_flight, concurrency_limit, queued = (int(part) for part in parts)
+        stats.reported_load = in_flight + queued
+        stats.concurrency_limit = concurrency_limit
+        stats.reported_at = time.monotonic()
 
-    def note_success(self, peer: Peer) -> None:
+    def record_success(self, stats: BackendStats) -> None:
         """Note that a member answered."""
-        peer.failures = 0
-        peer.ejections = max(0, peer.ejections - 1)
+        stats.failures = 0
+        stats.ejections = max(0, stats.ejections - 1)
 
-    def note_failure(self, peer: Peer) -> float:
+    def record_failure(self, stats: BackendStats) -> float:
         """Note that a member could not be reached.
 
         Returns:
             Seconds for which it is left out now, 0 while it is not.
         """
-        peer.failures += 1
-        if peer.failures < FAILURES_TO_EJECT:
+        stats.failures += 1
+        if stats.failures < FAILURES_TO_EJECT:
             return 0.0
-        peer.failures = 0
-        peer.ejections += 1
-        longest = min(LONGEST_EJECTED_SECONDS, EJECTED_SECONDS * 2**peer.ejections)
-        seconds = random.uniform(longest / 2, longest)
-        peer.ejected_until = time.monotonic() + seconds
+        stats.failures = 0
+        stats.ejections += 1
+        max_seconds = min(
+            MAX_EJECTION_SECONDS, BASE_EJECTION_SECONDS * 2**stats.ejections
+        )
+        seconds = random.uniform(max_seconds / 2, max_seconds)
+        stats.ejected_until = time.monotonic() + seconds
         return seconds
 
     def forget(self, instance: str) -> None:
         """Forget a member that is gone."""
-        self._peers.pop(instance, None)
+        self._stats.pop(instance, None)
 
-    def _get_serving(self, service: str) -> list[Member]:
+    def _get_serving_members(self, service: str) -> list[Member]:
         if self._version != self._members.version:
             self._version = self._members.version
-            self._services = {}
+            self._members_by_service = {}
             for member in self._members:
                 if member.serving and member.state in (State.ALIVE, State.SUSPECT):
-                    self._services.setdefault(member.service, []).append(member)
-        return self._services.get(service, [])
+                    self._members_by_service.setdefault(member.service, []).append(
+                        member
+                    )
+        return self._members_by_service.get(service, [])
 
-    def _leave_out_ejected(self, candidates: list[Member]) -> list[Member]:
+    def _exclude_ejected(self, candidates: list[Member]) -> list[Member]:
         now = time.monotonic()
         ejected = [
             member
             for member in candidates
-            if self.get_peer(member.instance).ejected_until > now
+            if self.get_stats(member.instance).ejected_until > now
         ]
-        bound = max(1, int(len(candidates) * EJECTED_SHARE))
+        max_ejected = max(1, int(len(candidates) * MAX_EJECTED_FRACTION))
         if not ejected:
             return candidates
-        if len(ejected) > bound:
-            ejected.sort(key=lambda m: self.get_peer(m.instance).ejected_until)
-            ejected = ejected[-bound:]
+        if len(ejected) > max_ejected:
+            ejected.sort(key=lambda m: self.get_stats(m.instance).ejected_until)
+            ejected = ejected[-max_ejected:]
         kept = [member for member in candidates if member not in ejected]
         return kept or candidates
 
-    def _choose_of_two(self, members: list[Member]) -> Member:
+    def _choose_from_two(self, members: list[Member]) -> Member:
         if len(members) == 1:
             return members[0]
         one, other = random.sample(members, 2)
-        return one if self._weigh(one) <= self._weigh(other) else other
+        return (
+            one
+            if self._compute_utilization(one) <= self._compute_utilization(other)
+            else other
+        )
 
-    def _weigh(self, member: Member) -> float:
+    def _compute_utilization(self, member: Member) -> float:
         """Return the member's load relative to what it can take."""
-        peer = self.get_peer(member.instance)
-        age = time.monotonic() - peer.load_at
-        told = peer.told * max(0.0, 1 - age / LOAD_SECONDS)
-        limit = peer.limit or member.slots or ASSUMED_SLOTS
-        return max(told, peer.in_flight) / (limit * self._get_warmth(member))
-
-    def _get_warmth(self, member: Member) -> float:
+        stats = self.get_stats(member.instance)
+        age = time.monotonic() - stats.reported_at
+        reported_load = stats.reported_load * max(
+            0.0, 1 - age / REPORTED_LOAD_MAX_AGE_SECONDS
+        )
+        concurrency_limit = stats.concurrency_limit or member.slots or DEFAULT_SLOTS
+        return max(reported_load, stats.in_flight) / (
+            concurrency_limit * self._get_slow_start_fraction(member)
+        )
+
+    def _get_slow_start_fraction(self, member: Member) -> float:
         age = time.time() - member.serving_since_ms / 1000
-        if age >= WARM_UP_SECONDS or member.slots == 0:
+        if age >= SLOW_START_SECONDS or member.slots == 0:
             return 1.0
-        return max(COLDEST_SHARE, age / WARM_UP_SECONDS)
+        return max(MIN_SLOW_START_FRACTION, age / SLOW_START_SECONDS)
--- a/primroseglade/calls/silence.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -9,15 +9,15 @@
 
 # A call is taken for stuck only when it waits this many times longer than calls
 # usually take: a slow service must not look like a dead link.
-SLOWER_THAN_USUAL = 4.0
+LATENCY_MULTIPLIER = 4.0
 # A call on a new connection that waits this share of the patience is a sign that the
 # service itself is slow.
-FRESH_SHARE = 0.5
+NEW_CONNECTION_TIMEOUT_FRACTION = 0.5
 
-OnSilent = Callable[[Pool, int], None]
+OnUnresponsive = Callable[[Pool, int], None]
 
 
-class Watch:
+class PendingRequest:
     """A request without a first byte so far."""
 
     __slots__ = ("connection", "idempotent", "pool", "started", "timer")
@@ -30,12 +30,12 @@
         self.timer: asyncio.TimerHandle | None = None
 
     @property
-    def waiting(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether nothing came back yet."""
-        return not self.connection.first_byte and not self.connection.closed
+        return not self.connection.first_byte_received and not self.connection.closed
 
 
-class SilenceWatch:
+class UnresponsiveConnectionDetector:
     """Watches the requests that wait for their first byte.
 
     Something between the two ends has forgotten a connection: what is sent on it
@@ -50,65 +50,75 @@
     """
 
     def __init__(
-        self, silence: float, get_latency: Callable[[], float], on_silent: OnSilent
+        self,
+        min_timeout: float,
+        get_latency: Callable[[], float],
+        on_unresponsive: OnUnresponsive,
     ):
-        self._silence = silence
+        self._min_timeout = min_timeout
         self._get_latency = get_latency
-        self._on_silent = on_silent
-        self._watches: set[Watch] = set()
+        self._on_unresponsive = on_unresponsive
+        self._pending: set[PendingRequest] = set()
         self._probes: set[asyncio.Task[None]] = set()
 
-    def start(self, connection: Connection, pool: Pool, idempotent: bool) -> Watch:
+    def start(
+        self, connection: Connection, pool: Pool, idempotent: bool
+    ) -> PendingRequest:
         """Watch a request that is about to be sent."""
-        watch = Watch(connection, pool, idempotent)
-        self._watches.add(watch)
+        pending = PendingRequest(connection, pool, idempotent)
+        self._pending.add(pending)
         if connection.reused:
-            self._wait(watch)
-        return watch
+            self._schedule_probe(pending)
+        return pending
 
-    def end(self, watch: Watch) -> None:
+    def end(self, pending: PendingRequest) -> None:
         """Stop watching: the request was answered or given up."""
-        self._watches.discard(watch)
-        if watch.timer is not None:
-            watch.timer.cancel()
+        self._pending.discard(pending)
+        if pending.timer is not None:
+            pending.timer.cancel()
 
-    def _wait(self, watch: Watch) -> None:
+    def _schedule_probe(self, pending: PendingRequest) -> None:
         loop = asyncio.get_running_loop()
-        watch.timer = loop.call_later(self._get_patience(), self._suspect, watch)
+        pending.timer = loop.call_later(
+            self._get_first_byte_timeout(), self._start_probe, pending
+        )
 
-    def _get_patience(self) -> float:
-        return max(self._silence, SLOWER_THAN_USUAL * self._get_latency())
+    def _get_first_byte_timeout(self) -> float:
+        return max(self._min_timeout, LATENCY_MULTIPLIER * self._get_latency())
 
-    def _suspect(self, watch: Watch) -> None:
-        if not watch.waiting:
+    def _start_probe(self, pending: PendingRequest) -> None:
+        if not pending.is_waiting:
             return
-        task = asyncio.get_running_loop().create_task(self._probe(watch))
+        task = asyncio.get_running_loop().create_task(self._probe_and_replace(pending))
         self._probes.add(task)
         task.add_done_callback(self._probes.discard)
 
-    async def _probe(self, watch: Watch) -> None:
+    async def _probe_and_replace(self, pending: PendingRequest) -> None:
         """Replace connections that are silent while a new one is answered.
 
         A call that must not run twice goes on waiting: its answer may yet come, and
         nothing would be won by giving up.
         """
-        answered = await watch.pool.probe()
-        if watch not in self._watches or not watch.waiting:
+        answered = await pending.pool.probe()
+        if pending not in self._pending or not pending.is_waiting:
             return
-        if not answered or self._is_slow(watch.pool):
-            self._wait(watch)
+        if not answered or self._is_service_slow(pending.pool):
+            self._schedule_probe(pending)
             return
-        self._on_silent(watch.pool, watch.pool.close_idle())
-        if watch.idempotent:
-            watch.connection.close()
+        self._on_unresponsive(pending.pool, pending.pool.close_idle())
+        if pending.idempotent:
+            pending.connection.close()
 
-    def _is_slow(self, pool: Pool) -> bool:
+    def _is_service_slow(self, pool: Pool) -> bool:
         """Whether calls on new connections wait as well."""
-        oldest = time.monotonic() - FRESH_SHARE * self._get_patience()
+        started_before = (
+            time.monotonic()
+            - NEW_CONNECTION_TIMEOUT_FRACTION * self._get_first_byte_timeout()
+        )
         return any(
-            watch.pool is pool
-            and not watch.connection.reused
-            and watch.waiting
-            and watch.started < oldest
-            for watch in self._watches
+            pending.pool is pool
+            and not pending.connection.reused
+            and pending.is_waiting
+            and pending.started < started_before
+            for pending in self._pending
         )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -208,11 +208,11 @@
     """
     share = RetryShare(0.1)
     for _ in range(100):
-        share.note_first("greedy")
-        share.take("greedy")
-    assert not share.take("greedy")
-    share.note_first("modest")
-    assert share.take("modest")
+        share.record_first_attempt("greedy")
+        share.try_spend("greedy")
+    assert not share.try_spend("greedy")
+    share.record_first_attempt("modest")
+    assert share.try_spend("modest")
 
 
 async def test_operation_repeated_in_another_zone_is_refused():
