--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a call to one backend server after another until one has answered."""
+"""Dispatches calls to backend servers, with retries on other instances."""
 
 import collections
 import random
@@ -22,25 +22,28 @@
 from .relay import Relay
 from .routing import Router
 
-# Of these a throttled call is told one at random, so that callers spread.
+# Range of the random Retry-After of throttled calls, which spreads the retries out.
 THROTTLED_RETRY_AFTER_SECONDS = (0.5, 1.5)
+# Reasons that count as a failure of the connection to the backend server.
 CONNECTION_FAILURE_REASONS = frozenset({Reason.CONNECTION_LOST, Reason.ANSWER_BROKEN})
 
 
 class RetryShare:
-    """Keeps a node's retries for each workspace under a share of its first attempts.
+    """Limits a node's retries for each workspace to a ratio of its first attempts.
 
-    Retry tokens bound what one root call may cost. When every call fails at once,
-    each spends all of its tokens, and that much more load keeps the overload up
-    after its cause has gone; this bound then leaves hardly any. Workspaces are
-    counted apart: the retries of one whose calls are shed in numbers must not leave
-    none for the others.
+    Retry tokens limit the retries of one root call only. If all calls fail at once,
+    each spends all of its tokens, and the additional load sustains the overload after
+    its cause has gone. This budget then allows hardly any retries. It is kept per
+    workspace, so that one whose calls are shed in large numbers cannot use up the
+    retries of the others.
 
     Args:
-        share: Retries per first attempt.
+        ratio: Retries allowed per first attempt.
     """
 
+    # Initial and maximum number of retries available to a workspace.
     MAX_BALANCE = 5.0
+    # Workspaces tracked; beyond this, the least recently active one is evicted.
     MAX_WORKSPACES = 4096
 
     def __init__(self, ratio: float):
@@ -48,14 +51,14 @@
         self._balances: collections.OrderedDict[str, float] = collections.OrderedDict()
 
     def record_first_attempt(self, workspace: str) -> None:
-        """Count a first attempt."""
+        """Record a first attempt, which adds ``ratio`` retries to the budget."""
         balance = self._balances.pop(workspace, self.MAX_BALANCE)
         self._balances[workspace] = min(self.MAX_BALANCE, balance + self._ratio)
         if len(self._balances) > self.MAX_WORKSPACES:
             self._balances.popitem(last=False)
 
     def try_spend(self, workspace: str) -> bool:
-        """Take one retry, if there is one."""
+        """Return whether the budget allows a retry, and spend it if so."""
         balance = self._balances.get(workspace, self.MAX_BALANCE)
         if balance < 1:
             return False
@@ -64,17 +67,17 @@
 
 
 class Dispatcher:
-    """Chooses, sends, and tries elsewhere as far as verdicts and bounds allow.
+    """Sends each call to a backend server, and retries it on another if allowed.
 
     Args:
-        members: This node and the others.
-        router: Chooses.
-        backend: The backend server beside this node.
-        relay: Reaches the others.
-        share: The node's bound on retries.
-        throttle: Knows what is being shed further on.
-        journal: Told of members that are left out.
-        metrics: Counts.
+        members: The members of the fleet.
+        router: Chooses the backend server.
+        backend: The backend server of this node.
+        relay: Sends calls to other nodes.
+        retry_budget: Limits the retries of this node.
+        throttle: Rejects calls of the kinds that are being shed downstream.
+        journal: Logs ejections.
+        metrics: Counts relayed, retried and throttled calls.
     """
 
     def __init__(
@@ -98,20 +101,21 @@
         self._metrics = metrics
 
     async def dispatch(self, call: Call, check_key: Callable[[], None]) -> Reply:
-        """Get a call answered.
+        """Send a call, with retries, and return the reply.
 
         Args:
             call: The call.
-            still_allowed: Raises a refusal where the call may not go on.
+            check_key: Raises a refusal if the call's key has been withdrawn; called
+                before each attempt.
 
         Raises:
-            Refusal: The last one, with a verdict that holds for all attempts.
+            Refusal: That of the last attempt, with a verdict that covers all attempts.
         """
         if not self._throttle.admits(call.service, call.context):
             self._metrics.throttled.inc()
             raise not_run(
                 Reason.OVERLOADED,
-                "calls like this one are being shed further on",
+                "calls of this kind are being shed downstream",
                 random.uniform(*THROTTLED_RETRY_AFTER_SECONDS),
             )
         try:
@@ -137,7 +141,7 @@
         while True:
             member = self._router.choose(call.service, excluded)
             if member is None:
-                detail = f"no backend server of {call.service} takes calls"
+                detail = f"no backend server of {call.service} accepts calls"
                 raise not_run(Reason.NO_BACKEND_SERVER, detail, retry_after=1.0)
             try:
                 check_key()
@@ -146,7 +150,7 @@
                 excluded.add(member.instance)
                 if refusal.verdict is not Verdict.NOT_RUN:
                     verdict = refusal.verdict
-                # An attempt that was lost may have run, whatever the last one says.
+                # An earlier attempt may have run even if the last one did not.
                 refusal.verdict = verdict
                 if not self._try_reserve_retry(call, refusal, excluded):
                     raise
@@ -173,7 +177,7 @@
     def _record_refusal(self, member: Member, refusal: Refusal) -> None:
         stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
-            # Full, whatever it said last.
+            # It is full, whatever load it last reported.
             stats.reported_load = max(
                 stats.reported_load, stats.concurrency_limit or member.slots or 1
             )
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -1,4 +1,4 @@
-"""The three ways in: from callers, from other nodes, from the backend server."""
+"""A node's three entries: for callers, other nodes, and the local backend server."""
 
 import asyncio
 import time
@@ -44,17 +44,17 @@
 
 
 class RateLimiter(Protocol):
-    """Charges root calls to their workspace's rate."""
+    """Charges root calls against the rate limit of their workspace."""
 
     async def charge(self, workspace: str, max_wait: float) -> None:
-        """Spend one token, or raise a refusal."""
+        """Spend one token within ``max_wait`` seconds, or raise a refusal."""
 
 
 class OperationRecorder(Protocol):
-    """Remembers which operations have run."""
+    """Records which operations, by idempotency key, have run."""
 
     async def begin(self, workspace: str, operation: str, attempt: int) -> str:
-        """Return who records the attempt, or raise a refusal."""
+        """Return the instance that records the attempt, or raise a refusal."""
 
     async def finish(
         self,
@@ -64,18 +64,18 @@
         attempt: int,
         verdict: Verdict,
     ) -> None:
-        """Note what became of it."""
+        """Record the verdict of an attempt."""
 
 
 class CallersEntry(Entry):
-    """Takes callers' requests: key, rate, then a backend server.
+    """Serves callers: checks the key, charges the rate limit, dispatches the call.
 
     Args:
-        tools: Of the node.
-        dispatcher: Gets calls answered.
-        router: Knows better nodes to tell the caller of.
-        rates: Charges the workspace.
-        operations: Remember what has run.
+        tools: Shared objects of the node.
+        dispatcher: Dispatches the calls.
+        router: Knows the nodes that serve a service, which are advertised to callers.
+        rate_limiter: Charges the workspaces.
+        recorder: Records the operations that have run.
     """
 
     listener = "callers"
@@ -107,18 +107,18 @@
             body = await self._read_body(exchange, context)
             call = Call(record.service, exchange.method, target, headers, body, context)
             record.call = call
-            # Charged last of all checks: what is refused above costs no token.
+            # The last of all checks, so that a call refused above costs no token.
             await self._rate_limiter.charge(context.workspace, context.remaining)
             reply = await self._dispatch_or_record(exchange, call)
             await self._send_reply(exchange, reply, record)
 
     async def _read_body(self, exchange: HttpExchange, context: Context) -> Body:
-        """Read a small body whole, for as long as the call may take at the most."""
+        """Read the body, or only its beginning if it is large, before the deadline."""
         try:
             async with asyncio.timeout(context.remaining):
                 return await exchange.read_body()
         except TimeoutError as error:
-            detail = "the body did not arrive before the deadline"
+            detail = "the body was not received before the deadline"
             raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
 
     async def _dispatch_or_record(self, exchange: HttpExchange, call: Call) -> Reply:
@@ -126,11 +126,14 @@
         if not operation or call.context.idempotent:
             return await self._dispatch(call)
         if len(operation) > MAX_IDEMPOTENCY_KEY_LENGTH:
-            raise not_run(Reason.MALFORMED_REQUEST, "Idempotency-Key is too long")
+            raise not_run(
+                Reason.MALFORMED_REQUEST,
+                "Idempotency-Key is longer than 128 characters",
+            )
         return await self._run_recorded(call, operation, _read_attempt(exchange))
 
     async def _run_recorded(self, call: Call, operation: str, attempt: int) -> Reply:
-        """Run an operation unless it ran before, and have its end recorded."""
+        """Run an operation unless it has run before, and record its verdict."""
         workspace = call.context.workspace
         holder = await self._recorder.begin(workspace, operation, attempt)
         verdict = Verdict.MAY_HAVE_RUN
@@ -147,8 +150,8 @@
                     holder, workspace, operation, attempt, verdict
                 )
             except BaseException:
-                # The caller left while the recorder was told: nobody will send the
-                # answer, and what it holds on to must not be lost with it.
+                # For example, the caller disconnected meanwhile. The reply will not
+                # be sent, so what it holds is released here.
                 if reply is not None:
                     reply.close()
                 raise
@@ -176,15 +179,17 @@
         document = self._tools.configuration.document
         authorization = exchange.get_header(AUTHORIZATION)
         if not authorization.lower().startswith(BEARER_PREFIX):
-            raise not_run(Reason.KEY_MISSING, "Authorization: Bearer KEY is missing")
+            raise not_run(
+                Reason.KEY_MISSING, "Authorization: Bearer KEY header is missing"
+            )
         key = document.find_key_by_digest(
             digest_key(authorization[len(BEARER_PREFIX) :].strip())
         )
         if key is None:
-            raise not_run(Reason.KEY_UNKNOWN, "no workspace has this key")
+            raise not_run(Reason.KEY_UNKNOWN, "unknown API key")
         record.workspace = key.workspace
         if document.is_withdrawn(key.workspace, key.id, key.batch):
-            raise not_run(Reason.KEY_WITHDRAWN, "the key was withdrawn")
+            raise not_run(Reason.KEY_WITHDRAWN, "the API key was withdrawn")
         path = target.partition(b"?")[0].decode("latin-1")
         service = record.service
         return Context(
@@ -208,14 +213,14 @@
             return known or self._tools.settings.timeouts.call
         if not text.isdecimal() or not 0 < int(text) <= MAX_TIMEOUT_SECONDS * 1000:
             name = TIMEOUT_MS.decode()
-            raise not_run(Reason.MALFORMED_REQUEST, f"{name} is not a number of ms")
+            raise not_run(Reason.MALFORMED_REQUEST, f"invalid number of ms in {name}")
         return int(text) / 1000
 
     def _check_configuration_age(self, workspace: str) -> None:
-        """Refuse a workspace that would rather stop than run on old configuration.
+        """Refuse the call if its workspace does not accept a configuration this old.
 
-        A zone that is cut off from the platform and from other zones cannot learn of
-        a withdrawn key, and cannot tell that from an outage of the platform.
+        A zone that is cut off from the platform and from other zones does not receive
+        the withdrawal of a key, and cannot tell this from an outage of the platform.
         """
         max_age = self._tools.configuration.document.get_stale_after(workspace)
         if max_age is not None and self._tools.configuration.age > max_age:
@@ -225,7 +230,7 @@
     def _build_headers(self, record: RequestRecord) -> Headers:
         headers = super()._build_headers(record)
         headers.append((b"primroseglade-trace", record.trace.encode()))
-        # Addresses are told to callers with a key only.
+        # Only callers with a valid key receive addresses of nodes.
         nodes = self._router.find_nodes(record.service, MAX_ADVERTISED_NODES)
         if nodes and record.workspace:
             headers.append((NODES, ",".join(nodes).encode()))
@@ -233,12 +238,12 @@
 
 
 class RelayEntry(Entry):
-    """Takes calls that another node relays, for the backend server beside this one.
+    """Serves calls that other nodes relay to the backend server of this node.
 
     Args:
-        tools: Of the node.
-        backend: The backend server.
-        seal: Reads contexts.
+        tools: Shared objects of the node.
+        backend: The backend server of this node.
+        seal: Authenticates and decodes call contexts.
     """
 
     listener = "relay"
@@ -251,7 +256,9 @@
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         value = exchange.get_header(CONTEXT).encode("latin-1")
         if not value:
-            raise not_run(Reason.CONTEXT_INVALID, "only nodes call this address")
+            raise not_run(
+                Reason.CONTEXT_INVALID, "this address accepts only calls from nodes"
+            )
         context = self._seal.read(value)
         record.trace, record.workspace = context.root, context.workspace
         self._check_ready()
@@ -279,12 +286,12 @@
 
 
 class NestedEntry(Entry):
-    """Takes the calls that the backend server beside this node makes onward.
+    """Serves the nested calls of the backend server of this node.
 
     Args:
-        tools: Of the node.
-        dispatcher: Gets calls answered.
-        handles: The calls in flight that a handle may stand for.
+        tools: Shared objects of the node.
+        dispatcher: Dispatches the calls.
+        handles: Maps handles to the calls in flight on the backend server.
     """
 
     listener = "nested"
@@ -327,8 +334,10 @@
 
 
 def _read_attempt(exchange: HttpExchange) -> int:
-    """Return the number of a caller's attempt at an operation, 1 for the first."""
+    """Return the number of this attempt at an operation; 1 is the first."""
     text = exchange.get_header(ATTEMPT) or "1"
     if not text.isdecimal() or int(text) < 1:
-        raise not_run(Reason.MALFORMED_REQUEST, f"{ATTEMPT.decode()} is not a number")
+        raise not_run(
+            Reason.MALFORMED_REQUEST, f"{ATTEMPT.decode()} is not a positive integer"
+        )
     return int(text)
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -1,4 +1,4 @@
-"""What every way into a node has in common: answering, refusing, telling of it."""
+"""Base class of a node's entries: replies, refusals, metrics and decision records."""
 
 import asyncio
 import time
@@ -20,11 +20,12 @@
     Headers,
 )
 
+# Calls that take at least this long are recorded as decisions even if they succeed.
 SLOW_CALL_SECONDS = 1.0
 
 
 class Tools:
-    """What every entry needs of its node."""
+    """The objects of a node that all of its entries share."""
 
     __slots__ = (
         "configuration",
@@ -55,7 +56,7 @@
 
 
 class RequestRecord:
-    """How far a request came, for what is told of it afterwards."""
+    """What is known of a request, for its metrics, decision record and log events."""
 
     __slots__ = ("call", "service", "shed", "started", "trace", "workspace")
 
@@ -69,12 +70,12 @@
 
     @property
     def seconds(self) -> float:
-        """Time since the request's head was read."""
+        """Seconds since the request's head was read."""
         return time.monotonic() - self.started
 
 
 class Entry:
-    """An ASGI application that serves calls; one task a request."""
+    """An ASGI application that serves calls, with one task per request."""
 
     listener = ""
 
@@ -83,7 +84,7 @@
         self._closing = False
 
     def close_after_answers(self) -> None:
-        """Ask clients with each answer to go elsewhere: this node stops."""
+        """Send ``Connection: close`` with each response, as this node is stopping."""
         self._closing = True
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send):
@@ -98,8 +99,8 @@
             try:
                 await self._serve(exchange, record)
             except (asyncio.CancelledError, CallerDisconnectedError):
-                # The caller went away; whatever the call held was given back on the
-                # way here, and there is nobody to answer.
+                # The caller disconnected. What the call held has been released by
+                # now, and nobody is left to receive a response.
                 refusal = Refusal(Reason.CANCELLED, Verdict.MAY_HAVE_RUN)
                 self._record_outcome(record, refusal)
 
@@ -110,8 +111,8 @@
         except Refusal as refusal:
             self._record_outcome(record, refusal)
             if exchange.started:
-                # The answer broke off in the middle. Ending it properly would pass
-                # a part for the whole, so the connection is cut instead.
+                # The response is truncated. Ending it properly would make it look
+                # complete, so the connection is aborted instead.
                 exchange.cut()
                 return
             added = self._build_headers(record)
@@ -119,7 +120,7 @@
         except Exception as error:
             text = f"{type(error).__name__}: {error}"
             self._tools.journal.emit(CALL_FAILED, error=text, trace=record.trace)
-            refusal = may_have_run(Reason.ANSWER_BROKEN, "the node failed")
+            refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error of the node")
             self._record_outcome(record, refusal)
             if exchange.started:
                 exchange.cut()
@@ -130,7 +131,7 @@
         raise NotImplementedError
 
     def _build_headers(self, record: RequestRecord) -> Headers:
-        """Return what the node adds to an answer."""
+        """Return the headers that the node adds to a response."""
         return [(b"connection", b"close")] if self._closing else []
 
     async def _send_reply(
@@ -185,7 +186,7 @@
             )
 
     def _split_target(self, exchange: HttpExchange, record: RequestRecord) -> bytes:
-        """Note the service, the first segment of the path, and return the rest."""
+        """Store the service, the first segment of the path, and return the rest."""
         first, slash, rest = exchange.target[1:].partition(b"/")
         if not slash:
             first, question, query = first.partition(b"?")
@@ -193,7 +194,7 @@
         record.service = first.decode("latin-1")
         document = self._tools.configuration.document
         if record.service not in document.services:
-            detail = f"there is no service {record.service[:60]!r}"
+            detail = f"unknown service {record.service[:60]!r}"
             raise not_run(Reason.SERVICE_UNKNOWN, detail)
         return b"/" + rest
 
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -1,31 +1,36 @@
-"""Chooses the backend server for a call."""
+"""Chooses the backend server for a call: load balancing and outlier ejection."""
 
 import random
 import time
 
 from ..fleet.members import Member, Members, State
 
+# The maximum ejection time is twice this at first, and doubles with each ejection.
 BASE_EJECTION_SECONDS = 2.0
 MAX_EJECTION_SECONDS = 20.0
-# However many fail, most of a service's members stay in the choice: when all seem
-# bad, the fault is more likely here than there.
+# Most of a service's members stay candidates however many fail: if all of them seem
+# to fail, the fault is more likely on this side.
 MAX_EJECTED_FRACTION = 0.3
+# Consecutive connection failures after which a member is ejected.
 FAILURES_TO_EJECT = 3
-# A told load ages: after this long the own count alone decides.
+# The weight of a reported load decreases to zero over this time; after that, only the
+# number of this node's own calls in flight counts.
 REPORTED_LOAD_MAX_AGE_SECONDS = 1.0
-# A call leaves its zone only for a place that is this much less loaded.
+# A call leaves its zone only if the utilization there is lower by more than this.
 CROSS_ZONE_UTILIZATION_MARGIN = 0.3
-# A backend server that just started gets a growing share of its calls.
+# Slow start: a backend server that has just started receives calls as if only a
+# fraction of its concurrency limit applied, which grows to 1 over this time.
 SLOW_START_SECONDS = 10.0
 MIN_SLOW_START_FRACTION = 0.1
+# Assumed for a member that has reported neither a limit nor its slots.
 DEFAULT_SLOTS = 20
 
 
 class BackendStats:
-    """What this node knows of one backend server from its own calls.
+    """Load and failures of one backend server, as this node sees them.
 
     Args:
-        instance: The member.
+        instance: Instance name of the member.
     """
 
     __slots__ = (
@@ -51,10 +56,12 @@
 
 
 class Router:
-    """Two random choices over own calls in flight and last told load, zone first.
+    """Balances calls by power of two choices, and prefers backends in the same zone.
+
+    Compares utilization, from this node's calls in flight and the last reported load.
 
     Args:
-        members: Who serves what.
+        members: The members of the fleet, with the services they serve.
     """
 
     def __init__(self, members: Members):
@@ -64,11 +71,11 @@
         self._version = -1
 
     def choose(self, service: str, excluded: set[str]) -> Member | None:
-        """Return the member to send a call to, or None where there is none.
+        """Return the member to send a call to, or None if there is none.
 
         Args:
             service: The call's service.
-            refused: Instances that refused this call already.
+            excluded: Instances on which this call has already failed.
         """
         serving = self._get_serving_members(service)
         candidates = [m for m in serving if m.instance not in excluded]
@@ -90,7 +97,10 @@
         return best
 
     def find_nodes(self, service: str, max_count: int) -> list[str]:
-        """Return callers' addresses of some nodes that serve the service."""
+        """Return caller addresses of nodes that serve a service, chosen at random.
+
+        Nodes in the same zone are preferred.
+        """
         serving = self._get_serving_members(service)
         zone = self._members.own.zone
         same_zone = [member for member in serving if member.zone == zone]
@@ -99,14 +109,14 @@
         return [member.callers for member in chosen]
 
     def get_stats(self, instance: str) -> BackendStats:
-        """Return what is known of a member."""
+        """Return the statistics of a member."""
         stats = self._stats.get(instance)
         if stats is None:
             stats = self._stats[instance] = BackendStats(instance)
         return stats
 
     def update_load(self, stats: BackendStats, load: bytes) -> None:
-        """Take the load that came with an answer; it may be wrong or old."""
+        """Update the load reported in a response; a malformed value is ignored."""
         parts = load.split(b",")
         if len(parts) != 3 or not all(part.isdigit() for part in parts):
             return
@@ -116,15 +126,15 @@
         stats.reported_at = time.monotonic()
 
     def record_success(self, stats: BackendStats) -> None:
-        """Note that a member answered."""
+        """Record that a member responded."""
         stats.failures = 0
         stats.ejections = max(0, stats.ejections - 1)
 
     def record_failure(self, stats: BackendStats) -> float:
-        """Note that a member could not be reached.
+        """Record that the connection to a member failed, and eject it if due.
 
         Returns:
-            Seconds for which it is left out now, 0 while it is not.
+            Seconds for which it is ejected; 0 if it is not.
         """
         stats.failures += 1
         if stats.failures < FAILURES_TO_EJECT:
@@ -139,7 +149,7 @@
         return seconds
 
     def forget(self, instance: str) -> None:
-        """Forget a member that is gone."""
+        """Remove the statistics of a member that has left or failed."""
         self._stats.pop(instance, None)
 
     def _get_serving_members(self, service: str) -> list[Member]:
@@ -180,7 +190,7 @@
         )
 
     def _compute_utilization(self, member: Member) -> float:
-        """Return the member's load relative to what it can take."""
+        """Return the member's utilization, higher during slow start."""
         stats = self.get_stats(member.instance)
         age = time.monotonic() - stats.reported_at
         reported_load = stats.reported_load * max(
