--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -1,4 +1,4 @@
-"""The backend server beside this node: its state, admission, and calls to it."""
+"""The local backend server of this node: its state, admission, and calls to it."""
 
 import asyncio
 import time
@@ -36,14 +36,14 @@
 
 
 class Announcement:
-    """What a backend server says of itself.
+    """What a backend server announces to its local node.
 
     Args:
-        service: What it serves.
+        service: Name of the service.
         address: ``IP:PORT``.
-        slots: Calls that it takes at once, or None.
-        connections: Connections that it takes, or None.
-        draining: Whether it wants no new calls.
+        slots: Maximum number of concurrent calls, or None if not stated.
+        connections: Maximum number of connections, or None if not stated.
+        draining: Whether it accepts no new calls.
     """
 
     __slots__ = ("address", "connections", "draining", "service", "slots")
@@ -68,12 +68,12 @@
 
     Args:
         settings: Limits and timeouts.
-        trusts: Whether the document trusts an address for a service.
-        holds_key: Whether a workspace's key still stands.
-        on_change: Called when it starts or stops serving.
+        is_trusted: Returns whether the document trusts an address for a service.
+        is_key_valid: Returns whether a key of a workspace is valid.
+        on_change: Called when the backend server starts or stops serving.
         handles: Issues handles for nested calls.
-        journal: Told of its state.
-        metrics: Counts its calls.
+        journal: Logs changes of its state.
+        metrics: Records queueing times and unresponsive connections.
     """
 
     def __init__(
@@ -110,33 +110,33 @@
 
     @property
     def announcement(self) -> Announcement | None:
-        """What it said last, or None."""
+        """The last announcement, or None if there is none."""
         return self._announcement
 
     @property
     def serving(self) -> bool:
-        """Whether it takes new calls."""
+        """Whether it accepts new calls."""
         announced = self._announcement
         return announced is not None and not announced.draining and not self._stopping
 
     @property
     def queue(self) -> AdmissionQueue:
-        """The calls that wait for it."""
+        """The queue of calls that wait for a slot."""
         return self._queue
 
     @property
     def in_flight(self) -> InFlight:
-        """The calls that it has."""
+        """Counts the calls that it is processing."""
         return self._in_flight
 
     @property
     def load(self) -> bytes:
-        """In flight, limit and queued, as answers tell other nodes."""
+        """Calls in flight, limit and queue length, as reported to other nodes."""
         queue = self._queue
         return b"%d,%d,%d" % (queue.in_flight, queue.limit.value, queue.size)
 
     def announce(self, announcement: Announcement) -> bool:
-        """Take an announcement; False where the document does not trust it."""
+        """Apply an announcement; return False if the document does not trust it."""
         known = self._announcement
         if not self._is_trusted(announcement.service, announcement.address):
             if known is None or known.address != announcement.address:
@@ -162,7 +162,7 @@
         return True
 
     def deregister(self) -> None:
-        """Forget it: it left, or nobody trusts it any more."""
+        """Stop serving: it has deregistered, or the document no longer trusts it."""
         self._announcement = None
         if self._pool is not None:
             self._pool.close_idle()
@@ -170,12 +170,12 @@
         self._on_change()
 
     def leave(self) -> None:
-        """Take no new calls: this node stops."""
+        """Accept no new calls, as this node is stopping."""
         self._stopping = True
         self._on_change()
 
     def apply_document(self) -> None:
-        """Drop what the document withdrew: waiting calls, and the server itself."""
+        """Refuse queued calls of withdrawn keys; deregister the server if untrusted."""
         self._queue.refuse_where(
             lambda context: build_key_refusal(self._is_key_valid, context)
         )
@@ -187,17 +187,17 @@
             self.deregister()
 
     async def serve(self, call: Call) -> Reply:
-        """Admit a call and send it.
+        """Admit a call, send it to the backend server and return the reply.
 
         Raises:
-            Refusal: With the verdict that is known.
+            Refusal: Not admitted, or no complete response in time.
         """
         self._check_serving(call)
         waited = await self._queue.acquire(call.context)
         self._metrics.queue_seconds.observe(waited)
         slot_transferred = False
         try:
-            # The key or the backend server may have gone while the call waited.
+            # Key and backend server may have been withdrawn while the call was queued.
             refusal = build_key_refusal(self._is_key_valid, call.context)
             if refusal is not None:
                 raise refusal
@@ -218,7 +218,7 @@
             raise _build_draining_refusal()
 
     async def _send(self, call: Call) -> tuple[Reply, bool]:
-        """Return the answer, and whether its stream gives the turn back later."""
+        """Return the reply, and whether closing it is what releases the slot."""
         assert self._pool is not None
         pool = self._pool
         started = time.monotonic()
@@ -280,7 +280,7 @@
             self._queue.limit.note_shed(time.monotonic())
             raise not_run(
                 Reason.OVERLOADED,
-                "the backend server refused before it started",
+                "the backend server refused the call without running it",
                 self._queue.estimate_retry_after(),
             )
         return response
@@ -305,9 +305,12 @@
         self._in_flight.__exit__()
 
     def _build_timeout_refusal(self, connection: Connection | None) -> Refusal:
-        detail = "no whole answer before the deadline"
+        detail = "no complete response before the deadline"
         if connection is None:
-            return not_run(Reason.DEADLINE_EXCEEDED, "no connection was free in time")
+            return not_run(
+                Reason.DEADLINE_EXCEEDED,
+                "no connection became available before the deadline",
+            )
         return Refusal(Reason.DEADLINE_EXCEEDED, Verdict.MAY_HAVE_RUN, detail)
 
     def _replace_pool(self, announced: Announcement) -> None:
@@ -325,7 +328,7 @@
         return ConcurrencyLimit(self._settings.limits.slots, announced.slots)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return its state for the operator address."""
+        """Return its state for the operator pages."""
         announced = self._announcement
         return {
             "service": announced.service if announced else "",
@@ -340,4 +343,6 @@
 
 
 def _build_draining_refusal() -> Refusal:
-    return not_run(Reason.DRAINING, "takes no new calls", retry_after=1.0)
+    return not_run(
+        Reason.DRAINING, "the backend server accepts no new calls", retry_after=1.0
+    )
--- a/primroseglade/calls/call.py
+++ b/primroseglade/calls/call.py
@@ -1,4 +1,4 @@
-"""A call on its way through a node, its body, and its answer."""
+"""A call that passes through a node, its context, its body, and its reply."""
 
 import asyncio
 import time
@@ -12,20 +12,20 @@
 
 
 class Context:
-    """What a call inherits from its root call and takes along from hop to hop.
+    """What a call inherits from its root call and propagates from hop to hop.
 
     Args:
         call: Id of this call, a span id in hex.
-        trace: Trace context; the trace id is the root call's id.
-        workspace: Whose call it is.
-        key: Id of the key that the root call carried.
-        importance: Its class.
-        deadline: ``time.monotonic`` at which nobody waits for the answer any more.
-        depth: 0 for a root call.
-        retry_tokens: Retries that this call and those below it may still cost.
-        idempotent: Whether running it twice is harmless.
-
-    ``shed`` is set when a call nested in this one was shed further on.
+        trace: Trace context; the trace id is the id of the root call.
+        workspace: The workspace that makes the call.
+        key: Id of the API key of the root call.
+        importance: Importance class.
+        deadline: On the clock of ``time.monotonic``; the caller stops waiting then.
+        depth: Number of calls above this one; 0 for a root call.
+        retry_tokens: Retries left for this call and its nested calls together.
+        idempotent: Whether it may run more than once.
+
+    ``shed`` is set once a call nested in this one has been shed.
     """
 
     __slots__ = (
@@ -71,23 +71,23 @@
 
     @property
     def traceparent(self) -> bytes:
-        """The W3C header with which this call goes on."""
+        """Value of the W3C ``traceparent`` header sent with this call."""
         flags = "01" if self.trace.sampled else "00"
         return f"00-{self.trace.trace}-{self.call}-{flags}".encode()
 
     @property
     def remaining(self) -> float:
-        """Seconds until the deadline, negative behind it."""
+        """Seconds until the deadline; negative after it."""
         return self.deadline - time.monotonic()
 
 
 class Body:
-    """A request's body: held whole where it is small, else streamed once.
+    """The body of a request: buffered if it is small, else streamed once.
 
     Args:
-        held: The whole body, or None.
-        length: Bytes, or None where the sender did not say.
-        stream: Yields the body where it is not held.
+        content: The buffered body, or None if it is streamed.
+        length: Length in bytes, or None if unknown.
+        stream: Yields the body if it is not buffered.
     """
 
     __slots__ = ("content", "length", "started", "stream")
@@ -105,7 +105,7 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether it can be sent again from its beginning."""
+        """Whether it can be sent from its beginning, as a retry needs."""
         return self.content is not None or not self.started
 
 
@@ -115,10 +115,10 @@
     Args:
         service: The service.
         method: HTTP method.
-        target: Path within the service, and query, as they came.
-        headers: Headers that go on.
-        body: Its body.
-        context: What it inherited.
+        target: Path within the service and query, not decoded.
+        headers: Headers to forward.
+        body: Request body.
+        context: Call context.
     """
 
     __slots__ = ("body", "context", "headers", "method", "service", "target")
@@ -141,22 +141,22 @@
 
 
 def _do_nothing() -> None:
-    """Stand in for the close of an answer that holds on to nothing."""
+    """Serve as ``close`` of a reply that holds no resources."""
 
 
 class Reply:
-    """A backend server's answer.
+    """A response to be sent to the caller.
 
     Args:
         status: HTTP status.
-        headers: Headers that go on.
-        held: The whole body, or None where it is streamed.
-        length: Bytes, or None where not known.
-        stream: Yields the body where it is not held; raises where it breaks off.
-        close: Gives back what the answer holds on to; to be called in any case, since
-            a stream that nobody starts to read does not end by itself.
-
-    ``shed`` says that the answer is an error because of a call that was shed.
+        headers: Headers to send.
+        content: The buffered body, or None if it is streamed.
+        length: Length of the body in bytes, or None if unknown.
+        stream: Yields the body if it is not buffered; raises if it is truncated.
+        close: Releases the connection and slot that the reply holds. It must always be
+            called, since a stream that is never read does not end by itself.
+
+    ``shed`` is set if it is an error response due to a call that was shed.
     """
 
     __slots__ = ("close", "content", "headers", "length", "shed", "status", "stream")
@@ -180,7 +180,7 @@
 
 
 class InFlight:
-    """Calls at work in a node, counted so that a stop can wait for them."""
+    """Counts the calls in flight, so that a graceful shutdown can wait for them."""
 
     def __init__(self) -> None:
         self._count = 0
@@ -189,7 +189,7 @@
 
     @property
     def count(self) -> int:
-        """How many there are."""
+        """Number of calls in flight."""
         return self._count
 
     def __enter__(self) -> "InFlight":
@@ -203,5 +203,5 @@
             self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Wait until there is none."""
+        """Wait until no call is in flight."""
         await self._idle.wait()
--- a/primroseglade/calls/context.py
+++ b/primroseglade/calls/context.py
@@ -1,4 +1,4 @@
-"""The context of a relayed call on the wire, authenticated among nodes."""
+"""Encoding of call contexts for the relay between nodes, with authentication."""
 
 import base64
 import binascii
@@ -15,17 +15,17 @@
 from ..verdicts import not_run, Reason
 from .call import Context
 
-# Clocks of instances may differ by this much.
+# Maximum difference between the clocks of two instances.
 CLOCK_TOLERANCE_MS = 10_000
 MAC_BYTES = 16
 MAX_DEPTH = 64
 
 
 class ContextSeal:
-    """Writes and reads contexts.
+    """Encodes and decodes call contexts, signed with a key of the fleet.
 
     Args:
-        secret: The fleet secret.
+        secret: The fleet secret, from which the key is derived.
         instance: Name of this instance.
     """
 
@@ -34,12 +34,12 @@
         self._instance = instance
 
     def write(self, context: Context, receiver: str, retry_tokens: int) -> bytes:
-        """Return a header's value that only ``receiver`` takes.
+        """Encode a context as a header value that only ``receiver`` accepts.
 
         Args:
-            context: The call's.
-            receiver: The instance that is to serve it.
-            retry_tokens: How many of the call's go along.
+            context: Context of the call.
+            receiver: Name of the instance that is to serve the call.
+            retry_tokens: Number of the call's retry tokens to pass on.
         """
         remaining_ms = max(0, int(context.remaining * 1000))
         message = pb.CallContext(
@@ -58,25 +58,31 @@
         return base64.urlsafe_b64encode(self._sign(message) + message)
 
     def read(self, value: bytes) -> Context:
-        """Read a context.
+        """Verify and decode a context.
 
         Raises:
-            Refusal: ``not run``: nobody of this fleet wrote it for this instance, or
+            Refusal: ``not run``: it was not signed by this fleet for this instance, or
                 its deadline has passed.
         """
         try:
             raw = base64.b64decode(value, altchars=b"-_", validate=True)
             mac, message = raw[:MAC_BYTES], raw[MAC_BYTES:]
             if not hmac.compare_digest(mac, self._sign(message)):
-                raise not_run(Reason.CONTEXT_INVALID, "not signed by this fleet")
+                raise not_run(
+                    Reason.CONTEXT_INVALID, "call context not signed by this fleet"
+                )
             fields = pb.CallContext.FromString(message)
             importance = Importance(fields.importance)
         except (binascii.Error, DecodeError, ValueError) as error:
             raise not_run(Reason.CONTEXT_INVALID, "malformed call context") from error
         if fields.receiver != self._instance:
-            raise not_run(Reason.CONTEXT_INVALID, "meant for another instance")
+            raise not_run(
+                Reason.CONTEXT_INVALID, "call context is for another instance"
+            )
         if time.time() * 1000 > fields.expires_at_ms + CLOCK_TOLERANCE_MS:
-            raise not_run(Reason.DEADLINE_EXCEEDED, "the deadline had passed")
+            raise not_run(
+                Reason.DEADLINE_EXCEEDED, "the deadline passed during the relay"
+            )
         trace, parent, flags = fields.root.split("-")[1:4]
         return Context(
             call=fields.call,
