--- a/primroseglade/calls/__init__.py
+++ b/primroseglade/calls/__init__.py
@@ -1,1 +1,1 @@
-"""The path of a call: in from a caller, to a backend server, and back."""
+"""Routes calls from callers to backend servers, and the responses back."""
--- a/primroseglade/calls/connections.py
+++ b/primroseglade/calls/connections.py
@@ -1,8 +1,8 @@
-"""Kept-alive HTTP/1.1 connections to one address, over httptools' parser.
+"""Persistent HTTP/1.1 client connections, based on the parser of httptools.
 
-This is the project's own because of what it must tell apart: whether any byte of a
-call left, whether a first byte came back, and whether an answer is whole. Client
-libraries fold these into one error, and some repeat a request by themselves.
+Client libraries do not report whether any byte of a request was sent, whether a first
+byte of the response arrived, and whether the response is complete: they fold these
+into one error, and some retry requests by themselves.
 """
 
 import asyncio
@@ -15,15 +15,16 @@
 from .call import Body, Context
 from .headers import Headers
 
+# Amount of unread body at which reading from the connection pauses.
 READ_HIGH_WATER_BYTES = 256 * 1024
-# A peer that vanished without closing, or a link that lost track of the connection:
-# the kernel finds the first kind within these seconds.
+# With these times the kernel detects a peer that vanished without closing the
+# connection, but not a device in between that dropped the connection's state.
 TCP_KEEPALIVE_IDLE_SECONDS = 2
 TCP_USER_TIMEOUT_MS = 4000
 
 
 class Response:
-    """The head of an answer, and its body as far as it has come."""
+    """Status and headers of a response, and whether its body is complete."""
 
     __slots__ = ("complete", "headers", "length", "status")
 
@@ -35,10 +36,10 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, one request at a time.
+    """A connection that carries one request at a time.
 
     Args:
-        hold_bytes: Bodies up to this size are waited for whole.
+        max_buffered_bytes: Maximum size of a response body that is buffered completely.
     """
 
     def __init__(self, max_buffered_bytes: int):
@@ -61,12 +62,12 @@
 
     @property
     def reused(self) -> bool:
-        """Whether it has carried a request before the present one."""
+        """Whether it has carried a request before the current one."""
         return bool(self.idle_since)
 
     @property
     def closed(self) -> bool:
-        """Whether nothing can be sent on it any more."""
+        """Whether it is closed or closing, so that nothing can be sent."""
         return self._transport is None or self._transport.is_closing()
 
     @property
@@ -76,7 +77,7 @@
         return self._reusable and done and not self.closed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the options that find a dead peer."""
+        """Set the socket options that detect a dead peer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         set_dead_peer_options(
@@ -84,35 +85,40 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what waits for an answer."""
+        """Fail the request in flight, if any."""
         self._transport = None
         self._writable.set()
         if self._response is not None and self._response.complete:
             return
-        self._fail(may_have_run(Reason.CONNECTION_LOST, "the connection was lost"))
+        self._fail(
+            may_have_run(
+                Reason.CONNECTION_LOST,
+                "the connection was lost before the response was complete",
+            )
+        )
 
     def pause_writing(self) -> None:
-        """Hold back a body that the other end does not read."""
+        """Pause sending of a request body that the other end does not read."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Go on with the body."""
+        """Resume sending of the request body."""
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         if self._parser is None:
-            # Bytes that no request asked for: whatever they are, the next answer on
-            # this connection could not be told from them.
+            # Bytes that belong to no request: they could not be told apart from the
+            # next response on this connection.
             self.close()
             return
         self.first_byte_received = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._reject_response("an answer that switches protocols")
+            self._reject_response("the response switches protocols")
         except httptools.HttpParserError as error:
-            self._reject_response(f"not an HTTP/1.1 answer: {error}")
+            self._reject_response(f"invalid HTTP/1.1 response: {error}")
 
     def on_message_begin(self) -> None:
         """Parser callback."""
@@ -127,7 +133,7 @@
     def on_headers_complete(self) -> None:
         """Parser callback."""
         if self._parser is None:
-            # A second answer to one request; the connection is closed for it.
+            # A second response to one request; the connection will not be reused.
             return
         status = self._parser.get_status_code()
         if status < 200:
@@ -143,13 +149,15 @@
         if not self._parser.should_keep_alive():
             self._reusable = False
         if self._head_only:
-            # The parser waits for a body that a HEAD's answer does not have.
+            # The parser waits for a body, which a response to HEAD does not have.
             self._reusable = False
             self._complete()
         elif length is None and not chunked and status not in (204, 304):
-            # Its end would be the connection's end, which a lost connection shows
-            # just the same: whether the answer is whole could not be known.
-            self._reject_response("an answer without a length")
+            # The body would end where the connection ends, so that a complete response
+            # could not be told apart from a lost connection.
+            self._reject_response(
+                "the response has no content-length and is not chunked"
+            )
         elif length is not None and length > self._max_buffered_bytes:
             self._resolve_ready()
 
@@ -172,10 +180,12 @@
             self._complete()
 
     async def exchange(self, head: bytes, body: Body, head_only: bool) -> Response:
-        """Send a request and wait for its answer, whole or larger than is held.
+        """Send a request and wait for its response.
+
+        Returns once the body is complete, or exceeds the size that is buffered.
 
         Raises:
-            Refusal: With the verdict that the bytes sent and received allow.
+            Refusal: The connection was closed or lost, or the response is invalid.
         """
         self._begin(head_only)
         assert self._ready is not None and self._transport is not None
@@ -186,25 +196,25 @@
                 await self._send_stream(head, body)
             await self._ready
         except BaseException:
-            # Cut off in the middle, by a deadline or by a caller that went away:
-            # what the other end still reads or sends would mix with the next call.
+            # Cancelled by a deadline or by a caller that disconnected: what the other
+            # end still reads or sends would mix with the next call.
             self._reusable = False
             raise
         assert self._response is not None
         return self._response
 
     def take_buffered(self) -> bytes:
-        """Return the body that has come so far."""
+        """Return the part of the body that has been received, and clear the buffer."""
         content = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
         self._chunks = []
         self._size = 0
         return content
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it is received.
 
         Raises:
-            Refusal: It broke off.
+            Refusal: The body is truncated.
         """
         assert self._response is not None
         self._body_event = asyncio.Event()
@@ -222,7 +232,7 @@
             await self._body_event.wait()
 
     def close(self) -> None:
-        """Close it; the other end takes that as a cancellation."""
+        """Abort the connection, which the other end takes as a cancellation."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -237,7 +247,10 @@
         self.first_byte_received = False
         self._ready = asyncio.get_running_loop().create_future()
         if self.closed:
-            raise not_run(Reason.CONNECTION_LOST, "the connection was closed before")
+            raise not_run(
+                Reason.CONNECTION_LOST,
+                "the connection was closed before the request was sent",
+            )
 
     async def _send_stream(self, head: bytes, body: Body) -> None:
         assert body.stream is not None and self._transport is not None
@@ -245,7 +258,7 @@
         self._transport.write(head)
         async for chunk in body.stream:
             if self.closed or (self._ready is not None and self._ready.done()):
-                # Answered, or lost, before the whole body was sent.
+                # A response arrived, or the connection was lost, before the body ended.
                 self._reusable = False
                 return
             if not chunk:
@@ -274,7 +287,7 @@
         self._reusable = False
         if self._ready is not None and not self._ready.done():
             self._ready.set_exception(error)
-            # A request that was given up has nobody left to see the error.
+            # Marks the error as retrieved, as nobody awaits a cancelled request.
             self._ready.exception()
         if self._body_event is not None:
             self._body_event.set()
@@ -287,10 +300,10 @@
 async def iterate_until_deadline(
     connection: Connection, context: Context
 ) -> AsyncIterator[bytes]:
-    """Yield a body as it comes, up to the call's deadline.
+    """Yield the body of a response as it is received, until the call's deadline.
 
     Raises:
-        Refusal: It broke off, or the deadline passed before its end.
+        Refusal: The body is truncated, or the deadline passed before its end.
     """
     body = connection.iterate_body()
     while True:
@@ -298,7 +311,7 @@
             async with asyncio.timeout(context.remaining):
                 chunk = await anext(body, None)
         except TimeoutError as error:
-            detail = "the deadline passed in the middle of the answer"
+            detail = "the deadline passed while the response was received"
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         if chunk is None:
             return
@@ -308,7 +321,7 @@
 def build_head(
     method: str, target: bytes, host: str, headers: Headers, body: Body
 ) -> bytes:
-    """Return the bytes of a request's head; headers were checked on the way in."""
+    """Return the head of a request; its headers are not validated again."""
     lines = [b"%b %b HTTP/1.1" % (method.encode(), target), b"host: " + host.encode()]
     lines += [b"%b: %b" % header for header in headers]
     if body.length is not None:
--- a/primroseglade/calls/exchange.py
+++ b/primroseglade/calls/exchange.py
@@ -1,8 +1,8 @@
-"""One HTTP request on an ASGI listener, and the answer to it.
+"""One HTTP request on an ASGI listener, and the response to it.
 
-The listeners of calls speak ASGI directly: an answer has to reach the caller with the
-backend server's own headers and framing, which a framework's response object would
-set anew. Figures are in docs/MEASUREMENTS.md.
+The listeners for calls use ASGI directly: a response has to reach the caller with the
+headers and framing of the backend server, which the response object of a framework
+would replace. Figures are in docs/MEASUREMENTS.md.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed its connection before its request was whole."""
+    """The caller closed its connection before its request was complete."""
 
 
 class HttpExchange:
-    """A request as it came in.
+    """A request of a caller or another node, and the means to respond to it.
 
     Args:
         scope: ASGI scope.
         receive: ASGI receive.
         send: ASGI send.
-        body_buffer: Bodies up to this many bytes are held.
-        largest_body: Bodies over this many bytes are refused.
+        max_buffered_bytes: Maximum size of a body that is buffered.
+        max_body_bytes: Maximum size of a body; larger ones are refused.
     """
 
     __slots__ = (
@@ -65,34 +65,34 @@
 
     @property
     def path(self) -> bytes:
-        """The path as it came, percent-encoding and all."""
+        """The path as received, with percent-encoding."""
         return self._scope["raw_path"]
 
     @property
     def target(self) -> bytes:
-        """Path and query as they came."""
+        """Path and query as received."""
         query = self._scope["query_string"]
         return self.path + b"?" + query if query else self.path
 
     def cancel_on_disconnect(self, task: asyncio.Task[None]) -> None:
-        """Cancel a task when the caller goes away."""
+        """Cancel a task when the caller disconnects."""
         self._scope["on_disconnect"] = task.cancel
 
     def cut(self) -> None:
-        """Cut the connection, so that the caller sees that the answer broke off."""
+        """Abort the connection, so that the response is recognizably truncated."""
         cut = self._scope.get("cut_connection")
         if cut is not None:
             cut()
 
     def get_header(self, name: bytes) -> str:
-        """Return a header's value, empty where it is absent."""
+        """Return the value of a header, or an empty string if it is absent."""
         return find_header(self.headers, name).decode("latin-1")
 
     async def read_body(self) -> Body:
-        """Return the body: held where it is small, else to be streamed.
+        """Return the body, buffered if it is small and else to be streamed.
 
         Raises:
-            Refusal: ``not run``: it is larger than allowed.
+            Refusal: ``not run``: its content length is over the limit.
         """
         length = self.get_header(b"content-length")
         chunked = find_header(self.headers, b"transfer-encoding")
@@ -103,17 +103,18 @@
             if size > self._max_body_bytes:
                 raise not_run(
                     Reason.BODY_TOO_LARGE,
-                    f"the body is over {self._max_body_bytes} bytes",
+                    f"the body is larger than {self._max_body_bytes} bytes",
                 )
             if size > self._max_buffered_bytes:
                 return Body(None, size, self._stream_body())
         return await self._read_buffered()
 
     async def send_reply(self, reply: Reply, added: Headers) -> None:
-        """Send an answer on, whole or breaking off where it broke off.
+        """Send a reply to the caller.
 
         Raises:
-            Refusal: It broke off; the connection must not end as if it were whole.
+            Refusal: The reply's body is truncated; the caller's connection has to be
+                aborted, lest the response look complete.
         """
         headers = reply.headers + added
         if reply.length is not None:
@@ -134,12 +135,12 @@
     async def send_refusal(
         self, refusal: Refusal, instance: str, added: Headers
     ) -> None:
-        """Send a refusal."""
+        """Send a refusal as the response."""
         status, headers, body = render_refusal(refusal, instance)
         await self.send_reply(Reply(status, headers, body), added)
 
     async def _read_buffered(self) -> Body:
-        """Read a body that is small, or of unknown length as long as it is small."""
+        """Buffer the body; return a streamed one if it exceeds the buffer."""
         chunks: list[bytes] = []
         size = 0
         more = True
@@ -152,7 +153,7 @@
         return Body(b"".join(chunks))
 
     async def _receive_chunk(self) -> tuple[bytes, bool]:
-        """Return the next part of the body, and whether there is more."""
+        """Return the next chunk of the body, and whether there is more."""
         message = await self._receive()
         if message["type"] == "http.disconnect":
             raise CallerDisconnectedError
@@ -168,6 +169,6 @@
             chunk, more = await self._receive_chunk()
             size += len(chunk)
             if size > self._max_body_bytes:
-                # Part of it has left already; closing tells the backend server.
+                # Part of it has been sent; closing the connection cancels the call.
                 raise CallerDisconnectedError
             yield chunk
--- a/primroseglade/calls/handles.py
+++ b/primroseglade/calls/handles.py
@@ -1,4 +1,4 @@
-"""Handles: what a backend server shows instead of a key when it calls onward."""
+"""Handles, which backend servers present instead of a key for nested calls."""
 
 import secrets
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class Handles:
-    """The calls at work on the backend server beside this node, by handle."""
+    """The calls in flight on the local backend server, by handle."""
 
     def __init__(self) -> None:
         self._contexts: dict[bytes, Context] = {}
@@ -21,20 +21,20 @@
         return len(self._contexts)
 
     def issue(self, context: Context) -> bytes:
-        """Return a new handle for a call that goes to the backend server."""
+        """Return a new handle for a call that is sent to the backend server."""
         handle = secrets.token_urlsafe(HANDLE_BYTES).encode()
         self._contexts[handle] = context
         return handle
 
     def revoke(self, handle: bytes) -> None:
-        """End a handle, with its call."""
+        """Revoke a handle when its call ends."""
         self._contexts.pop(handle, None)
 
     def find_context(self, handle: bytes) -> Context:
-        """Return the call that a handle stands for.
+        """Return the context of the call to which a handle was issued.
 
         Raises:
-            Refusal: ``not run``: there is no such call in flight here.
+            Refusal: ``not run``: no call in flight has this handle.
         """
         context = self._contexts.get(handle)
         if context is None:
@@ -47,9 +47,10 @@
 ) -> Context:
     """Return the context of a call nested in another.
 
-    The nested call takes its parent's retry tokens and gives back what it does not
-    spend: the sum over the whole tree stays what the root call began with. Of several
-    nested calls at once the first has them; halving would leave none three hops down.
+    The nested call takes all retry tokens of its parent and returns the unused ones,
+    so that the sum over the whole call tree never exceeds that of the root call. Of
+    concurrent nested calls, the first gets them all: halving them at each hop would
+    leave none three hops down.
     """
     tokens, parent.retry_tokens = parent.retry_tokens, 0
     span = generate_span_id()
@@ -58,7 +59,7 @@
         trace=TraceParent(parent.trace.trace, parent.call, parent.trace.sampled),
         workspace=parent.workspace,
         key=parent.key,
-        # A payout's own steps matter as much as the payout.
+        # The nested calls of an important call are as important as it is.
         importance=max(parent.importance, importance),
         deadline=parent.deadline,
         depth=parent.depth + 1,
@@ -68,7 +69,7 @@
 
 
 def return_retry_tokens(parent: Context, child: Context) -> None:
-    """Return a nested call's unused retry tokens to its parent."""
+    """Return the unused retry tokens of a nested call to its parent."""
     parent.retry_tokens += child.retry_tokens
     child.retry_tokens = 0
 
@@ -76,7 +77,7 @@
 def build_key_refusal(
     is_key_valid: Callable[[str, str], bool], context: Context
 ) -> Refusal | None:
-    """Return the refusal of a call whose key was withdrawn meanwhile, else None."""
+    """Return a refusal if the call's key has been withdrawn, else None."""
     if is_key_valid(context.workspace, context.key):
         return None
-    return not_run(Reason.KEY_WITHDRAWN, "the key was withdrawn")
+    return not_run(Reason.KEY_WITHDRAWN, "the API key was withdrawn")
--- a/primroseglade/calls/headers.py
+++ b/primroseglade/calls/headers.py
@@ -1,4 +1,4 @@
-"""Header names, and which headers go on to the next hop."""
+"""Header names, and which headers are forwarded to the next hop."""
 
 Headers = list[tuple[bytes, bytes]]
 
@@ -18,7 +18,7 @@
 
 NODE_HEADER_PREFIX = b"primroseglade-"
 
-# RFC 9110, section 7.6.1: these speak of one connection only.
+# Headers that apply to one connection only: RFC 9110, section 7.6.1.
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -32,7 +32,7 @@
         b"upgrade",
     }
 )
-# Set anew at each hop, or never to be seen behind the node.
+# Replaced at each hop, or never forwarded to backend servers.
 _DROPPED_FROM_REQUESTS = HOP_BY_HOP | {
     AUTHORIZATION,
     b"content-length",
@@ -44,7 +44,7 @@
 
 
 def find_header(headers: Headers, name: bytes) -> bytes:
-    """Return a header's value, empty where it is absent; names are in lower case."""
+    """Return the value of a header, or empty bytes; names are in lower case."""
     for header, value in headers:
         if header == name:
             return value
@@ -52,7 +52,7 @@
 
 
 def filter_request_headers(headers: Headers) -> Headers:
-    """Return what goes on of a request: neither the key nor any claim on a call.
+    """Return the request headers to forward, without API key and node headers.
 
     >>> keep_request_headers([(b"authorization", b"Bearer k"), (b"accept", b"*/*")])
     [(b'accept', b'*/*')]
@@ -61,10 +61,10 @@
 
 
 def filter_response_headers(headers: Headers) -> Headers:
-    """Return what goes on of a backend server's answer.
+    """Return the response headers to forward.
 
-    Headers that only nodes may set are left out, so that no backend server can
-    answer with a verdict or a load of its own making.
+    Headers that only nodes may set are dropped, so that no backend server can forge a
+    verdict or a load report.
     """
     return _filter(headers, _DROPPED_FROM_RESPONSES)
 
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one address, within a limit."""
+"""A pool of persistent connections to one address, with a limit."""
 
 import asyncio
 
@@ -7,20 +7,21 @@
 from ..verdicts import Reason, Refusal, Verdict
 from .connections import Connection
 
+# Connections that were idle for longer are closed instead of reused.
 MAX_IDLE_SECONDS = 20.0
 PROBE_TIMEOUT_SECONDS = 1.0
 PROBE_REQUEST = b"OPTIONS * HTTP/1.1\r\nhost: probe\r\ncontent-length: 0\r\n\r\n"
 
 
 class Pool:
-    """Connections to one address.
+    """Opens, keeps and reuses connections to one address.
 
     Args:
         address: ``IP:PORT``.
-        limit: Open connections at the most.
-        connect_timeout: Seconds to open one.
-        hold_bytes: Answers up to this size are waited for whole.
-        network: What can be reached.
+        limit: Maximum number of open connections.
+        connect_timeout: Seconds to open a connection.
+        max_buffered_bytes: Maximum size of a response body that is buffered completely.
+        network: Injects network partitions in tests.
     """
 
     def __init__(
@@ -43,19 +44,19 @@
 
     @property
     def address(self) -> str:
-        """Where the connections lead."""
+        """Address to which the connections lead."""
         return self._address
 
     @property
     def open(self) -> int:
-        """How many connections there are."""
+        """Number of open connections."""
         return self._open
 
     async def acquire(self) -> Connection:
-        """Return a connection that carries no request.
+        """Return an idle or new connection; wait for one if the limit is reached.
 
         Raises:
-            Refusal: ``not run``: none could be opened.
+            Refusal: ``not run``: no connection could be opened.
         """
         if self._network.is_cut(self._address):
             return await self._open_connection()
@@ -78,7 +79,7 @@
             raise
 
     def release(self, connection: Connection) -> None:
-        """Give a connection back; it is kept where it can carry another request."""
+        """Return a connection to the pool, or close it if it cannot be reused."""
         if connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle.append(connection)
@@ -88,14 +89,14 @@
             asyncio.get_running_loop().create_task(self._notify_waiter())
 
     def close_idle(self) -> int:
-        """Close the connections that carry nothing and return how many there were."""
+        """Close the idle connections and return their number."""
         count = len(self._idle)
         while self._idle:
             self._discard(self._idle.pop())
         return count
 
     async def probe(self) -> bool:
-        """Whether the address answers on a new connection, within a second."""
+        """Return whether the address responds on a new connection within a second."""
         try:
             async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(self._host, self._port)
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -1,4 +1,4 @@
-"""Sends calls to the node beside another backend server."""
+"""Relays calls to the nodes of other backend servers."""
 
 import asyncio
 import json
@@ -22,17 +22,19 @@
 )
 from .pool import Pool
 
+# Beyond this, the connections to the least recently used node are closed.
 MAX_POOLS = 256
+# Retry tokens that stay at this node, for a retry on another instance.
 RETRY_TOKENS_KEPT = 1
 
 
 class Relay:
-    """Connections to other nodes' relay listeners.
+    """Sends calls to the relay listeners of other nodes.
 
     Args:
         settings: Limits and timeouts.
-        seal: Authenticates contexts.
-        network: What can be reached.
+        seal: Signs call contexts.
+        network: Injects network partitions in tests.
     """
 
     def __init__(self, settings: NodeSettings, seal: ContextSeal, network: Network):
@@ -42,17 +44,17 @@
         self._pools: dict[str, Pool] = {}
 
     async def send(self, call: Call, member: Member) -> tuple[Reply, bytes]:
-        """Send a call to a member's node.
+        """Send a call to the node of a member.
 
-        All but one of the call's retry tokens go along, and what is unused comes back
-        with the answer; where no answer comes, they are lost, so that none can be
-        spent twice. The one that stays is for an attempt at another member.
+        All but one of the call's retry tokens are passed on, and the response returns
+        the unused ones. Without a response they are lost, so that none can be spent
+        twice. The one that stays allows a retry on another member.
 
         Returns:
-            The answer, and the load that came with it.
+            The reply, and the load reported with it.
 
         Raises:
-            Refusal: By that node, or for want of an answer.
+            Refusal: From that node, or because no response arrived.
         """
         pool = self._get_pool(member.relay)
         context = call.context
@@ -98,7 +100,7 @@
             )
             return reply, load
         except TimeoutError as error:
-            detail = f"no answer of {member.instance} before the deadline"
+            detail = f"no response from {member.instance} before the deadline"
             if not sent:
                 raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
@@ -107,13 +109,13 @@
                 pool.release(connection)
 
     def forget(self, address: str) -> None:
-        """Close the connections to a node that is gone."""
+        """Close the idle connections to a node and remove their pool."""
         pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close_idle()
 
     def close(self) -> None:
-        """Close all connections that carry nothing."""
+        """Close all idle connections."""
         for address in list(self._pools):
             self.forget(address)
 
@@ -133,7 +135,9 @@
             except (ValueError, AttributeError):
                 detail = ""
         refusal = parse_refusal(headers, detail)
-        return refusal or may_have_run(Reason.ANSWER_BROKEN, "an unknown refusal")
+        return refusal or may_have_run(
+            Reason.ANSWER_BROKEN, "the call was refused for an unknown reason"
+        )
 
     def _get_pool(self, address: str) -> Pool:
         pool = self._pools.pop(address, None)
@@ -145,7 +149,7 @@
                 self._settings.limits.body_buffer,
                 self._network,
             )
-        # The most recently used stands last.
+        # The most recently used pool is the last.
         self._pools[address] = pool
         while len(self._pools) > MAX_POOLS:
             self.forget(next(iter(self._pools)))
@@ -153,6 +157,6 @@
 
 
 def _parse_returned_tokens(response: Response, carried: int) -> int:
-    """Return the retry tokens that came back: never more than went out."""
+    """Return the number of retry tokens returned, at most those passed on."""
     value = find_header(response.headers, RETRY_TOKENS)
     return min(int(value), carried) if value.isdigit() else 0
--- a/primroseglade/calls/unresponsive_connections.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -1,4 +1,4 @@
-"""Finds open connections on which nothing comes back any more."""
+"""Detects open connections on which no response arrives any more."""
 
 import asyncio
 import time
@@ -7,18 +7,18 @@
 from .connections import Connection
 from .pool import Pool
 
-# A call is taken for stuck only when it waits this many times longer than calls
-# usually take: a slow service must not look like a dead link.
+# A connection is suspected only after this many times the usual latency of a call: a
+# slow service must not look like a dead connection.
 LATENCY_MULTIPLIER = 4.0
-# A call on a new connection that waits this share of the patience is a sign that the
-# service itself is slow.
+# The service itself counts as slow if a call on a new connection waits for longer than
+# this fraction of the first-byte timeout.
 NEW_CONNECTION_TIMEOUT_FRACTION = 0.5
 
 OnUnresponsive = Callable[[Pool, int], None]
 
 
 class PendingRequest:
-    """A request without a first byte so far."""
+    """A request whose first response byte has not arrived yet."""
 
     __slots__ = ("connection", "idempotent", "pool", "started", "timer")
 
@@ -31,22 +31,23 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether nothing came back yet."""
+        """Whether no byte of the response has arrived on the open connection."""
         return not self.connection.first_byte_received and not self.connection.closed
 
 
 class UnresponsiveConnectionDetector:
-    """Watches the requests that wait for their first byte.
+    """Monitors the requests that wait for their first response byte.
 
-    Something between the two ends has forgotten a connection: what is sent on it
-    vanishes without a sign, and so does what is sent on others as old. It shows as
-    silence on reused connections while new ones are answered. When new ones wait as
-    well, the service is slow, and cutting would only double its work.
+    If a device between the two ends drops the state of a connection, what is sent on
+    it is lost without an error, and so it is on other connections of that age. The
+    symptom is that requests on reused connections time out while new connections
+    work. If requests on new connections wait too, the service is slow, and closing
+    connections would only double its work.
 
     Args:
-        silence: Seconds without a first byte before anything is suspected.
-        get_latency: Returns the usual time of a call in seconds.
-        on_silent: Told the pool, and how many idle connections were closed.
+        min_timeout: Minimum time to wait for a first byte, in seconds.
+        get_latency: Returns the usual latency of a call in seconds.
+        on_unresponsive: Called with the pool and the number of idle connections closed.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
     def start(
         self, connection: Connection, pool: Pool, idempotent: bool
     ) -> PendingRequest:
-        """Watch a request that is about to be sent."""
+        """Start to monitor a request that is about to be sent."""
         pending = PendingRequest(connection, pool, idempotent)
         self._pending.add(pending)
         if connection.reused:
@@ -72,7 +73,7 @@
         return pending
 
     def end(self, pending: PendingRequest) -> None:
-        """Stop watching: the request was answered or given up."""
+        """Stop monitoring a request: a response has arrived, or it was cancelled."""
         self._pending.discard(pending)
         if pending.timer is not None:
             pending.timer.cancel()
@@ -94,10 +95,10 @@
         task.add_done_callback(self._probes.discard)
 
     async def _probe_and_replace(self, pending: PendingRequest) -> None:
-        """Replace connections that are silent while a new one is answered.
+        """Probe on a new connection, and close the old ones if only it gets a response.
 
-        A call that must not run twice goes on waiting: its answer may yet come, and
-        nothing would be won by giving up.
+        A non-idempotent call keeps waiting: its response may still arrive, and closing
+        its connection would gain nothing, since it must not be retried.
         """
         answered = await pending.pool.probe()
         if pending not in self._pending or not pending.is_waiting:
@@ -110,7 +111,7 @@
             pending.connection.close()
 
     def _is_service_slow(self, pool: Pool) -> bool:
-        """Whether calls on new connections wait as well."""
+        """Return whether calls on new connections have to wait as well."""
         started_before = (
             time.monotonic()
             - NEW_CONNECTION_TIMEOUT_FRACTION * self._get_first_byte_timeout()
