--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -113,7 +113,7 @@
             if exchange.started:
                 # The response is truncated. Ending it properly would make it look
                 # complete, so the connection is aborted instead.
-                exchange.cut()
+                exchange.abort()
                 return
             added = self._build_headers(record)
             await exchange.send_refusal(refusal, self._tools.settings.instance, added)
@@ -123,7 +123,7 @@
             refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error of the node")
             self._record_outcome(record, refusal)
             if exchange.started:
-                exchange.cut()
+                exchange.abort()
                 return
             await exchange.send_refusal(refusal, self._tools.settings.instance, [])
 
--- a/primroseglade/calls/exchange.py
+++ b/primroseglade/calls/exchange.py
@@ -78,11 +78,11 @@
         """Cancel a task when the caller disconnects."""
         self._scope["on_disconnect"] = task.cancel
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """Abort the connection, so that the response is recognizably truncated."""
-        cut = self._scope.get("cut_connection")
-        if cut is not None:
-            cut()
+        abort = self._scope.get("cut_connection")
+        if abort is not None:
+            abort()
 
     def get_header(self, name: bytes) -> str:
         """Return the value of a header, or an empty string if it is absent."""
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -55,7 +55,7 @@
     return await asyncio.gather(*calls)
 
 
-async def test_instance_lost_without_a_word_costs_no_idempotent_call():
+async def test_idempotent_calls_survive_the_crash_of_an_instance():
     """A machine dies; sweepers who look records up must not notice."""
     async with run_fleet("aab") as fleet:
         async with Client([fleet.places[0].callers], KEY) as client:
@@ -68,20 +68,20 @@
 
 async def test_draining_backend_server_gets_no_new_call_at_any_entry():
     async with run_fleet("aabb") as fleet:
-        leaving = fleet.places[1]
-        await leaving.backend.drain()
-        name = leaving.node.settings.instance
+        draining = fleet.places[1]
+        await draining.backend.drain()
+        name = draining.node.settings.instance
         await fleet.wait(
             lambda: not any(n.members.get(name).serving for n in fleet.nodes)
         )
-        before = len(leaving.backend.seen)
+        before = len(draining.backend.seen)
         async with Client([place.callers for place in fleet.places], KEY) as client:
             for _ in range(40):
                 assert (await client.call("archive", "/x")).status == 200
-        assert len(leaving.backend.seen) == before
+        assert len(draining.backend.seen) == before
 
 
-async def test_silent_connections_are_found_and_replaced():
+async def test_unresponsive_connections_are_replaced():
     """Something between node and backend server forgets their open connections.
 
     What is sent on them vanishes without a sign, while new connections work. A
@@ -91,13 +91,13 @@
         async with Client([place.callers], KEY, timeout=8.0, attempts=1) as client:
             await call_at_once(client, 6)
             assert link.forget_connections() > 0
-            replies = await call_at_once(client, 6)
+            responses = await call_at_once(client, 6)
             assert place.node.metrics.read("silent_connections_total") > 0
-            replies += await call_at_once(client, 6)
-        assert {reply.status for reply in replies} == {200}
+            responses += await call_at_once(client, 6)
+        assert {response.status for response in responses} == {200}
 
 
-async def test_non_idempotent_call_on_a_silent_connection_does_not_move():
+async def test_non_idempotent_call_on_an_unresponsive_connection_is_not_retried():
     """A payout is sent on a connection that nobody knows any more.
 
     Whether it arrived cannot be known. It must not be sent again, and its verdict
@@ -108,14 +108,14 @@
             await call_at_once(client, 30)
             link.forget_connections()
             ids = [f"payout-{n}" for n in range(10)]
-            replies = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(
                     client.call("archive", "/pay", "POST", headers={"X-Operation": i})
                     for i in ids
                 ),
                 return_exceptions=True,
             )
-        refused = [r for r in replies if isinstance(r, Refusal)]
+        refused = [r for r in responses if isinstance(r, Refusal)]
         seen = [
             item.operation
             for server in (backend, fleet.places[1].backend)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-async def test_slow_call_is_not_taken_for_one_on_a_silent_connection(method):
+async def test_slow_call_is_not_mistaken_for_an_unresponsive_connection(method):
     """A certificate takes long to issue; its connection is an old one, and well.
 
     Were it cut and the call sent elsewhere, a slow service would get each of its
@@ -148,8 +148,8 @@
             before = sum(len(p.backend.seen) for p in fleet.places)
             for other in fleet.places:
                 other.backend.behaviour.work = 1.0
-            answers = await asyncio.gather(*(call() for _ in range(12)))
-        assert answers == [200] * 12
+            statuses = await asyncio.gather(*(call() for _ in range(12)))
+        assert statuses == [200] * 12
         assert sum(len(p.backend.seen) for p in fleet.places) == before + 12
 
 
@@ -177,17 +177,17 @@
         async with Client([fleet.places[0].callers], KEY, attempts=1) as client:
             for _ in range(4):
                 await client.call("s0", "/x")
-        relayed = sum(n.metrics.read("retries_total") for n in fleet.nodes)
+        retries = sum(n.metrics.read("retries_total") for n in fleet.nodes)
         per_root: dict[str, int] = {}
         for backend in backends:
             for item in backend.seen:
                 root = item.headers["traceparent"][3:35]
                 per_root[root] = per_root.get(root, 0) + 1
-    assert 0 < relayed <= 4 * 2
+    assert 0 < retries <= 4 * 2
     assert max(per_root.values()) <= len(services) + 4
 
 
-async def test_retries_stay_under_the_nodes_share_when_everything_fails():
+async def test_retry_budget_of_a_node_holds_when_all_calls_fail():
     """All backend servers shed; retries must not keep them overloaded."""
     async with run_fleet("aaa", shed_over=0, work=0.001) as fleet:
         node = fleet.places[0].node
@@ -200,22 +200,22 @@
         assert node.metrics.read("retries_denied_total", bound="share") > 0
 
 
-def test_workspace_whose_calls_fail_in_numbers_leaves_others_their_retries():
+def test_retry_budgets_of_workspaces_are_independent():
     """A partner sends five times its part; its calls are shed and tried again.
 
     Counted together, its retries left none for a workspace of which one call in six
     met a full queue, and that call failed although the next server was free.
     """
-    share = RetryShare(0.1)
+    retry_budget = RetryShare(0.1)
     for _ in range(100):
-        share.record_first_attempt("greedy")
-        share.try_spend("greedy")
-    assert not share.try_spend("greedy")
-    share.record_first_attempt("modest")
-    assert share.try_spend("modest")
+        retry_budget.record_first_attempt("greedy")
+        retry_budget.try_spend("greedy")
+    assert not retry_budget.try_spend("greedy")
+    retry_budget.record_first_attempt("modest")
+    assert retry_budget.try_spend("modest")
 
 
-async def test_operation_repeated_in_another_zone_is_refused():
+async def test_operation_retried_in_another_zone_is_refused():
     """A payout's answer is lost; the caller tries again through another zone."""
     async with run_fleet("ab") as fleet:
         headers = {
@@ -238,7 +238,7 @@
         assert sum(len(place.backend.seen) for place in fleet.places) == 1
 
 
-async def test_nodes_that_start_at_the_same_moment_find_one_another():
+async def test_nodes_that_start_simultaneously_discover_each_other():
     """The whole fleet is restarted at once; every node finds an empty stream."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a", "b")))
@@ -246,7 +246,7 @@
         await fleet.wait_ready()
 
 
-async def test_zones_that_have_forgotten_each_other_come_together_again():
+async def test_zones_rejoin_after_members_have_expired():
     """Two regions lose each other for an hour; tombstones are long gone."""
     settings = FAST | {"fleet": FAST["fleet"] | {"discovery": 0.5}}
     async with run_fleet("ab", settings) as fleet:
@@ -277,8 +277,8 @@
         async with Client(nodes, KEY, timeout=5.0, attempts=1) as client:
             for _ in range(20):
                 calls = [client.call("archive", f"/{n}") for n in range(10)]
-                replies = await asyncio.gather(*calls, return_exceptions=True)
-                reasons |= {r.reason for r in replies if isinstance(r, Refusal)}
+                responses = await asyncio.gather(*calls, return_exceptions=True)
+                reasons |= {r.reason for r in responses if isinstance(r, Refusal)}
     assert reasons == {Reason.RATE_EXCEEDED}
 
 
@@ -289,9 +289,9 @@
         for _ in range(5):
             await fleet.add("a", "archive")
         await fleet.wait_ready()
-        held = [p for p in fleet.places if p.node.rates.holder.holds("north")]
-        entry = next(place for place in fleet.places if place is not held[0])
-        await fleet.kill(held[0])
+        holders = [p for p in fleet.places if p.node.rates.holder.holds("north")]
+        entry = next(place for place in fleet.places if place is not holders[0])
+        await fleet.kill(holders[0])
         async with Client([entry.callers], KEY, timeout=20.0) as client:
             outcomes = []
             while "served" not in outcomes:
