--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -268,13 +268,11 @@
             (TRACEPARENT, context.traceparent),
         ]
         head = build_head(call.method, call.target, pool.address, headers, call.body)
-        pending = self._unresponsive_detector.start(
-            connection, pool, context.idempotent
-        )
+        watch = self._unresponsive_detector.start(connection, pool, context.idempotent)
         try:
             response = await connection.exchange(head, call.body, call.method == "HEAD")
         finally:
-            self._unresponsive_detector.end(pending)
+            self._unresponsive_detector.end(watch)
         verdict = find_header(response.headers, VERDICT_HEADER)
         if response.status in (429, 503) and verdict == b"not run":
             self._queue.limit.note_shed(time.monotonic())
--- a/primroseglade/calls/unresponsive_connections.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -17,7 +17,7 @@
 OnUnresponsive = Callable[[Pool, int], None]
 
 
-class PendingRequest:
+class Watch:
     """A request whose first response byte has not arrived yet."""
 
     __slots__ = ("connection", "idempotent", "pool", "started", "timer")
@@ -30,7 +30,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     @property
-    def is_waiting(self) -> bool:
+    def waiting(self) -> bool:
         """Whether no byte of the response has arrived on the open connection."""
         return not self.connection.first_byte_received and not self.connection.closed
 
@@ -59,67 +59,65 @@
         self._min_timeout = min_timeout
         self._get_latency = get_latency
         self._on_unresponsive = on_unresponsive
-        self._pending: set[PendingRequest] = set()
+        self._watches: set[Watch] = set()
         self._probes: set[asyncio.Task[None]] = set()
 
-    def start(
-        self, connection: Connection, pool: Pool, idempotent: bool
-    ) -> PendingRequest:
+    def start(self, connection: Connection, pool: Pool, idempotent: bool) -> Watch:
         """Start to monitor a request that is about to be sent."""
-        pending = PendingRequest(connection, pool, idempotent)
-        self._pending.add(pending)
+        watch = Watch(connection, pool, idempotent)
+        self._watches.add(watch)
         if connection.reused:
-            self._schedule_probe(pending)
-        return pending
+            self._schedule_probe(watch)
+        return watch
 
-    def end(self, pending: PendingRequest) -> None:
+    def end(self, watch: Watch) -> None:
         """Stop monitoring a request: a response has arrived, or it was cancelled."""
-        self._pending.discard(pending)
-        if pending.timer is not None:
-            pending.timer.cancel()
+        self._watches.discard(watch)
+        if watch.timer is not None:
+            watch.timer.cancel()
 
-    def _schedule_probe(self, pending: PendingRequest) -> None:
+    def _schedule_probe(self, watch: Watch) -> None:
         loop = asyncio.get_running_loop()
-        pending.timer = loop.call_later(
-            self._get_first_byte_timeout(), self._start_probe, pending
+        watch.timer = loop.call_later(
+            self._get_first_byte_timeout(), self._start_probe, watch
         )
 
     def _get_first_byte_timeout(self) -> float:
         return max(self._min_timeout, LATENCY_MULTIPLIER * self._get_latency())
 
-    def _start_probe(self, pending: PendingRequest) -> None:
-        if not pending.is_waiting:
+    def _start_probe(self, watch: Watch) -> None:
+        if not watch.waiting:
             return
-        task = asyncio.get_running_loop().create_task(self._probe_and_replace(pending))
+        task = asyncio.get_running_loop().create_task(self._probe_and_replace(watch))
         self._probes.add(task)
         task.add_done_callback(self._probes.discard)
 
-    async def _probe_and_replace(self, pending: PendingRequest) -> None:
+    async def _probe_and_replace(self, watch: Watch) -> None:
         """Probe on a new connection, and close the old ones if only it gets a response.
 
         A non-idempotent call keeps waiting: its response may still arrive, and closing
         its connection would gain nothing, since it must not be retried.
         """
-        answered = await pending.pool.probe()
-        if pending not in self._pending or not pending.is_waiting:
+        answered = await watch.pool.probe()
+        if watch not in self._watches or not watch.waiting:
             return
-        if not answered or self._is_service_slow(pending.pool):
-            self._schedule_probe(pending)
+        if not answered or self._is_service_slow(watch.pool):
+            self._schedule_probe(watch)
             return
-        self._on_unresponsive(pending.pool, pending.pool.close_idle())
-        if pending.idempotent:
-            pending.connection.close()
+        self._on_unresponsive(watch.pool, watch.pool.close_idle())
+        if watch.idempotent:
+            watch.connection.close()
 
     def _is_service_slow(self, pool: Pool) -> bool:
         """Return whether calls on new connections have to wait as well."""
-        started_before = (
+        oldest = (
             time.monotonic()
             - NEW_CONNECTION_TIMEOUT_FRACTION * self._get_first_byte_timeout()
         )
         return any(
-            pending.pool is pool
-            and not pending.connection.reused
-            and pending.is_waiting
-            and pending.started < started_before
-            for pending in self._pending
+            watch.pool is pool
+            and not watch.connection.reused
+            and watch.waiting
+            and watch.started < oldest
+            for watch in self._watches
         )
