--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Losses, pauses, silent connections, forged messages: what users see of them."""
+"""Effects on callers: crashes, draining, unresponsive connections, overload, rates."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 @contextlib.asynccontextmanager
 async def run_behind_link():
-    """Run a node whose backend server is behind a link, and one more of the kind."""
+    """Run two nodes of a service; the first one's backend server is behind a link."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a",)))
         place = await fleet.add("a")
@@ -56,7 +56,7 @@
 
 
 async def test_idempotent_calls_survive_the_crash_of_an_instance():
-    """A machine dies; sweepers who look records up must not notice."""
+    """Guards against failed reads: calls are retried elsewhere if a machine dies."""
     async with run_fleet("aab") as fleet:
         async with Client([fleet.places[0].callers], KEY) as client:
             await fleet.kill(fleet.places[1])
@@ -82,10 +82,10 @@
 
 
 async def test_unresponsive_connections_are_replaced():
-    """Something between node and backend server forgets their open connections.
+    """Guards against calls that hang until their deadline on dead connections.
 
-    What is sent on them vanishes without a sign, while new connections work. A
-    sweeper's look-up would hang until its deadline, and so would the next ones.
+    A device between node and backend server drops the state of open connections. What
+    is sent on them is lost without an error, while new connections work.
     """
     async with run_behind_link() as (_, place, _, link):
         async with Client([place.callers], KEY, timeout=8.0, attempts=1) as client:
@@ -98,10 +98,10 @@
 
 
 async def test_non_idempotent_call_on_an_unresponsive_connection_is_not_retried():
-    """A payout is sent on a connection that nobody knows any more.
+    """Guards against running a payout twice.
 
-    Whether it arrived cannot be known. It must not be sent again, and its verdict
-    must not be "not run".
+    The call is sent on a connection whose state was dropped on the way. The node cannot
+    know whether it arrived, so it must not retry it or report "not run".
     """
     async with run_behind_link() as (fleet, place, backend, link):
         async with Client([place.callers], KEY, timeout=1.5) as client:
@@ -129,10 +129,10 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 async def test_slow_call_is_not_mistaken_for_an_unresponsive_connection(method):
-    """A certificate takes long to issue; its connection is an old one, and well.
+    """Guards against retries of calls that are merely slow, on reused connections.
 
-    Were it cut and the call sent elsewhere, a slow service would get each of its
-    slow calls twice, and be slower still.
+    Otherwise a slow service would receive each slow call twice, and become even
+    slower.
     """
     async with run_fleet("aa", work=0.001) as fleet:
         place = fleet.places[0]
@@ -154,10 +154,10 @@
 
 
 async def test_retries_of_a_chain_are_bounded_however_it_fails():
-    """Every service of a deep chain refuses; each hop would like to try again.
+    """Guards against retries that multiply at each hop of a deep call chain.
 
-    Each relay keeps one token and sends the others on, so that of four at most two
-    are left at the last hop, where five instances refuse.
+    Each relay keeps one retry token and passes on the others, so that of four at most
+    two are left at the last hop, where five instances shed all calls.
     """
     services = ("s0", "s1", "s2", "s3")
     settings = FAST | {"retries": {"tokens": 4}}
@@ -188,7 +188,7 @@
 
 
 async def test_retry_budget_of_a_node_holds_when_all_calls_fail():
-    """All backend servers shed; retries must not keep them overloaded."""
+    """Guards against retries that sustain an overload when all backend servers shed."""
     async with run_fleet("aaa", shed_over=0, work=0.001) as fleet:
         node = fleet.places[0].node
         async with Client([fleet.places[0].callers], KEY, attempts=1) as client:
@@ -201,10 +201,11 @@
 
 
 def test_retry_budgets_of_workspaces_are_independent():
-    """A partner sends five times its part; its calls are shed and tried again.
+    """Guards against one workspace using up the retries of the others.
 
-    Counted together, its retries left none for a workspace of which one call in six
-    met a full queue, and that call failed although the next server was free.
+    One workspace sends five times its share; its calls are shed and retried. With a
+    common budget, no retry was left for another workspace, of which one call in six met
+    a full queue: that call failed although the next server was free.
     """
     retry_budget = RetryShare(0.1)
     for _ in range(100):
@@ -216,7 +217,7 @@
 
 
 async def test_operation_retried_in_another_zone_is_refused():
-    """A payout's answer is lost; the caller tries again through another zone."""
+    """Guards against running a payout twice if its response is lost."""
     async with run_fleet("ab") as fleet:
         headers = {
             "Authorization": f"Bearer {KEY}",
@@ -239,7 +240,7 @@
 
 
 async def test_nodes_that_start_simultaneously_discover_each_other():
-    """The whole fleet is restarted at once; every node finds an empty stream."""
+    """Guards against nodes that stay alone when all start with an empty stream."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a", "b")))
         await asyncio.gather(*(fleet.add(zone) for zone in "aabb"))
@@ -247,7 +248,10 @@
 
 
 async def test_zones_rejoin_after_members_have_expired():
-    """Two regions lose each other for an hour; tombstones are long gone."""
+    """Guards against a permanent split after an hour-long partition.
+
+    By then the tombstones of the other zone's members have expired.
+    """
     settings = FAST | {"fleet": FAST["fleet"] | {"discovery": 0.5}}
     async with run_fleet("ab", settings) as fleet:
         fleet.cut_zone("b", from_platform=False, from_zones=True)
@@ -261,10 +265,11 @@
 
 
 async def test_workspace_over_its_rate_is_told_so_at_once():
-    """A partner sends many times its rate through all nodes.
+    """Guards against slow refusals when no zone has a whole token left.
 
-    No zone has a whole token. The holders used to ask one another on and on for
-    fractions; callers waited for seconds and were told that no holder answers.
+    A workspace sends many times its rate through all nodes. The lease holders requested
+    fractions of tokens from each other without end; callers waited for seconds, and the
+    refusal said that no holder responds.
     """
     async with EmbeddedFleet(FAST) as fleet:
         document = build_document(("a", "b"), per_second=2.0, burst=2.0)
@@ -283,7 +288,7 @@
 
 
 async def test_call_waits_while_the_holder_of_its_rate_is_replaced():
-    """The machine that held a tenant's tokens dies; no other zone has any share."""
+    """Guards against long refusals after the only lease holder of a workspace dies."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a",)))
         for _ in range(5):
@@ -302,5 +307,5 @@
                     assert refusal.reason is Reason.RATE_UNAVAILABLE
                     assert refusal.verdict is Verdict.NOT_RUN
                     outcomes.append("refused")
-        # Each refusal took the second that a hand-over is waited for.
+        # Each refusal comes after one second of waiting for the new lease holder.
         assert len(outcomes) <= 6
