--- a/primroseglade/calls/headers.py
+++ b/primroseglade/calls/headers.py
@@ -54,7 +54,7 @@
 def filter_request_headers(headers: Headers) -> Headers:
     """Return the request headers to forward, without API key and node headers.
 
-    >>> keep_request_headers([(b"authorization", b"Bearer k"), (b"accept", b"*/*")])
+    >>> filter_request_headers([(b"authorization", b"Bearer k"), (b"accept", b"*/*")])
     [(b'accept', b'*/*')]
     """
     return _filter(headers, _DROPPED_FROM_REQUESTS)
