--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -126,7 +126,7 @@
 
     @property
     def in_flight(self) -> InFlight:
-        """Counts the calls that it is processing."""
+        """The count of calls that it is processing."""
         return self._in_flight
 
     @property
@@ -197,7 +197,7 @@
         self._metrics.queue_seconds.observe(waited)
         slot_transferred = False
         try:
-            # Key and backend server may have been withdrawn while the call was queued.
+            # The key may have been withdrawn, or the server drained, in the meantime.
             refusal = build_key_refusal(self._is_key_valid, call.context)
             if refusal is not None:
                 raise refusal
@@ -218,7 +218,7 @@
             raise _build_draining_refusal()
 
     async def _send(self, call: Call) -> tuple[Reply, bool]:
-        """Return the reply, and whether closing it is what releases the slot."""
+        """Return the reply, and whether its ``close`` will release the slot."""
         assert self._pool is not None
         pool = self._pool
         started = time.monotonic()
--- a/primroseglade/calls/connections.py
+++ b/primroseglade/calls/connections.py
@@ -121,17 +121,17 @@
             self._reject_response(f"invalid HTTP/1.1 response: {error}")
 
     def on_message_begin(self) -> None:
-        """Parser callback."""
+        """Handle the start of a response; called by the parser."""
         if self._parser is None:
             self._reusable = False
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback."""
+        """Handle a header; called by the parser."""
         self._headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Parser callback."""
+        """Handle the end of the headers; called by the parser."""
         if self._parser is None:
             # A second response to one request; the connection will not be reused.
             return
@@ -162,7 +162,7 @@
             self._resolve_ready()
 
     def on_body(self, body: bytes) -> None:
-        """Parser callback."""
+        """Handle a part of the body; called by the parser."""
         if self._response is None:
             return
         self._chunks.append(body)
@@ -175,7 +175,7 @@
             self._body_event.set()
 
     def on_message_complete(self) -> None:
-        """Parser callback."""
+        """Handle the end of a response; called by the parser."""
         if self._response is not None and not self._response.complete:
             self._complete()
 
@@ -196,8 +196,8 @@
                 await self._send_stream(head, body)
             await self._ready
         except BaseException:
-            # Cancelled by a deadline or by a caller that disconnected: what the other
-            # end still reads or sends would mix with the next call.
+            # The deadline passed or the caller disconnected. What the other end still
+            # reads or sends would be mixed up with the next call.
             self._reusable = False
             raise
         assert self._response is not None
@@ -287,7 +287,7 @@
         self._reusable = False
         if self._ready is not None and not self._ready.done():
             self._ready.set_exception(error)
-            # Marks the error as retrieved, as nobody awaits a cancelled request.
+            # Marks the error as retrieved, since a cancelled request is not awaited.
             self._ready.exception()
         if self._body_event is not None:
             self._body_event.set()
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -177,7 +177,7 @@
     def _record_refusal(self, member: Member, refusal: Refusal) -> None:
         stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
-            # It is full, whatever load it last reported.
+            # Treat it as full, whatever load it last reported.
             stats.reported_load = max(
                 stats.reported_load, stats.concurrency_limit or member.slots or 1
             )
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -113,7 +113,7 @@
             await self._send_reply(exchange, reply, record)
 
     async def _read_body(self, exchange: HttpExchange, context: Context) -> Body:
-        """Read the body, or only its beginning if it is large, before the deadline."""
+        """Buffer a small body within the deadline; leave a large one to be streamed."""
         try:
             async with asyncio.timeout(context.remaining):
                 return await exchange.read_body()
