--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -107,7 +107,7 @@
             body = await self._read_body(exchange, context)
             call = Call(record.service, exchange.method, target, headers, body, context)
             record.call = call
-            # The last of all checks, so that a call refused above costs no token.
+            # The rate is charged after all other checks: a refused call costs no token.
             await self._rate_limiter.charge(context.workspace, context.remaining)
             reply = await self._dispatch_or_record(exchange, call)
             await self._send_reply(exchange, reply, record)
--- a/primroseglade/calls/handles.py
+++ b/primroseglade/calls/handles.py
@@ -59,7 +59,7 @@
         trace=TraceParent(parent.trace.trace, parent.call, parent.trace.sampled),
         workspace=parent.workspace,
         key=parent.key,
-        # The nested calls of an important call are as important as it is.
+        # A nested call is at least as important as its parent, which depends on it.
         importance=max(parent.importance, importance),
         deadline=parent.deadline,
         depth=parent.depth + 1,
