--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -1,4 +1,4 @@
-"""The backend server beside this node: its state, admission, and calls to it."""
+"""The local backend server of this node: its state, admission, and calls to it."""
 
 import asyncio
 import time
@@ -18,32 +18,32 @@
 from ..observe.metrics import Metrics
 from ..settings.node import NodeSettings
 from ..verdicts import not_run, Reason, Refusal, Verdict
-from .call import Answer, Call, InFlight
-from .connections import build_head, Connection, iterate_until, Response
-from .handles import Handles, refuse_withdrawn
+from .call import Call, InFlight, Reply
+from .connections import build_head, Connection, iterate_until_deadline, Response
+from .handles import build_key_refusal, Handles
 from .headers import (
     DEADLINE_MS,
+    filter_response_headers,
     find_header,
     HANDLE,
-    keep_answer_headers,
     TRACEPARENT,
     WORKSPACE,
 )
 from .pool import Pool
-from .silence import SilenceWatch
+from .unresponsive_connections import UnresponsiveConnectionDetector
 
-VERDICT = b"primroseglade-verdict"
+VERDICT_HEADER = b"primroseglade-verdict"
 
 
 class Announcement:
-    """What a backend server says of itself.
+    """What a backend server announces to its local node.
 
     Args:
-        service: What it serves.
+        service: Name of the service.
         address: ``IP:PORT``.
-        slots: Calls that it takes at once, or None.
-        connections: Connections that it takes, or None.
-        draining: Whether it wants no new calls.
+        slots: Maximum number of concurrent calls, or None if not stated.
+        connections: Maximum number of connections, or None if not stated.
+        draining: Whether it accepts no new calls.
     """
 
     __slots__ = ("address", "connections", "draining", "service", "slots")
@@ -68,77 +68,77 @@
 
     Args:
         settings: Limits and timeouts.
-        trusts: Whether the document trusts an address for a service.
-        holds_key: Whether a workspace's key still stands.
-        on_change: Called when it starts or stops serving.
+        is_trusted: Returns whether the document trusts an address for a service.
+        is_key_valid: Returns whether a key of a workspace is valid.
+        on_change: Called when the backend server starts or stops serving.
         handles: Issues handles for nested calls.
-        journal: Told of its state.
-        metrics: Counts its calls.
+        journal: Logs changes of its state.
+        metrics: Records queueing times and unresponsive connections.
     """
 
     def __init__(
         self,
         settings: NodeSettings,
-        trusts: Callable[[str, str], bool],
-        holds_key: Callable[[str, str], bool],
+        is_trusted: Callable[[str, str], bool],
+        is_key_valid: Callable[[str, str], bool],
         on_change: Callable[[], None],
         handles: Handles,
         journal: Journal,
         metrics: Metrics,
     ):
         self._settings = settings
-        self._trusts = trusts
-        self._holds_key = holds_key
+        self._is_trusted = is_trusted
+        self._is_key_valid = is_key_valid
         self._on_change = on_change
         self._handles = handles
         self._journal = journal
         self._metrics = metrics
         self._announcement: Announcement | None = None
         self._pool: Pool | None = None
-        self._leaving = False
+        self._stopping = False
         self._in_flight = InFlight()
         self._queue = AdmissionQueue(
             ConcurrencyLimit(settings.limits.slots),
             settings.limits.queue,
             settings.timeouts.queue,
         )
-        self._watch = SilenceWatch(
+        self._unresponsive_detector = UnresponsiveConnectionDetector(
             settings.timeouts.silence,
             lambda: self._queue.limit.latency,
-            self._tell_silence,
+            self._report_unresponsive,
         )
 
     @property
     def announcement(self) -> Announcement | None:
-        """What it said last, or None."""
+        """The last announcement, or None if there is none."""
         return self._announcement
 
     @property
     def serving(self) -> bool:
-        """Whether it takes new calls."""
+        """Whether it accepts new calls."""
         announced = self._announcement
-        return announced is not None and not announced.draining and not self._leaving
+        return announced is not None and not announced.draining and not self._stopping
 
     @property
     def queue(self) -> AdmissionQueue:
-        """The calls that wait for it."""
+        """The queue of calls that wait for a slot."""
         return self._queue
 
     @property
     def in_flight(self) -> InFlight:
-        """The calls that it has."""
+        """The count of calls that it is processing."""
         return self._in_flight
 
     @property
     def load(self) -> bytes:
-        """In flight, limit and queued, as answers tell other nodes."""
+        """Calls in flight, limit and queue length, as reported to other nodes."""
         queue = self._queue
         return b"%d,%d,%d" % (queue.in_flight, queue.limit.value, queue.size)
 
     def announce(self, announcement: Announcement) -> bool:
-        """Take an announcement; False where the document does not trust it."""
+        """Apply an announcement; return False if the document does not trust it."""
         known = self._announcement
-        if not self._trusts(announcement.service, announcement.address):
+        if not self._is_trusted(announcement.service, announcement.address):
             if known is None or known.address != announcement.address:
                 self._journal.emit(
                     BACKEND_REFUSED,
@@ -150,7 +150,7 @@
         is_new = known is None or known.address != announcement.address
         self._announcement = announcement
         if is_new:
-            self._connect(announcement)
+            self._replace_pool(announcement)
         elif known is not None and known.slots != announcement.slots:
             self._queue.replace_limit(self._build_limit(announcement))
         if is_new or was_serving != self.serving:
@@ -161,51 +161,51 @@
             self._on_change()
         return True
 
-    def withdraw(self) -> None:
-        """Forget it: it left, or nobody trusts it any more."""
+    def deregister(self) -> None:
+        """Stop serving: it has deregistered, or the document no longer trusts it."""
         self._announcement = None
         if self._pool is not None:
             self._pool.close_idle()
-        self._queue.refuse_where(lambda _: _refuse_draining())
+        self._queue.refuse_where(lambda _: _build_draining_refusal())
         self._on_change()
 
     def leave(self) -> None:
-        """Take no new calls: this node stops."""
-        self._leaving = True
+        """Accept no new calls, as this node is stopping."""
+        self._stopping = True
         self._on_change()
 
     def apply_document(self) -> None:
-        """Drop what the document withdrew: waiting calls, and the server itself."""
+        """Refuse queued calls of withdrawn keys; deregister the server if untrusted."""
         self._queue.refuse_where(
-            lambda context: refuse_withdrawn(self._holds_key, context)
+            lambda context: build_key_refusal(self._is_key_valid, context)
         )
         announced = self._announcement
-        if announced and not self._trusts(announced.service, announced.address):
+        if announced and not self._is_trusted(announced.service, announced.address):
             self._journal.emit(
                 BACKEND_WITHDRAWN, service=announced.service, address=announced.address
             )
-            self.withdraw()
+            self.deregister()
 
-    async def serve(self, call: Call) -> Answer:
-        """Admit a call and send it.
+    async def serve(self, call: Call) -> Reply:
+        """Admit a call, send it to the backend server and return the reply.
 
         Raises:
-            Refusal: With the verdict that is known.
+            Refusal: Not admitted, or no complete response in time.
         """
         self._check_serving(call)
         waited = await self._queue.acquire(call.context)
         self._metrics.queue_seconds.observe(waited)
-        released = False
+        slot_transferred = False
         try:
-            # The key or the backend server may have gone while the call waited.
-            refusal = refuse_withdrawn(self._holds_key, call.context)
+            # The key may have been withdrawn, or the server drained, in the meantime.
+            refusal = build_key_refusal(self._is_key_valid, call.context)
             if refusal is not None:
                 raise refusal
             self._check_serving(call)
-            answer, released = await self._send(call)
-            return answer
+            reply, slot_transferred = await self._send(call)
+            return reply
         finally:
-            if not released:
+            if not slot_transferred:
                 self._queue.release()
 
     def _check_serving(self, call: Call) -> None:
@@ -215,15 +215,15 @@
                 Reason.NO_BACKEND_SERVER, f"no backend server of {call.service} here"
             )
         if not self.serving:
-            raise _refuse_draining()
+            raise _build_draining_refusal()
 
-    async def _send(self, call: Call) -> tuple[Answer, bool]:
-        """Return the answer, and whether its stream gives the turn back later."""
+    async def _send(self, call: Call) -> tuple[Reply, bool]:
+        """Return the reply, and whether its ``close`` will release the slot."""
         assert self._pool is not None
         pool = self._pool
         started = time.monotonic()
         handle = self._handles.issue(call.context)
-        streams = False
+        is_streamed = False
         self._in_flight.__enter__()
         connection: Connection | None = None
         try:
@@ -232,28 +232,28 @@
             ):
                 connection = await pool.acquire()
                 response = await self._exchange(call, connection, pool, handle)
-            self._note(response, started)
-            headers = keep_answer_headers(response.headers)
+            self._record_latency(response, started)
+            headers = filter_response_headers(response.headers)
             if response.complete:
-                answer = Answer(response.status, headers, connection.take_held())
-                answer.shed = call.context.shed and response.status >= 500
-                return answer, False
-            streams = True
-            stream = iterate_until(connection, call.context)
+                reply = Reply(response.status, headers, connection.take_buffered())
+                reply.shed = call.context.shed and response.status >= 500
+                return reply, False
+            is_streamed = True
+            stream = iterate_until_deadline(connection, call.context)
 
             def close() -> None:
-                self._finish(connection, pool, handle)
+                self._release(connection, pool, handle)
                 self._queue.release()
 
-            answer = Answer(
+            reply = Reply(
                 response.status, headers, None, response.length, stream, close
             )
-            return answer, True
+            return reply, True
         except TimeoutError as error:
-            raise self._build_timeout(connection) from error
+            raise self._build_timeout_refusal(connection) from error
         finally:
-            if not streams:
-                self._finish(connection, pool, handle)
+            if not is_streamed:
+                self._release(connection, pool, handle)
 
     async def _exchange(
         self, call: Call, connection: Connection, pool: Pool, handle: bytes
@@ -268,45 +268,50 @@
             (TRACEPARENT, context.traceparent),
         ]
         head = build_head(call.method, call.target, pool.address, headers, call.body)
-        watch = self._watch.start(connection, pool, context.idempotent)
+        watch = self._unresponsive_detector.start(connection, pool, context.idempotent)
         try:
             response = await connection.exchange(head, call.body, call.method == "HEAD")
         finally:
-            self._watch.end(watch)
-        verdict = find_header(response.headers, VERDICT)
+            self._unresponsive_detector.end(watch)
+        verdict = find_header(response.headers, VERDICT_HEADER)
         if response.status in (429, 503) and verdict == b"not run":
             self._queue.limit.note_shed(time.monotonic())
             raise not_run(
                 Reason.OVERLOADED,
-                "the backend server refused before it started",
+                "the backend server refused the call without running it",
                 self._queue.estimate_retry_after(),
             )
         return response
 
-    def _tell_silence(self, pool: Pool, idle_closed: int) -> None:
+    def _report_unresponsive(self, pool: Pool, idle_closed: int) -> None:
         self._metrics.silent_connections.inc()
         self._journal.emit(
             BACKEND_SILENT, address=pool.address, idle_closed=idle_closed
         )
 
-    def _note(self, response: Response, started: float) -> None:
+    def _record_latency(self, response: Response, started: float) -> None:
         now = time.monotonic()
         in_flight = self._queue.in_flight
         self._queue.limit.note_served(now - started, in_flight, now)
 
-    def _finish(self, connection: Connection | None, pool: Pool, handle: bytes) -> None:
+    def _release(
+        self, connection: Connection | None, pool: Pool, handle: bytes
+    ) -> None:
         if connection is not None:
             pool.release(connection)
-        self._handles.withdraw(handle)
+        self._handles.revoke(handle)
         self._in_flight.__exit__()
 
-    def _build_timeout(self, connection: Connection | None) -> Refusal:
-        detail = "no whole answer before the deadline"
+    def _build_timeout_refusal(self, connection: Connection | None) -> Refusal:
+        detail = "no complete response before the deadline"
         if connection is None:
-            return not_run(Reason.DEADLINE_EXCEEDED, "no connection was free in time")
+            return not_run(
+                Reason.DEADLINE_EXCEEDED,
+                "no connection became available before the deadline",
+            )
         return Refusal(Reason.DEADLINE_EXCEEDED, Verdict.MAY_HAVE_RUN, detail)
 
-    def _connect(self, announced: Announcement) -> None:
+    def _replace_pool(self, announced: Announcement) -> None:
         if self._pool is not None:
             self._pool.close_idle()
         self._pool = Pool(
@@ -321,7 +326,7 @@
         return ConcurrencyLimit(self._settings.limits.slots, announced.slots)
 
     def to_dict(self) -> dict[str, Any]:
-        """Return its state for the operator address."""
+        """Return its state for the operator pages."""
         announced = self._announcement
         return {
             "service": announced.service if announced else "",
@@ -335,5 +340,7 @@
         }
 
 
-def _refuse_draining() -> Refusal:
-    return not_run(Reason.DRAINING, "takes no new calls", retry_after=1.0)
+def _build_draining_refusal() -> Refusal:
+    return not_run(
+        Reason.DRAINING, "the backend server accepts no new calls", retry_after=1.0
+    )
--- a/primroseglade/calls/connections.py
+++ b/primroseglade/calls/connections.py
@@ -1,8 +1,8 @@
-"""Kept-alive HTTP/1.1 connections to one address, over httptools' parser.
+"""Persistent HTTP/1.1 client connections, based on the parser of httptools.
 
-This is the project's own because of what it must tell apart: whether any byte of a
-call left, whether a first byte came back, and whether an answer is whole. Client
-libraries fold these into one error, and some repeat a request by themselves.
+Client libraries do not report whether any byte of a request was sent, whether a first
+byte of the response arrived, and whether the response is complete: they fold these
+into one error, and some retry requests by themselves.
 """
 
 import asyncio
@@ -15,15 +15,16 @@
 from .call import Body, Context
 from .headers import Headers
 
-HIGH_WATER_BYTES = 256 * 1024
-# A peer that vanished without closing, or a link that lost track of the connection:
-# the kernel finds the first kind within these seconds.
-KEEP_ALIVE_IDLE_SECONDS = 2
-UNACKNOWLEDGED_MS = 4000
+# Amount of unread body at which reading from the connection pauses.
+READ_HIGH_WATER_BYTES = 256 * 1024
+# With these times the kernel detects a peer that vanished without closing the
+# connection, but not a device in between that dropped the connection's state.
+TCP_KEEPALIVE_IDLE_SECONDS = 2
+TCP_USER_TIMEOUT_MS = 4000
 
 
 class Response:
-    """The head of an answer, and its body as far as it has come."""
+    """Status and headers of a response, and whether its body is complete."""
 
     __slots__ = ("complete", "headers", "length", "status")
 
@@ -35,14 +36,14 @@
 
 
 class Connection(asyncio.Protocol):
-    """One connection, one request at a time.
+    """A connection that carries one request at a time.
 
     Args:
-        hold_bytes: Bodies up to this size are waited for whole.
+        max_buffered_bytes: Maximum size of a response body that is buffered completely.
     """
 
-    def __init__(self, hold_bytes: int):
-        self._hold_bytes = hold_bytes
+    def __init__(self, max_buffered_bytes: int):
+        self._max_buffered_bytes = max_buffered_bytes
         self._transport: asyncio.Transport | None = None
         self._parser: httptools.HttpResponseParser | None = None
         self._headers: Headers = []
@@ -50,23 +51,23 @@
         self._size = 0
         self._response: Response | None = None
         self._ready: asyncio.Future[None] | None = None
-        self._more: asyncio.Event | None = None
+        self._body_event: asyncio.Event | None = None
         self._writable = asyncio.Event()
         self._writable.set()
         self._head_only = False
         self._reusable = True
         self._error: Refusal | None = None
-        self.first_byte = False
+        self.first_byte_received = False
         self.idle_since = 0.0
 
     @property
     def reused(self) -> bool:
-        """Whether it has carried a request before the present one."""
+        """Whether it has carried a request before the current one."""
         return bool(self.idle_since)
 
     @property
     def closed(self) -> bool:
-        """Whether nothing can be sent on it any more."""
+        """Whether it is closed or closing, so that nothing can be sent."""
         return self._transport is None or self._transport.is_closing()
 
     @property
@@ -76,56 +77,63 @@
         return self._reusable and done and not self.closed
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the options that find a dead peer."""
+        """Set the socket options that detect a dead peer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS)
+        set_dead_peer_options(
+            transport, TCP_KEEPALIVE_IDLE_SECONDS, TCP_USER_TIMEOUT_MS
+        )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what waits for an answer."""
+        """Fail the request in flight, if any."""
         self._transport = None
         self._writable.set()
         if self._response is not None and self._response.complete:
             return
-        self._fail(may_have_run(Reason.CONNECTION_LOST, "the connection was lost"))
+        self._fail(
+            may_have_run(
+                Reason.CONNECTION_LOST,
+                "the connection was lost before the response was complete",
+            )
+        )
 
     def pause_writing(self) -> None:
-        """Hold back a body that the other end does not read."""
+        """Pause sending of a request body that the other end does not read."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Go on with the body."""
+        """Resume sending of the request body."""
         self._writable.set()
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         if self._parser is None:
-            # Bytes that no request asked for: whatever they are, the next answer on
-            # this connection could not be told from them.
+            # Bytes that belong to no request: they could not be told apart from the
+            # next response on this connection.
             self.close()
             return
-        self.first_byte = True
+        self.first_byte_received = True
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._break_off("an answer that switches protocols")
+            self._reject_response("the response switches protocols")
         except httptools.HttpParserError as error:
-            self._break_off(f"not an HTTP/1.1 answer: {error}")
+            self._reject_response(f"invalid HTTP/1.1 response: {error}")
 
     def on_message_begin(self) -> None:
-        """Parser callback."""
+        """Handle the start of a response; called by the parser."""
         if self._parser is None:
             self._reusable = False
         self._headers = []
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Parser callback."""
+        """Handle a header; called by the parser."""
         self._headers.append((name.lower(), value.rstrip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """Parser callback."""
+        """Handle the end of the headers; called by the parser."""
         if self._parser is None:
-            # A second answer to one request; the connection is closed for it.
+            # A second response to one request; the connection will not be reused.
             return
         status = self._parser.get_status_code()
         if status < 200:
@@ -141,74 +149,78 @@
         if not self._parser.should_keep_alive():
             self._reusable = False
         if self._head_only:
-            # The parser waits for a body that a HEAD's answer does not have.
+            # The parser waits for a body, which a response to HEAD does not have.
             self._reusable = False
             self._complete()
         elif length is None and not chunked and status not in (204, 304):
-            # Its end would be the connection's end, which a lost connection shows
-            # just the same: whether the answer is whole could not be known.
-            self._break_off("an answer without a length")
-        elif length is not None and length > self._hold_bytes:
-            self._wake()
+            # The body would end where the connection ends, so that a complete response
+            # could not be told apart from a lost connection.
+            self._reject_response(
+                "the response has no content-length and is not chunked"
+            )
+        elif length is not None and length > self._max_buffered_bytes:
+            self._resolve_ready()
 
     def on_body(self, body: bytes) -> None:
-        """Parser callback."""
+        """Handle a part of the body; called by the parser."""
         if self._response is None:
             return
         self._chunks.append(body)
         self._size += len(body)
-        if self._size > self._hold_bytes:
-            self._wake()
-        if self._size > HIGH_WATER_BYTES and self._transport is not None:
+        if self._size > self._max_buffered_bytes:
+            self._resolve_ready()
+        if self._size > READ_HIGH_WATER_BYTES and self._transport is not None:
             self._transport.pause_reading()
-        if self._more is not None:
-            self._more.set()
+        if self._body_event is not None:
+            self._body_event.set()
 
     def on_message_complete(self) -> None:
-        """Parser callback."""
+        """Handle the end of a response; called by the parser."""
         if self._response is not None and not self._response.complete:
             self._complete()
 
     async def exchange(self, head: bytes, body: Body, head_only: bool) -> Response:
-        """Send a request and wait for its answer, whole or larger than is held.
+        """Send a request and wait for its response.
+
+        Returns once the body is complete, or exceeds the size that is buffered.
 
         Raises:
-            Refusal: With the verdict that the bytes sent and received allow.
+            Refusal: The connection was closed or lost, or the response is invalid.
         """
         self._begin(head_only)
         assert self._ready is not None and self._transport is not None
         try:
-            if body.held is not None:
-                self._transport.write(head + body.held)
+            if body.content is not None:
+                self._transport.write(head + body.content)
             else:
                 await self._send_stream(head, body)
             await self._ready
         except BaseException:
-            # Cut off in the middle, by a deadline or by a caller that went away:
-            # what the other end still reads or sends would mix with the next call.
+            # The deadline passed or the caller disconnected. What the other end still
+            # reads or sends would be mixed up with the next call.
             self._reusable = False
             raise
         assert self._response is not None
         return self._response
 
-    def take_held(self) -> bytes:
-        """Return the body that has come so far."""
-        held = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
+    def take_buffered(self) -> bytes:
+        """Return the part of the body that has been received, and clear the buffer."""
+        content = self._chunks[0] if len(self._chunks) == 1 else b"".join(self._chunks)
         self._chunks = []
         self._size = 0
-        return held
+        return content
 
     async def iterate_body(self) -> AsyncIterator[bytes]:
-        """Yield the body as it comes.
+        """Yield the body as it is received.
 
         Raises:
-            Refusal: It broke off.
+            Refusal: The body is truncated.
         """
         assert self._response is not None
-        self._more = asyncio.Event()
+        self._body_event = asyncio.Event()
         while True:
             if self._chunks:
-                yield self.take_held()
+                yield self.take_buffered()
                 if self._transport is not None:
                     self._transport.resume_reading()
                 continue
@@ -216,11 +228,11 @@
                 return
             if self._error is not None:
                 raise self._error
-            self._more.clear()
-            await self._more.wait()
+            self._body_event.clear()
+            await self._body_event.wait()
 
     def close(self) -> None:
-        """Close it; the other end takes that as a cancellation."""
+        """Abort the connection, which the other end takes as a cancellation."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -229,13 +241,16 @@
         self._chunks = []
         self._size = 0
         self._response = None
-        self._more = None
+        self._body_event = None
         self._error = None
         self._head_only = head_only
-        self.first_byte = False
+        self.first_byte_received = False
         self._ready = asyncio.get_running_loop().create_future()
         if self.closed:
-            raise not_run(Reason.CONNECTION_LOST, "the connection was closed before")
+            raise not_run(
+                Reason.CONNECTION_LOST,
+                "the connection was closed before the request was sent",
+            )
 
     async def _send_stream(self, head: bytes, body: Body) -> None:
         assert body.stream is not None and self._transport is not None
@@ -243,7 +258,7 @@
         self._transport.write(head)
         async for chunk in body.stream:
             if self.closed or (self._ready is not None and self._ready.done()):
-                # Answered, or lost, before the whole body was sent.
+                # A response arrived, or the connection was lost, before the body ended.
                 self._reusable = False
                 return
             if not chunk:
@@ -259,11 +274,11 @@
         assert self._response is not None
         self._response.complete = True
         self._parser = None if self._reusable else self._parser
-        self._wake()
-        if self._more is not None:
-            self._more.set()
+        self._resolve_ready()
+        if self._body_event is not None:
+            self._body_event.set()
 
-    def _break_off(self, detail: str) -> None:
+    def _reject_response(self, detail: str) -> None:
         self._fail(may_have_run(Reason.ANSWER_BROKEN, detail))
         self.close()
 
@@ -272,23 +287,23 @@
         self._reusable = False
         if self._ready is not None and not self._ready.done():
             self._ready.set_exception(error)
-            # A request that was given up has nobody left to see the error.
+            # Marks the error as retrieved, since a cancelled request is not awaited.
             self._ready.exception()
-        if self._more is not None:
-            self._more.set()
+        if self._body_event is not None:
+            self._body_event.set()
 
-    def _wake(self) -> None:
+    def _resolve_ready(self) -> None:
         if self._ready is not None and not self._ready.done():
             self._ready.set_result(None)
 
 
-async def iterate_until(
+async def iterate_until_deadline(
     connection: Connection, context: Context
 ) -> AsyncIterator[bytes]:
-    """Yield a body as it comes, up to the call's deadline.
+    """Yield the body of a response as it is received, until the call's deadline.
 
     Raises:
-        Refusal: It broke off, or the deadline passed before its end.
+        Refusal: The body is truncated, or the deadline passed before its end.
     """
     body = connection.iterate_body()
     while True:
@@ -296,7 +311,7 @@
             async with asyncio.timeout(context.remaining):
                 chunk = await anext(body, None)
         except TimeoutError as error:
-            detail = "the deadline passed in the middle of the answer"
+            detail = "the deadline passed while the response was received"
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         if chunk is None:
             return
@@ -306,7 +321,7 @@
 def build_head(
     method: str, target: bytes, host: str, headers: Headers, body: Body
 ) -> bytes:
-    """Return the bytes of a request's head; headers were checked on the way in."""
+    """Return the head of a request; its headers are not validated again."""
     lines = [b"%b %b HTTP/1.1" % (method.encode(), target), b"host: " + host.encode()]
     lines += [b"%b: %b" % header for header in headers]
     if body.length is not None:
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -1,4 +1,4 @@
-"""Sends a call to one backend server after another until one has answered."""
+"""Dispatches calls to backend servers, with retries on other instances."""
 
 import collections
 import random
@@ -18,63 +18,66 @@
     Verdict,
 )
 from .backend import BackendServer
-from .call import Answer, Call
+from .call import Call, Reply
 from .relay import Relay
 from .routing import Router
 
-# Of these a throttled call is told one at random, so that callers spread.
-THROTTLED_RETRY_SECONDS = (0.5, 1.5)
-UNREACHED = frozenset({Reason.CONNECTION_LOST, Reason.ANSWER_BROKEN})
+# Range of the random Retry-After of throttled calls, which spreads the retries out.
+THROTTLED_RETRY_AFTER_SECONDS = (0.5, 1.5)
+# Reasons that count as a failure of the connection to the backend server.
+CONNECTION_FAILURE_REASONS = frozenset({Reason.CONNECTION_LOST, Reason.ANSWER_BROKEN})
 
 
 class RetryShare:
-    """Keeps a node's retries for each workspace under a share of its first attempts.
+    """Limits a node's retries for each workspace to a ratio of its first attempts.
 
-    Retry tokens bound what one root call may cost. When every call fails at once,
-    each spends all of its tokens, and that much more load keeps the overload up
-    after its cause has gone; this bound then leaves hardly any. Workspaces are
-    counted apart: the retries of one whose calls are shed in numbers must not leave
-    none for the others.
+    Retry tokens limit the retries of one root call only. If all calls fail at once,
+    each spends all of its tokens, and the additional load sustains the overload after
+    its cause has gone. This budget then allows hardly any retries. It is kept per
+    workspace, so that one whose calls are shed in large numbers cannot use up the
+    retries of the others.
 
     Args:
-        share: Retries per first attempt.
+        ratio: Retries allowed per first attempt.
     """
 
-    RESERVE = 5.0
-    WORKSPACES_KEPT = 4096
-
-    def __init__(self, share: float):
-        self._share = share
-        self._levels: collections.OrderedDict[str, float] = collections.OrderedDict()
-
-    def note_first(self, workspace: str) -> None:
-        """Count a first attempt."""
-        level = self._levels.pop(workspace, self.RESERVE)
-        self._levels[workspace] = min(self.RESERVE, level + self._share)
-        if len(self._levels) > self.WORKSPACES_KEPT:
-            self._levels.popitem(last=False)
-
-    def take(self, workspace: str) -> bool:
-        """Take one retry, if there is one."""
-        level = self._levels.get(workspace, self.RESERVE)
-        if level < 1:
+    # Initial and maximum number of retries available to a workspace.
+    MAX_BALANCE = 5.0
+    # Workspaces tracked; beyond this, the least recently active one is evicted.
+    MAX_WORKSPACES = 4096
+
+    def __init__(self, ratio: float):
+        self._ratio = ratio
+        self._balances: collections.OrderedDict[str, float] = collections.OrderedDict()
+
+    def record_first_attempt(self, workspace: str) -> None:
+        """Record a first attempt, which adds ``ratio`` retries to the budget."""
+        balance = self._balances.pop(workspace, self.MAX_BALANCE)
+        self._balances[workspace] = min(self.MAX_BALANCE, balance + self._ratio)
+        if len(self._balances) > self.MAX_WORKSPACES:
+            self._balances.popitem(last=False)
+
+    def try_spend(self, workspace: str) -> bool:
+        """Return whether the budget allows a retry, and spend it if so."""
+        balance = self._balances.get(workspace, self.MAX_BALANCE)
+        if balance < 1:
             return False
-        self._levels[workspace] = level - 1
+        self._balances[workspace] = balance - 1
         return True
 
 
 class Dispatcher:
-    """Chooses, sends, and tries elsewhere as far as verdicts and bounds allow.
+    """Sends each call to a backend server, and retries it on another if allowed.
 
     Args:
-        members: This node and the others.
-        router: Chooses.
-        backend: The backend server beside this node.
-        relay: Reaches the others.
-        share: The node's bound on retries.
-        throttle: Knows what is being shed further on.
-        journal: Told of members that are left out.
-        metrics: Counts.
+        members: The members of the fleet.
+        router: Chooses the backend server.
+        backend: The backend server of this node.
+        relay: Sends calls to other nodes.
+        retry_budget: Limits the retries of this node.
+        throttle: Rejects calls of the kinds that are being shed downstream.
+        journal: Logs ejections.
+        metrics: Counts relayed, retried and throttled calls.
     """
 
     def __init__(
@@ -83,7 +86,7 @@
         router: Router,
         backend: BackendServer,
         relay: Relay,
-        share: RetryShare,
+        retry_budget: RetryShare,
         throttle: Throttle,
         journal: Journal,
         metrics: Metrics,
@@ -92,112 +95,117 @@
         self._router = router
         self._backend = backend
         self._relay = relay
-        self._share = share
+        self._retry_budget = retry_budget
         self._throttle = throttle
         self._journal = journal
         self._metrics = metrics
 
-    async def dispatch(self, call: Call, still_allowed: Callable[[], None]) -> Answer:
-        """Get a call answered.
+    async def dispatch(self, call: Call, check_key: Callable[[], None]) -> Reply:
+        """Send a call, with retries, and return the reply.
 
         Args:
             call: The call.
-            still_allowed: Raises a refusal where the call may not go on.
+            check_key: Raises a refusal if the call's key has been withdrawn; called
+                before each attempt.
 
         Raises:
-            Refusal: The last one, with a verdict that holds for all attempts.
+            Refusal: That of the last attempt, with a verdict that covers all attempts.
         """
         if not self._throttle.admits(call.service, call.context):
             self._metrics.throttled.inc()
             raise not_run(
                 Reason.OVERLOADED,
-                "calls like this one are being shed further on",
-                random.uniform(*THROTTLED_RETRY_SECONDS),
+                "calls of this kind are being shed downstream",
+                random.uniform(*THROTTLED_RETRY_AFTER_SECONDS),
             )
         try:
-            answer = await self._try_until_answered(call, still_allowed)
+            reply = await self._send_with_retries(call, check_key)
         except Refusal as refusal:
-            self._note_end(call, refusal.reason in LOAD_SHEDDING_REASONS)
+            self._record_outcome(call, refusal.reason in LOAD_SHEDDING_REASONS)
             raise
-        self._note_end(call, answer.shed)
-        return answer
+        self._record_outcome(call, reply.shed)
+        return reply
 
-    def _note_end(self, call: Call, shed: bool) -> None:
+    def _record_outcome(self, call: Call, shed: bool) -> None:
         if shed:
             self._throttle.note_shed(call.service, call.context)
         else:
             self._throttle.note_accepted(call.service, call.context)
 
-    async def _try_until_answered(
-        self, call: Call, still_allowed: Callable[[], None]
-    ) -> Answer:
-        self._share.note_first(call.context.workspace)
-        refused: set[str] = set()
+    async def _send_with_retries(
+        self, call: Call, check_key: Callable[[], None]
+    ) -> Reply:
+        self._retry_budget.record_first_attempt(call.context.workspace)
+        excluded: set[str] = set()
         verdict = Verdict.NOT_RUN
         while True:
-            member = self._router.choose(call.service, refused)
+            member = self._router.choose(call.service, excluded)
             if member is None:
-                detail = f"no backend server of {call.service} takes calls"
+                detail = f"no backend server of {call.service} accepts calls"
                 raise not_run(Reason.NO_BACKEND_SERVER, detail, retry_after=1.0)
             try:
-                still_allowed()
+                check_key()
                 return await self._send(call, member)
             except Refusal as refusal:
-                refused.add(member.instance)
+                excluded.add(member.instance)
                 if refusal.verdict is not Verdict.NOT_RUN:
                     verdict = refusal.verdict
-                # An attempt that was lost may have run, whatever the last one says.
+                # An earlier attempt may have run even if the last one did not.
                 refusal.verdict = verdict
-                if not self._may_retry(call, refusal, refused):
+                if not self._try_reserve_retry(call, refusal, excluded):
                     raise
 
-    async def _send(self, call: Call, member: Member) -> Answer:
-        peer = self._router.get_peer(member.instance)
-        peer.in_flight += 1
+    async def _send(self, call: Call, member: Member) -> Reply:
+        stats = self._router.get_stats(member.instance)
+        stats.in_flight += 1
         try:
             if member.instance == self._members.own.instance:
-                answer = await self._backend.serve(call)
-                self._router.note_load(peer, self._backend.load)
+                reply = await self._backend.serve(call)
+                self._router.update_load(stats, self._backend.load)
             else:
                 self._metrics.relayed.inc()
-                answer, load = await self._relay.send(call, member)
-                self._router.note_load(peer, load)
+                reply, load = await self._relay.send(call, member)
+                self._router.update_load(stats, load)
         except Refusal as refusal:
-            self._note_refusal(member, refusal)
+            self._record_refusal(member, refusal)
             raise
         finally:
-            peer.in_flight -= 1
-        self._router.note_success(peer)
-        return answer
+            stats.in_flight -= 1
+        self._router.record_success(stats)
+        return reply
 
-    def _note_refusal(self, member: Member, refusal: Refusal) -> None:
-        peer = self._router.get_peer(member.instance)
+    def _record_refusal(self, member: Member, refusal: Refusal) -> None:
+        stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
-            # Full, whatever it said last.
-            peer.told = max(peer.told, peer.limit or member.slots or 1)
-            peer.load_at = time.monotonic()
-        if refusal.reason not in UNREACHED:
+            # Treat it as full, whatever load it last reported.
+            stats.reported_load = max(
+                stats.reported_load, stats.concurrency_limit or member.slots or 1
+            )
+            stats.reported_at = time.monotonic()
+        if refusal.reason not in CONNECTION_FAILURE_REASONS:
             return
-        seconds = self._router.note_failure(peer)
+        seconds = self._router.record_failure(stats)
         if seconds:
             self._journal.emit(
                 PEER_EJECTED, member=member.instance, seconds=round(seconds, 2)
             )
 
-    def _may_retry(self, call: Call, refusal: Refusal, refused: set[str]) -> bool:
-        lost = refusal.reason in UNREACHED and call.context.idempotent
+    def _try_reserve_retry(
+        self, call: Call, refusal: Refusal, excluded: set[str]
+    ) -> bool:
+        lost = refusal.reason in CONNECTION_FAILURE_REASONS and call.context.idempotent
         if not lost and refusal.reason not in RETRYABLE_REASONS:
             return False
         if refusal.verdict is not Verdict.NOT_RUN and not call.context.idempotent:
             return False
         if call.context.remaining <= 0 or not call.body.replayable:
             return False
-        if self._router.choose(call.service, refused) is None:
+        if self._router.choose(call.service, excluded) is None:
             return False
         if call.context.retry_tokens <= 0:
             self._metrics.retries_denied.labels("tokens").inc()
             return False
-        if not self._share.take(call.context.workspace):
+        if not self._retry_budget.try_spend(call.context.workspace):
             self._metrics.retries_denied.labels("share").inc()
             return False
         call.context.retry_tokens -= 1
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to one address, within a limit."""
+"""A pool of persistent connections to one address, with a limit."""
 
 import asyncio
 
@@ -7,20 +7,21 @@
 from ..verdicts import Reason, Refusal, Verdict
 from .connections import Connection
 
-IDLE_SECONDS = 20.0
-PROBE_SECONDS = 1.0
-PROBE = b"OPTIONS * HTTP/1.1\r\nhost: probe\r\ncontent-length: 0\r\n\r\n"
+# Connections that were idle for longer are closed instead of reused.
+MAX_IDLE_SECONDS = 20.0
+PROBE_TIMEOUT_SECONDS = 1.0
+PROBE_REQUEST = b"OPTIONS * HTTP/1.1\r\nhost: probe\r\ncontent-length: 0\r\n\r\n"
 
 
 class Pool:
-    """Connections to one address.
+    """Opens, keeps and reuses connections to one address.
 
     Args:
         address: ``IP:PORT``.
-        limit: Open connections at the most.
-        connect_timeout: Seconds to open one.
-        hold_bytes: Answers up to this size are waited for whole.
-        network: What can be reached.
+        limit: Maximum number of open connections.
+        connect_timeout: Seconds to open a connection.
+        max_buffered_bytes: Maximum size of a response body that is buffered completely.
+        network: Injects network partitions in tests.
     """
 
     def __init__(
@@ -28,7 +29,7 @@
         address: str,
         limit: int,
         connect_timeout: float,
-        hold_bytes: int,
+        max_buffered_bytes: int,
         network: Network | None = None,
     ):
         self._network = network or Network()
@@ -36,29 +37,29 @@
         self._host, self._port = parse_address(address)
         self._limit = limit
         self._connect_timeout = connect_timeout
-        self._hold_bytes = hold_bytes
+        self._max_buffered_bytes = max_buffered_bytes
         self._idle: list[Connection] = []
         self._open = 0
         self._freed = asyncio.Condition()
 
     @property
     def address(self) -> str:
-        """Where the connections lead."""
+        """Address to which the connections lead."""
         return self._address
 
     @property
     def open(self) -> int:
-        """How many connections there are."""
+        """Number of open connections."""
         return self._open
 
     async def acquire(self) -> Connection:
-        """Return a connection that carries no request.
+        """Return an idle or new connection; wait for one if the limit is reached.
 
         Raises:
-            Refusal: ``not run``: none could be opened.
+            Refusal: ``not run``: no connection could be opened.
         """
         if self._network.is_cut(self._address):
-            return await self._dial()
+            return await self._open_connection()
         connection = self._pop_idle()
         if connection is not None:
             return connection
@@ -72,35 +73,35 @@
                 return connection
         self._open += 1
         try:
-            return await self._dial()
+            return await self._open_connection()
         except BaseException:
             self._open -= 1
             raise
 
     def release(self, connection: Connection) -> None:
-        """Give a connection back; it is kept where it can carry another request."""
+        """Return a connection to the pool, or close it if it cannot be reused."""
         if connection.reusable:
             connection.idle_since = asyncio.get_running_loop().time()
             self._idle.append(connection)
         else:
             self._discard(connection)
         if self._open >= self._limit:
-            asyncio.get_running_loop().create_task(self._notify())
+            asyncio.get_running_loop().create_task(self._notify_waiter())
 
     def close_idle(self) -> int:
-        """Close the connections that carry nothing and return how many there were."""
+        """Close the idle connections and return their number."""
         count = len(self._idle)
         while self._idle:
             self._discard(self._idle.pop())
         return count
 
     async def probe(self) -> bool:
-        """Whether the address answers on a new connection, within a second."""
+        """Return whether the address responds on a new connection within a second."""
         try:
-            async with asyncio.timeout(PROBE_SECONDS):
+            async with asyncio.timeout(PROBE_TIMEOUT_SECONDS):
                 reader, writer = await asyncio.open_connection(self._host, self._port)
                 try:
-                    writer.write(PROBE)
+                    writer.write(PROBE_REQUEST)
                     return bool(await reader.read(1))
                 finally:
                     writer.transport.abort()
@@ -108,10 +109,10 @@
             return False
 
     def _pop_idle(self) -> Connection | None:
-        oldest = asyncio.get_running_loop().time() - IDLE_SECONDS
+        idle_since_limit = asyncio.get_running_loop().time() - MAX_IDLE_SECONDS
         while self._idle:
             connection = self._idle.pop()
-            if connection.reusable and connection.idle_since > oldest:
+            if connection.reusable and connection.idle_since > idle_since_limit:
                 return connection
             self._discard(connection)
         return None
@@ -120,17 +121,17 @@
         connection.close()
         self._open -= 1
 
-    async def _notify(self) -> None:
+    async def _notify_waiter(self) -> None:
         async with self._freed:
             self._freed.notify()
 
-    async def _dial(self) -> Connection:
+    async def _open_connection(self) -> Connection:
         loop = asyncio.get_running_loop()
         try:
             await self._network.wait_if_cut(self._address, self._connect_timeout)
             async with asyncio.timeout(self._connect_timeout):
                 _, connection = await loop.create_connection(
-                    lambda: Connection(self._hold_bytes), self._host, self._port
+                    lambda: Connection(self._max_buffered_bytes), self._host, self._port
                 )
         except (TimeoutError, OSError) as error:
             reason = str(error) or "timed out"
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -1,4 +1,4 @@
-"""Sends calls to the node beside another backend server."""
+"""Relays calls to the nodes of other backend servers."""
 
 import asyncio
 import json
@@ -8,13 +8,13 @@
 from ..network import Network
 from ..settings.node import NodeSettings
 from ..verdicts import may_have_run, not_run, Reason, Refusal
-from .call import Answer, Call
-from .connections import build_head, Connection, iterate_until, Response
+from .call import Call, Reply
+from .connections import build_head, Connection, iterate_until_deadline, Response
 from .context import ContextSeal
 from .headers import (
     CONTEXT,
+    filter_response_headers,
     find_header,
-    keep_answer_headers,
     LOAD,
     RETRY_TOKENS,
     SHED,
@@ -22,17 +22,19 @@
 )
 from .pool import Pool
 
-POOLS_KEPT = 256
-TOKENS_KEPT = 1
+# Beyond this, the connections to the least recently used node are closed.
+MAX_POOLS = 256
+# Retry tokens that stay at this node, for a retry on another instance.
+RETRY_TOKENS_KEPT = 1
 
 
 class Relay:
-    """Connections to other nodes' relay listeners.
+    """Sends calls to the relay listeners of other nodes.
 
     Args:
         settings: Limits and timeouts.
-        seal: Authenticates contexts.
-        network: What can be reached.
+        seal: Signs call contexts.
+        network: Injects network partitions in tests.
     """
 
     def __init__(self, settings: NodeSettings, seal: ContextSeal, network: Network):
@@ -41,28 +43,28 @@
         self._seal = seal
         self._pools: dict[str, Pool] = {}
 
-    async def send(self, call: Call, member: Member) -> tuple[Answer, bytes]:
-        """Send a call to a member's node.
+    async def send(self, call: Call, member: Member) -> tuple[Reply, bytes]:
+        """Send a call to the node of a member.
 
-        All but one of the call's retry tokens go along, and what is unused comes back
-        with the answer; where no answer comes, they are lost, so that none can be
-        spent twice. The one that stays is for an attempt at another member.
+        All but one of the call's retry tokens are passed on, and the response returns
+        the unused ones. Without a response they are lost, so that none can be spent
+        twice. The one that stays allows a retry on another member.
 
         Returns:
-            The answer, and the load that came with it.
+            The reply, and the load reported with it.
 
         Raises:
-            Refusal: By that node, or for want of an answer.
+            Refusal: From that node, or because no response arrived.
         """
         pool = self._get_pool(member.relay)
         context = call.context
         sent = False
         connection = None
-        streams = False
+        is_streamed = False
         try:
             async with asyncio.timeout(context.remaining):
                 connection = await pool.acquire()
-                carried = max(0, context.retry_tokens - TOKENS_KEPT)
+                carried = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
                 headers = [
                     *call.headers,
                     (CONTEXT, self._seal.write(context, member.instance, carried)),
@@ -75,49 +77,49 @@
                 response = await connection.exchange(
                     head, call.body, call.method == "HEAD"
                 )
-            context.retry_tokens += _read_tokens(response, carried)
-            refusal = self._read_refusal(response, connection)
+            context.retry_tokens += _parse_returned_tokens(response, carried)
+            refusal = self._parse_refusal(response, connection)
             if refusal is not None:
                 raise refusal
             load = find_header(response.headers, LOAD)
-            headers = keep_answer_headers(response.headers)
+            headers = filter_response_headers(response.headers)
             if response.complete:
-                answer = Answer(response.status, headers, connection.take_held())
-                answer.shed = bool(find_header(response.headers, SHED))
-                return answer, load
-            streams = True
-            stream = iterate_until(connection, context)
-            kept = connection
-            answer = Answer(
+                reply = Reply(response.status, headers, connection.take_buffered())
+                reply.shed = bool(find_header(response.headers, SHED))
+                return reply, load
+            is_streamed = True
+            stream = iterate_until_deadline(connection, context)
+            used_connection = connection
+            reply = Reply(
                 response.status,
                 headers,
                 None,
                 response.length,
                 stream,
-                lambda: pool.release(kept),
+                lambda: pool.release(used_connection),
             )
-            return answer, load
+            return reply, load
         except TimeoutError as error:
-            detail = f"no answer of {member.instance} before the deadline"
+            detail = f"no response from {member.instance} before the deadline"
             if not sent:
                 raise not_run(Reason.DEADLINE_EXCEEDED, detail) from error
             raise may_have_run(Reason.DEADLINE_EXCEEDED, detail) from error
         finally:
-            if connection is not None and not streams:
+            if connection is not None and not is_streamed:
                 pool.release(connection)
 
     def forget(self, address: str) -> None:
-        """Close the connections to a node that is gone."""
+        """Close the idle connections to a node and remove their pool."""
         pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close_idle()
 
     def close(self) -> None:
-        """Close all connections that carry nothing."""
+        """Close all idle connections."""
         for address in list(self._pools):
             self.forget(address)
 
-    def _read_refusal(
+    def _parse_refusal(
         self, response: Response, connection: Connection
     ) -> Refusal | None:
         headers = {
@@ -129,11 +131,13 @@
         detail = ""
         if response.complete:
             try:
-                detail = str(json.loads(connection.take_held()).get("detail", ""))
+                detail = str(json.loads(connection.take_buffered()).get("detail", ""))
             except (ValueError, AttributeError):
                 detail = ""
         refusal = parse_refusal(headers, detail)
-        return refusal or may_have_run(Reason.ANSWER_BROKEN, "an unknown refusal")
+        return refusal or may_have_run(
+            Reason.ANSWER_BROKEN, "the call was refused for an unknown reason"
+        )
 
     def _get_pool(self, address: str) -> Pool:
         pool = self._pools.pop(address, None)
@@ -145,14 +149,14 @@
                 self._settings.limits.body_buffer,
                 self._network,
             )
-        # The most recently used stands last.
+        # The most recently used pool is the last.
         self._pools[address] = pool
-        while len(self._pools) > POOLS_KEPT:
+        while len(self._pools) > MAX_POOLS:
             self.forget(next(iter(self._pools)))
         return pool
 
 
-def _read_tokens(response: Response, carried: int) -> int:
-    """Return the retry tokens that came back: never more than went out."""
+def _parse_returned_tokens(response: Response, carried: int) -> int:
+    """Return the number of retry tokens returned, at most those passed on."""
     value = find_header(response.headers, RETRY_TOKENS)
     return min(int(value), carried) if value.isdigit() else 0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Losses, pauses, silent connections, forged messages: what users see of them."""
+"""Effects on callers: crashes, draining, unresponsive connections, overload, rates."""
 
 import asyncio
 import contextlib
@@ -28,7 +28,7 @@
 
 @contextlib.asynccontextmanager
 async def run_behind_link():
-    """Run a node whose backend server is behind a link, and one more of the kind."""
+    """Run two nodes of a service; the first one's backend server is behind a link."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a",)))
         place = await fleet.add("a")
@@ -55,8 +55,8 @@
     return await asyncio.gather(*calls)
 
 
-async def test_instance_lost_without_a_word_costs_no_idempotent_call():
-    """A machine dies; sweepers who look records up must not notice."""
+async def test_idempotent_calls_survive_the_crash_of_an_instance():
+    """Guards against failed reads: calls are retried elsewhere if a machine dies."""
     async with run_fleet("aab") as fleet:
         async with Client([fleet.places[0].callers], KEY) as client:
             await fleet.kill(fleet.places[1])
@@ -68,54 +68,54 @@
 
 async def test_draining_backend_server_gets_no_new_call_at_any_entry():
     async with run_fleet("aabb") as fleet:
-        leaving = fleet.places[1]
-        await leaving.backend.drain()
-        name = leaving.node.settings.instance
+        draining = fleet.places[1]
+        await draining.backend.drain()
+        name = draining.node.settings.instance
         await fleet.wait(
             lambda: not any(n.members.get(name).serving for n in fleet.nodes)
         )
-        before = len(leaving.backend.seen)
+        before = len(draining.backend.seen)
         async with Client([place.callers for place in fleet.places], KEY) as client:
             for _ in range(40):
                 assert (await client.call("archive", "/x")).status == 200
-        assert len(leaving.backend.seen) == before
+        assert len(draining.backend.seen) == before
 
 
-async def test_silent_connections_are_found_and_replaced():
-    """Something between node and backend server forgets their open connections.
+async def test_unresponsive_connections_are_replaced():
+    """Guards against calls that hang until their deadline on dead connections.
 
-    What is sent on them vanishes without a sign, while new connections work. A
-    sweeper's look-up would hang until its deadline, and so would the next ones.
+    A device between node and backend server drops the state of open connections. What
+    is sent on them is lost without an error, while new connections work.
     """
     async with run_behind_link() as (_, place, _, link):
         async with Client([place.callers], KEY, timeout=8.0, attempts=1) as client:
             await call_at_once(client, 6)
             assert link.forget_connections() > 0
-            replies = await call_at_once(client, 6)
+            responses = await call_at_once(client, 6)
             assert place.node.metrics.read("silent_connections_total") > 0
-            replies += await call_at_once(client, 6)
-        assert {reply.status for reply in replies} == {200}
+            responses += await call_at_once(client, 6)
+        assert {response.status for response in responses} == {200}
 
 
-async def test_non_idempotent_call_on_a_silent_connection_does_not_move():
-    """A payout is sent on a connection that nobody knows any more.
+async def test_non_idempotent_call_on_an_unresponsive_connection_is_not_retried():
+    """Guards against running a payout twice.
 
-    Whether it arrived cannot be known. It must not be sent again, and its verdict
-    must not be "not run".
+    The call is sent on a connection whose state was dropped on the way. The node cannot
+    know whether it arrived, so it must not retry it or report "not run".
     """
     async with run_behind_link() as (fleet, place, backend, link):
         async with Client([place.callers], KEY, timeout=1.5) as client:
             await call_at_once(client, 30)
             link.forget_connections()
             ids = [f"payout-{n}" for n in range(10)]
-            replies = await asyncio.gather(
+            responses = await asyncio.gather(
                 *(
                     client.call("archive", "/pay", "POST", headers={"X-Operation": i})
                     for i in ids
                 ),
                 return_exceptions=True,
             )
-        refused = [r for r in replies if isinstance(r, Refusal)]
+        refused = [r for r in responses if isinstance(r, Refusal)]
         seen = [
             item.operation
             for server in (backend, fleet.places[1].backend)
@@ -128,11 +128,11 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-async def test_slow_call_is_not_taken_for_one_on_a_silent_connection(method):
-    """A certificate takes long to issue; its connection is an old one, and well.
+async def test_slow_call_is_not_mistaken_for_an_unresponsive_connection(method):
+    """Guards against retries of calls that are merely slow, on reused connections.
 
-    Were it cut and the call sent elsewhere, a slow service would get each of its
-    slow calls twice, and be slower still.
+    Otherwise a slow service would receive each slow call twice, and become even
+    slower.
     """
     async with run_fleet("aa", work=0.001) as fleet:
         place = fleet.places[0]
@@ -148,16 +148,16 @@
             before = sum(len(p.backend.seen) for p in fleet.places)
             for other in fleet.places:
                 other.backend.behaviour.work = 1.0
-            answers = await asyncio.gather(*(call() for _ in range(12)))
-        assert answers == [200] * 12
+            statuses = await asyncio.gather(*(call() for _ in range(12)))
+        assert statuses == [200] * 12
         assert sum(len(p.backend.seen) for p in fleet.places) == before + 12
 
 
 async def test_retries_of_a_chain_are_bounded_however_it_fails():
-    """Every service of a deep chain refuses; each hop would like to try again.
+    """Guards against retries that multiply at each hop of a deep call chain.
 
-    Each relay keeps one token and sends the others on, so that of four at most two
-    are left at the last hop, where five instances refuse.
+    Each relay keeps one retry token and passes on the others, so that of four at most
+    two are left at the last hop, where five instances shed all calls.
     """
     services = ("s0", "s1", "s2", "s3")
     settings = FAST | {"retries": {"tokens": 4}}
@@ -177,18 +177,18 @@
         async with Client([fleet.places[0].callers], KEY, attempts=1) as client:
             for _ in range(4):
                 await client.call("s0", "/x")
-        relayed = sum(n.metrics.read("retries_total") for n in fleet.nodes)
+        retries = sum(n.metrics.read("retries_total") for n in fleet.nodes)
         per_root: dict[str, int] = {}
         for backend in backends:
             for item in backend.seen:
                 root = item.headers["traceparent"][3:35]
                 per_root[root] = per_root.get(root, 0) + 1
-    assert 0 < relayed <= 4 * 2
+    assert 0 < retries <= 4 * 2
     assert max(per_root.values()) <= len(services) + 4
 
 
-async def test_retries_stay_under_the_nodes_share_when_everything_fails():
-    """All backend servers shed; retries must not keep them overloaded."""
+async def test_retry_budget_of_a_node_holds_when_all_calls_fail():
+    """Guards against retries that sustain an overload when all backend servers shed."""
     async with run_fleet("aaa", shed_over=0, work=0.001) as fleet:
         node = fleet.places[0].node
         async with Client([fleet.places[0].callers], KEY, attempts=1) as client:
@@ -200,23 +200,24 @@
         assert node.metrics.read("retries_denied_total", bound="share") > 0
 
 
-def test_workspace_whose_calls_fail_in_numbers_leaves_others_their_retries():
-    """A partner sends five times its part; its calls are shed and tried again.
+def test_retry_budgets_of_workspaces_are_independent():
+    """Guards against one workspace using up the retries of the others.
 
-    Counted together, its retries left none for a workspace of which one call in six
-    met a full queue, and that call failed although the next server was free.
+    One workspace sends five times its share; its calls are shed and retried. With a
+    common budget, no retry was left for another workspace, of which one call in six met
+    a full queue: that call failed although the next server was free.
     """
-    share = RetryShare(0.1)
+    retry_budget = RetryShare(0.1)
     for _ in range(100):
-        share.note_first("greedy")
-        share.take("greedy")
-    assert not share.take("greedy")
-    share.note_first("modest")
-    assert share.take("modest")
+        retry_budget.record_first_attempt("greedy")
+        retry_budget.try_spend("greedy")
+    assert not retry_budget.try_spend("greedy")
+    retry_budget.record_first_attempt("modest")
+    assert retry_budget.try_spend("modest")
 
 
-async def test_operation_repeated_in_another_zone_is_refused():
-    """A payout's answer is lost; the caller tries again through another zone."""
+async def test_operation_retried_in_another_zone_is_refused():
+    """Guards against running a payout twice if its response is lost."""
     async with run_fleet("ab") as fleet:
         headers = {
             "Authorization": f"Bearer {KEY}",
@@ -238,16 +239,19 @@
         assert sum(len(place.backend.seen) for place in fleet.places) == 1
 
 
-async def test_nodes_that_start_at_the_same_moment_find_one_another():
-    """The whole fleet is restarted at once; every node finds an empty stream."""
+async def test_nodes_that_start_simultaneously_discover_each_other():
+    """Guards against nodes that stay alone when all start with an empty stream."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a", "b")))
         await asyncio.gather(*(fleet.add(zone) for zone in "aabb"))
         await fleet.wait_ready()
 
 
-async def test_zones_that_have_forgotten_each_other_come_together_again():
-    """Two regions lose each other for an hour; tombstones are long gone."""
+async def test_zones_rejoin_after_members_have_expired():
+    """Guards against a permanent split after an hour-long partition.
+
+    By then the tombstones of the other zone's members have expired.
+    """
     settings = FAST | {"fleet": FAST["fleet"] | {"discovery": 0.5}}
     async with run_fleet("ab", settings) as fleet:
         fleet.cut_zone("b", from_platform=False, from_zones=True)
@@ -261,10 +265,11 @@
 
 
 async def test_workspace_over_its_rate_is_told_so_at_once():
-    """A partner sends many times its rate through all nodes.
+    """Guards against slow refusals when no zone has a whole token left.
 
-    No zone has a whole token. The holders used to ask one another on and on for
-    fractions; callers waited for seconds and were told that no holder answers.
+    A workspace sends many times its rate through all nodes. The lease holders requested
+    fractions of tokens from each other without end; callers waited for seconds, and the
+    refusal said that no holder responds.
     """
     async with EmbeddedFleet(FAST) as fleet:
         document = build_document(("a", "b"), per_second=2.0, burst=2.0)
@@ -277,21 +282,21 @@
         async with Client(nodes, KEY, timeout=5.0, attempts=1) as client:
             for _ in range(20):
                 calls = [client.call("archive", f"/{n}") for n in range(10)]
-                replies = await asyncio.gather(*calls, return_exceptions=True)
-                reasons |= {r.reason for r in replies if isinstance(r, Refusal)}
+                responses = await asyncio.gather(*calls, return_exceptions=True)
+                reasons |= {r.reason for r in responses if isinstance(r, Refusal)}
     assert reasons == {Reason.RATE_EXCEEDED}
 
 
 async def test_call_waits_while_the_holder_of_its_rate_is_replaced():
-    """The machine that held a tenant's tokens dies; no other zone has any share."""
+    """Guards against long refusals after the only lease holder of a workspace dies."""
     async with EmbeddedFleet(FAST) as fleet:
         await fleet.publish(**build_document(("a",)))
         for _ in range(5):
             await fleet.add("a", "archive")
         await fleet.wait_ready()
-        held = [p for p in fleet.places if p.node.rates.holder.holds("north")]
-        entry = next(place for place in fleet.places if place is not held[0])
-        await fleet.kill(held[0])
+        holders = [p for p in fleet.places if p.node.rates.holder.holds("north")]
+        entry = next(place for place in fleet.places if place is not holders[0])
+        await fleet.kill(holders[0])
         async with Client([entry.callers], KEY, timeout=20.0) as client:
             outcomes = []
             while "served" not in outcomes:
@@ -302,5 +307,5 @@
                     assert refusal.reason is Reason.RATE_UNAVAILABLE
                     assert refusal.verdict is Verdict.NOT_RUN
                     outcomes.append("refused")
-        # Each refusal took the second that a hand-over is waited for.
+        # Each refusal comes after one second of waiting for the new lease holder.
         assert len(outcomes) <= 6
