--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -259,7 +259,7 @@
         for node, other in ((one, two), (two, one)):
             name = other.settings.instance
             await fleet.wait(lambda n=node, m=name: not n.members.get(m).reachable)
-            node.members._forget(name)
+            node.members._remove(name)
         fleet.heal()
         await fleet.wait_ready()
 
