--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -30,25 +30,27 @@
     # As Ctrl-C: by default the processes that it started would outlive it.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     seeds = options.seed or [random.randrange(10**6) for _ in range(options.runs)]
-    failed = 0
+    failed_seeds = 0
     for seed in seeds:
         folder = pathlib.Path(options.folder or tempfile.mkdtemp(prefix="soak-"))
         folder.mkdir(exist_ok=True)
         soak = Soak(seed, options.seconds, options.nodes, folder)
-        broken = asyncio.run(soak.run())
-        sent = len(soak.record.sent)
-        served = sum(sent.status == 200 for sent in soak.record.sent.values())
+        violations = asyncio.run(soak.run())
+        sent = len(soak.record.requests)
+        served = sum(request.status == 200 for request in soak.record.requests.values())
         print(f"seed {seed}: {len(soak.faults)} faults, {served} of {sent} served")
-        for line in broken[:20]:
+        for line in violations[:20]:
             print(f"  BROKEN: {line}")
-        if broken:
-            failed += 1
+        if violations:
+            failed_seeds += 1
             print(f"  logs: {folder}")
             for fault in soak.faults:
                 print(f"  {fault}")
         sys.stdout.flush()
-    print(f"{len(seeds) - failed} seeds kept all promises, {failed} did not")
-    return 1 if failed else 0
+    print(
+        f"{len(seeds) - failed_seeds} seeds kept all promises, {failed_seeds} did not"
+    )
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -15,12 +15,12 @@
 from primroseglade.sidecar.http_messages import Reply, Request
 from primroseglade.stand_ins.mesh_backend import MeshBackend
 
-WORK_SECONDS = (0.005, 0.06)
+WORK_SECONDS_RANGE = (0.005, 0.06)
 # After the acknowledgement of its leaving it serves on for so long, in seconds.
 LINGER_SECONDS = 2.5
 
 
-def tell(**fields: object) -> None:
+def write_event(**fields: object) -> None:
     """Write one line to the soak."""
     sys.stdout.write(json.dumps({"at": time.monotonic()} | fields) + "\n")
     sys.stdout.flush()
@@ -33,29 +33,29 @@
         headers = {name.decode().lower(): v.decode() for name, v in request.headers}
         request_id = headers.get("x-primroseglade-request-id", "")
         if headers.get("x-primroseglade-expected-instance") == self.instance:
-            tell(
+            write_event(
                 ran=request_id,
                 instance=self.instance,
                 tenant=headers.get("x-primroseglade-tenant", ""),
                 key_seen="authorization" in headers,
             )
-        self.work = random.uniform(*WORK_SECONDS)
+        self.work = random.uniform(*WORK_SECONDS_RANGE)
         reply = await super()._handle(request)
         return Reply(reply.head, f"{request_id} {'x' * 2000} end".encode())
 
 
 async def serve(backend: SoakBackend) -> None:
     """Serve until told to leave, then leave as the platform's backend servers do."""
-    leaving = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, leaving.set)
-    running = asyncio.create_task(backend.run())
-    await leaving.wait()
+    stop_requested = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
+    serving = asyncio.create_task(backend.run())
+    await stop_requested.wait()
     backend.state = "draining"
     acknowledged = await backend.report() == 200
-    tell(draining=backend.instance, acknowledged=acknowledged)
+    write_event(draining=backend.instance, acknowledged=acknowledged)
     await asyncio.sleep(LINGER_SECONDS)
     await backend.leave()
-    running.cancel()
+    serving.cancel()
 
 
 def main() -> None:
--- a/soak/places.py
+++ b/soak/machines.py
@@ -10,19 +10,26 @@
 
 from primroseglade.addresses import join_address
 
-from .proxy import build_proxy, Proxy
+from .proxy import build_fault_proxy, FaultProxy
 
 # Ports of a place; every place has a loopback address of its own.
-OUTBOUND, READY, CONTROL, BACKEND, BACKEND_LINK, STORE_LINK = range(8540, 8546)
+(
+    OUTBOUND_PORT,
+    READY_PORT,
+    CONTROL_PORT,
+    BACKEND_PORT,
+    BACKEND_PROXY_PORT,
+    STORE_PROXY_PORT,
+) = range(8540, 8546)
 INTERNAL_PORTS = [7000, 7015]
 SERVICES = ("front", "deep")
 ZONES = ("a", "b")
 # Before a killed process is started again, as the platform does it.
-RESTART_SECONDS = 0.3
-GRACE_SECONDS = 6.0
+RESTART_DELAY_SECONDS = 0.3
+SHUTDOWN_GRACE_SECONDS = 6.0
 
 
-class Place:
+class Machine:
     """One machine of the soak.
 
     Args:
@@ -39,16 +46,18 @@
         self.host = f"{network}.{10 + number}"
         self.name = f"node-{number}"
         self.folder = folder
-        self.told: asyncio.Queue[dict[str, object]] = asyncio.Queue()
-        self.backend_link: Proxy = build_proxy(
-            self.host, BACKEND_LINK, self.address(BACKEND)
+        self.events: asyncio.Queue[dict[str, object]] = asyncio.Queue()
+        self.backend_proxy: FaultProxy = build_fault_proxy(
+            self.host, BACKEND_PROXY_PORT, self.address(BACKEND_PORT)
         )
-        self.store_link: Proxy = build_proxy(self.host, STORE_LINK, store)
-        self._lives = 0
-        self._first_start = True
+        self.store_proxy: FaultProxy = build_fault_proxy(
+            self.host, STORE_PROXY_PORT, store
+        )
+        self._backend_starts = 0
+        self._is_first_start = True
         self._node: asyncio.subprocess.Process | None = None
         self._backend: asyncio.subprocess.Process | None = None
-        self._reader: asyncio.Task[None] | None = None
+        self._reader_task: asyncio.Task[None] | None = None
 
     def address(self, port: int) -> str:
         """Return one of this place's addresses."""
@@ -56,8 +65,8 @@
 
     async def start(self) -> None:
         """Start links, node and backend server."""
-        await self.backend_link.start()
-        await self.store_link.start()
+        await self.backend_proxy.start()
+        await self.store_proxy.start()
         await self.start_node()
         await self.start_backend()
 
@@ -65,7 +74,7 @@
         """Start the node's process."""
         path = self.folder / f"{self.name}.json"
         path.write_text(json.dumps(self._build_settings()))
-        self._first_start = False
+        self._is_first_start = False
         with (self.folder / f"{self.name}.log").open("ab") as log:
             self._node = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -78,13 +87,13 @@
 
     async def start_backend(self) -> None:
         """Start another life of the backend server."""
-        self._lives += 1
+        self._backend_starts += 1
         options = {
-            "instance": f"i-{self.number}-{self._lives}",
+            "instance": f"i-{self.number}-{self._backend_starts}",
             "service": self.service,
-            "address": self.address(BACKEND),
-            "reached": self.address(BACKEND_LINK),
-            "control": self.address(CONTROL),
+            "address": self.address(BACKEND_PORT),
+            "reached": self.address(BACKEND_PROXY_PORT),
+            "control": self.address(CONTROL_PORT),
         }
         arguments = [part for k, v in options.items() for part in (f"--{k}", v)]
         self._backend = await asyncio.create_subprocess_exec(
@@ -94,66 +103,66 @@
             *arguments,
             stdout=asyncio.subprocess.PIPE,
         )
-        self._reader = asyncio.create_task(self._read(self._backend))
+        self._reader_task = asyncio.create_task(self._read_events(self._backend))
 
     async def pause_node(self, seconds: float) -> None:
         """Stop the node's process for a while."""
         assert self._node is not None
-        _signal(self._node, signal.SIGSTOP)
+        _send_signal(self._node, signal.SIGSTOP)
         await asyncio.sleep(seconds)
-        _signal(self._node, signal.SIGCONT)
+        _send_signal(self._node, signal.SIGCONT)
 
     async def kill_node(self) -> None:
         """Kill the node and start it again."""
-        await self._end_node(signal.SIGKILL)
+        await self._restart_node(signal.SIGKILL)
 
     async def stop_node(self) -> None:
         """Stop the node as planned and start it again."""
-        await self._end_node(signal.SIGTERM)
+        await self._restart_node(signal.SIGTERM)
 
-    async def leave_backend(self) -> None:
+    async def drain_backend(self) -> None:
         """Have the backend server leave, and start another life of it."""
-        await self._end_backend(signal.SIGTERM)
+        await self._restart_backend(signal.SIGTERM)
 
     async def kill_backend(self) -> None:
         """Kill the backend server and start it again."""
-        await self._end_backend(signal.SIGKILL)
+        await self._restart_backend(signal.SIGKILL)
 
     async def close(self) -> None:
         """End both processes."""
         for process in (self._node, self._backend):
             if process is not None:
-                _signal(process, signal.SIGKILL)
+                _send_signal(process, signal.SIGKILL)
                 await process.wait()
 
-    async def _end_node(self, number: signal.Signals) -> None:
+    async def _restart_node(self, signal_number: signal.Signals) -> None:
         process = self._node
         assert process is not None
-        _signal(process, signal.SIGCONT)
-        _signal(process, number)
+        _send_signal(process, signal.SIGCONT)
+        _send_signal(process, signal_number)
         try:
-            await asyncio.wait_for(process.wait(), GRACE_SECONDS)
+            await asyncio.wait_for(process.wait(), SHUTDOWN_GRACE_SECONDS)
         except TimeoutError:
             # The platform kills what has not ended after its grace.
-            _signal(process, signal.SIGKILL)
+            _send_signal(process, signal.SIGKILL)
             await process.wait()
-        await asyncio.sleep(RESTART_SECONDS)
+        await asyncio.sleep(RESTART_DELAY_SECONDS)
         if process is self._node:
             await self.start_node()
 
-    async def _end_backend(self, number: signal.Signals) -> None:
+    async def _restart_backend(self, signal_number: signal.Signals) -> None:
         process = self._backend
         assert process is not None
-        _signal(process, number)
+        _send_signal(process, signal_number)
         await process.wait()
-        await asyncio.sleep(RESTART_SECONDS)
+        await asyncio.sleep(RESTART_DELAY_SECONDS)
         if process is self._backend:
             await self.start_backend()
 
-    async def _read(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_events(self, process: asyncio.subprocess.Process) -> None:
         assert process.stdout is not None
         while line := await process.stdout.readline():
-            self.told.put_nowait(json.loads(line))
+            self.events.put_nowait(json.loads(line))
 
     def _build_settings(self) -> dict[str, object]:
         return {
@@ -161,26 +170,28 @@
             "ip": self.host,
             "zone": self.zone,
             "service": self.service,
-            "app_addr": self.address(BACKEND_LINK),
+            "app_addr": self.address(BACKEND_PROXY_PORT),
             "listen": {
-                "outbound": self.address(OUTBOUND),
-                "ready": self.address(READY),
-                "control": self.address(CONTROL),
+                "outbound": self.address(OUTBOUND_PORT),
+                "ready": self.address(READY_PORT),
+                "control": self.address(CONTROL_PORT),
             },
             "internal_ports": INTERNAL_PORTS,
-            "first_start": self._first_start,
+            "first_start": self._is_first_start,
             "bounds": {
-                "grace": f"{GRACE_SECONDS}s",
+                "grace": f"{SHUTDOWN_GRACE_SECONDS}s",
                 "revoke": "5000ms",
                 "retry_budget_ratio": 0.2,
                 "budget_min_retries": 50,
                 "budget_window": "10s",
             },
-            "platform": {"address": self.address(STORE_LINK)},
+            "platform": {"address": self.address(STORE_PROXY_PORT)},
         }
 
 
-def _signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
+def _send_signal(
+    process: asyncio.subprocess.Process, signal_number: signal.Signals
+) -> None:
     """Send a signal to a process of the soak; it may have ended by itself."""
     with contextlib.suppress(ProcessLookupError):
-        process.send_signal(number)
+        process.send_signal(signal_number)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -13,7 +13,7 @@
 RESET = struct.pack("ii", 1, 0)
 
 
-class Fault(enum.Enum):
+class LinkFault(enum.Enum):
     """What the proxy does to connections."""
 
     NONE = "none"
@@ -25,7 +25,7 @@
     ONE_WAY = "one way"
 
 
-class Proxy:
+class FaultProxy:
     """Forwards TCP to a target.
 
     Args:
@@ -36,61 +36,67 @@
     def __init__(self, listen: str, target: str):
         self.listen = listen
         self._target = parse_address(target)
-        self._fault = Fault.NONE
-        self._open: set[asyncio.StreamWriter] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._fault = LinkFault.NONE
+        self._client_writers: set[asyncio.StreamWriter] = set()
+        self._silenced_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
         """Listen."""
         await asyncio.start_server(self._accept, *parse_address(self.listen))
 
-    def set_fault(self, fault: Fault) -> None:
+    def set_fault(self, fault: LinkFault) -> None:
         """Do this to connections from now on."""
         self._fault = fault
-        if fault is Fault.SILENCE:
-            self._silent |= self._open
-        if fault is Fault.RESET:
-            for writer in list(self._open):
+        if fault is LinkFault.SILENCE:
+            self._silenced_writers |= self._client_writers
+        if fault is LinkFault.RESET:
+            for writer in list(self._client_writers):
                 _reset(writer)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._fault is Fault.RESET:
+        if self._fault is LinkFault.RESET:
             _reset(writer)
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             # Nothing listens there: the caller sees the same as without a proxy.
             _reset(writer)
             return
-        self._open.add(writer)
-        there = asyncio.create_task(self._pump(reader, far_writer, writer, False))
-        back = asyncio.create_task(self._pump(far_reader, writer, writer, True))
+        self._client_writers.add(writer)
+        to_target = asyncio.create_task(
+            self._forward(reader, target_writer, writer, False)
+        )
+        from_target = asyncio.create_task(
+            self._forward(target_reader, writer, writer, True)
+        )
         # Cancelled when the soak ends: asyncio would print each as an error.
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
-        there.cancel()
-        back.cancel()
-        self._open.discard(writer)
-        self._silent.discard(writer)
+            await asyncio.wait(
+                {to_target, from_target}, return_when=asyncio.FIRST_COMPLETED
+            )
+        to_target.cancel()
+        from_target.cancel()
+        self._client_writers.discard(writer)
+        self._silenced_writers.discard(writer)
         writer.close()
-        far_writer.close()
+        target_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        connection: asyncio.StreamWriter,
-        back: bool,
+        client_writer: asyncio.StreamWriter,
+        from_target: bool,
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if self._fault is Fault.DELAY:
+                if self._fault is LinkFault.DELAY:
                     await asyncio.sleep(0.2)
-                lost = back and self._fault is Fault.ONE_WAY
-                if lost or connection in self._silent:
+                is_dropped = from_target and self._fault is LinkFault.ONE_WAY
+                if is_dropped or client_writer in self._silenced_writers:
                     continue
                 writer.write(data)
                 await writer.drain()
@@ -105,6 +111,6 @@
     writer.transport.abort()
 
 
-def build_proxy(host: str, port: int, target: str) -> Proxy:
+def build_fault_proxy(host: str, port: int, target: str) -> FaultProxy:
     """Return a proxy that is not started."""
-    return Proxy(join_address(host, port), target)
+    return FaultProxy(join_address(host, port), target)
--- a/soak/run.py
+++ b/soak/run.py
@@ -11,22 +11,22 @@
 from primroseglade.sidecar.http_client import ConnectionPool, ExchangeError
 from primroseglade.stand_ins.store import StoreStandIn
 
-from .checks import find_broken, Ran, Record, Sent
-from .places import OUTBOUND, Place
-from .proxy import Fault, Proxy
-from .schedule import draw_schedule, FaultAt
+from .checks import Execution, find_violations, Record, SentRequest
+from .machines import Machine, OUTBOUND_PORT
+from .proxy import FaultProxy, LinkFault
+from .schedule import generate_faults, ScheduledFault
 
 STORE_PORT = 8546
-HOST = "api.example"
-CALLERS_A_PLACE = 4
-CALLER_PAUSE_SECONDS = 0.05
-REQUEST_SECONDS = 3.0
+VIRTUAL_HOST = "api.example"
+CALLERS_PER_MACHINE = 4
+MEAN_CALLER_PAUSE_SECONDS = 0.05
+REQUEST_TIMEOUT_SECONDS = 3.0
 WARM_UP_SECONDS = 3.0
 # After the last fault everything has to be served again.
 RECOVERY_SECONDS = 10.0
-LEAST_SERVED_AT_THE_END = 0.9
-KEYS = {"key-a": "north", "key-b": "north", "key-c": "south"}
-ROUTES = {"front": "safe", "deep": "safe", "once": "unsafe"}
+MIN_RECOVERED_RATIO = 0.9
+TENANTS_BY_KEY = {"key-a": "north", "key-b": "north", "key-c": "south"}
+KINDS_BY_ROUTE = {"front": "safe", "deep": "safe", "once": "unsafe"}
 
 
 class Soak:
@@ -39,24 +39,28 @@
         folder: For settings and logs.
     """
 
-    def __init__(self, seed: int, seconds: float, places: int, folder: pathlib.Path):
-        self._rng = random.Random(seed)
-        self._seconds = seconds
+    def __init__(
+        self, seed: int, fault_seconds: float, machine_count: int, folder: pathlib.Path
+    ):
+        self._random = random.Random(seed)
+        self._fault_seconds = fault_seconds
         # Of this run alone, so that several may run on one machine.
-        chance = random.SystemRandom()
-        network = f"127.{chance.randrange(10, 250)}.{chance.randrange(250)}"
+        system_random = random.SystemRandom()
+        network = (
+            f"127.{system_random.randrange(10, 250)}.{system_random.randrange(250)}"
+        )
         store = join_address(f"{network}.1", STORE_PORT)
         self._store = StoreStandIn(store)
-        self._places = [
-            Place(number, network, store, folder) for number in range(places)
+        self._machines = [
+            Machine(number, network, store, folder) for number in range(machine_count)
         ]
-        self.faults = draw_schedule(seed, seconds, places)
+        self.faults = generate_faults(seed, fault_seconds, machine_count)
         self.record = Record()
-        self.record.tenants = dict(KEYS)
-        self._keys = dict(KEYS)
-        self._version = 0
-        self._rate = 10_000
-        self._number = 0
+        self.record.tenants_by_key = dict(TENANTS_BY_KEY)
+        self._active_keys = dict(TENANTS_BY_KEY)
+        self._configuration_version = 0
+        self._rate_per_second = 10_000
+        self._last_request_number = 0
 
     async def run(self) -> list[str]:
         """Return the promises that were broken."""
@@ -64,102 +68,114 @@
         self._publish()
         tasks = [store]
         try:
-            for place in self._places:
-                await place.start()
-                tasks.append(asyncio.create_task(self._collect(place)))
+            for machine in self._machines:
+                await machine.start()
+                tasks.append(asyncio.create_task(self._record_events(machine)))
             await asyncio.sleep(WARM_UP_SECONDS)
             tasks += [
-                asyncio.create_task(self._call(place))
-                for place in self._places
-                for _ in range(CALLERS_A_PLACE)
+                asyncio.create_task(self._send_requests(machine))
+                for machine in self._machines
+                for _ in range(CALLERS_PER_MACHINE)
             ]
-            await self._do_faults()
+            await self._inject_faults()
             await asyncio.sleep(RECOVERY_SECONDS)
         finally:
             for task in tasks:
                 task.cancel()
             await asyncio.gather(*tasks, return_exceptions=True)
-            for place in self._places:
-                await place.close()
-        return find_broken(self.record) + self._check_recovery()
+            for machine in self._machines:
+                await machine.close()
+        return find_violations(self.record) + self._check_recovery()
 
     def _check_recovery(self) -> list[str]:
-        end = max((sent.at for sent in self.record.sent.values()), default=0.0)
-        last = [
-            sent
-            for sent in self.record.sent.values()
-            if end - 4.0 < sent.at < end - REQUEST_SECONDS / 3
-            and sent.key in self._keys
+        end = max(
+            (request.sent_at for request in self.record.requests.values()), default=0.0
+        )
+        final_requests = [
+            request
+            for request in self.record.requests.values()
+            if end - 4.0 < request.sent_at < end - REQUEST_TIMEOUT_SECONDS / 3
+            and request.key in self._active_keys
         ]
-        served = sum(sent.status == 200 for sent in last)
-        if served < LEAST_SERVED_AT_THE_END * len(last) or not last:
-            return [f"{served} of {len(last)} were served at the end"]
+        served = sum(request.status == 200 for request in final_requests)
+        if served < MIN_RECOVERED_RATIO * len(final_requests) or not final_requests:
+            return [f"{served} of {len(final_requests)} were served at the end"]
         return []
 
-    async def _do_faults(self) -> None:
+    async def _inject_faults(self) -> None:
         started = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for fault in self.faults:
-                delay = started + fault.at - time.monotonic()
+                delay = started + fault.start_seconds - time.monotonic()
                 await asyncio.sleep(max(0.0, delay))
-                group.create_task(_faults[fault.kind](self, fault))
-            rest = started + self._seconds - time.monotonic()
-            await asyncio.sleep(max(0.0, rest))
+                group.create_task(_injectors[fault.kind](self, fault))
+            remaining = started + self._fault_seconds - time.monotonic()
+            await asyncio.sleep(max(0.0, remaining))
 
-    async def _call(self, place: Place) -> None:
+    async def _send_requests(self, machine: Machine) -> None:
         """Send requests on kept connections, one after the other."""
-        pool = ConnectionPool(place.address(OUTBOUND), 1.0)
+        pool = ConnectionPool(machine.address(OUTBOUND_PORT), 1.0)
         while True:
-            await asyncio.sleep(CALLER_PAUSE_SECONDS * self._rng.uniform(0.5, 1.5))
-            self._number += 1
-            route = self._rng.choice(list(ROUTES))
-            key = self._rng.choice(list(KEYS))
-            idempotent = ROUTES[route] == "safe"
-            sent = Sent(f"r{self._number}", key, idempotent, time.monotonic())
-            self.record.sent[sent.request] = sent
+            await asyncio.sleep(
+                MEAN_CALLER_PAUSE_SECONDS * self._random.uniform(0.5, 1.5)
+            )
+            self._last_request_number += 1
+            route = self._random.choice(list(KINDS_BY_ROUTE))
+            key = self._random.choice(list(TENANTS_BY_KEY))
+            idempotent = KINDS_BY_ROUTE[route] == "safe"
+            request = SentRequest(
+                f"r{self._last_request_number}", key, idempotent, time.monotonic()
+            )
+            self.record.requests[request.request_id] = request
             with contextlib.suppress(ExchangeError, TimeoutError):
                 # No answer is an answer too: it promises nothing.
-                async with asyncio.timeout(REQUEST_SECONDS):
-                    await self._exchange(pool, sent, route)
+                async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
+                    await self._send_request(pool, request, route)
 
-    async def _exchange(self, pool: ConnectionPool, sent: Sent, route: str) -> None:
-        method = "GET" if sent.idempotent else "POST"
+    async def _send_request(
+        self, pool: ConnectionPool, request: SentRequest, route: str
+    ) -> None:
+        method = "GET" if request.idempotent else "POST"
         head = (
-            f"{method} /{route}/x HTTP/1.1\r\nHost: {HOST}\r\n"
-            f"X-Primroseglade-Request-Id: {sent.request}\r\n"
-            f"X-Primroseglade-Deadline-Ms: {REQUEST_SECONDS * 1000:.0f}\r\n"
-            f"Authorization: Token {sent.key}\r\nContent-Length: 0\r\n\r\n"
+            f"{method} /{route}/x HTTP/1.1\r\nHost: {VIRTUAL_HOST}\r\n"
+            f"X-Primroseglade-Request-Id: {request.request_id}\r\n"
+            f"X-Primroseglade-Deadline-Ms: {REQUEST_TIMEOUT_SECONDS * 1000:.0f}\r\n"
+            f"Authorization: Token {request.key}\r\nContent-Length: 0\r\n\r\n"
         )
         connection = await pool.acquire()
         try:
             answer = await connection.exchange(head.encode())
         finally:
             pool.release(connection)
-        sent.status = answer.status
-        sent.whole = answer.body == f"{sent.request} {'x' * 2000} end".encode()
+        request.status = answer.status
+        request.has_expected_body = (
+            answer.body == f"{request.request_id} {'x' * 2000} end".encode()
+        )
 
-    async def _collect(self, place: Place) -> None:
+    async def _record_events(self, machine: Machine) -> None:
         """Note what a backend server tells."""
         while True:
-            told = await place.told.get()
-            at = float(str(told["at"]))
-            if "ran" in told:
-                run = Ran(
-                    str(told["ran"]),
-                    str(told["instance"]),
-                    str(told["tenant"]),
-                    bool(told["key_seen"]),
-                    at,
+            event = await machine.events.get()
+            event_time = float(str(event["at"]))
+            if "ran" in event:
+                execution = Execution(
+                    str(event["ran"]),
+                    str(event["instance"]),
+                    str(event["tenant"]),
+                    bool(event["key_seen"]),
+                    event_time,
+                )
+                self.record.executions.setdefault(execution.request_id, []).append(
+                    execution
                 )
-                self.record.ran.setdefault(run.request, []).append(run)
-            elif told.get("acknowledged"):
-                self.record.drained[str(told["draining"])] = at
+            elif event.get("acknowledged"):
+                self.record.drain_acknowledged_at[str(event["draining"])] = event_time
 
     def _publish(self) -> None:
         """Write the configuration, as the operator does."""
-        self._version += 1
+        self._configuration_version += 1
         tenants: dict[str, list[str]] = {"north": [], "south": []}
-        for key, tenant in self._keys.items():
+        for key, tenant in self._active_keys.items():
             tenants[tenant].append(key)
         paths = [
             {
@@ -173,11 +189,11 @@
                 "max_attempts": 2,
                 "public": False,
             }
-            for name, kind in ROUTES.items()
+            for name, kind in KINDS_BY_ROUTE.items()
         ]
         self._store.publish(
             {
-                "version": self._version,
+                "version": self._configuration_version,
                 "services": [],
                 "limits": {
                     "max_header_bytes": 16384,
@@ -190,30 +206,30 @@
                         "name": name,
                         "api_keys": keys,
                         "priority": 1,
-                        "rate_per_s": self._rate,
-                        "burst": self._rate,
+                        "rate_per_s": self._rate_per_second,
+                        "burst": self._rate_per_second,
                     }
                     for name, keys in tenants.items()
                 ],
-                "virtual_hosts": [{"host": HOST, "paths": paths}],
+                "virtual_hosts": [{"host": VIRTUAL_HOST, "paths": paths}],
             }
         )
 
-    def get_place(self, fault: FaultAt) -> Place:
+    def get_machine(self, fault: ScheduledFault) -> Machine:
         """Return where a fault is done."""
-        return self._places[fault.place]
+        return self._machines[fault.machine]
 
     def withdraw_key(self, variant: int) -> None:
         """Take a key away, but never the last one."""
-        if len(self._keys) > 1:
-            key = sorted(self._keys)[variant % len(self._keys)]
-            del self._keys[key]
+        if len(self._active_keys) > 1:
+            key = sorted(self._active_keys)[variant % len(self._active_keys)]
+            del self._active_keys[key]
             self._publish()
-            self.record.withdrawn[key] = time.monotonic()
+            self.record.withdrawn_at[key] = time.monotonic()
 
     def change_rate(self, variant: int) -> None:
         """Set other rates, far above what callers send."""
-        self._rate = 5_000 + variant
+        self._rate_per_second = 5_000 + variant
         self._publish()
 
     @property
@@ -222,94 +238,96 @@
         return self._store
 
 
-DoFault = Callable[[Soak, FaultAt], Awaitable[None]]
-_faults: dict[str, DoFault] = {}
+FaultInjector = Callable[[Soak, ScheduledFault], Awaitable[None]]
+_injectors: dict[str, FaultInjector] = {}
 
 
-def _fault(kind: str) -> Callable[[DoFault], DoFault]:
+def _injects(kind: str) -> Callable[[FaultInjector], FaultInjector]:
     """Register what a kind of fault does."""
 
-    def register(do_fault: DoFault) -> DoFault:
-        _faults[kind] = do_fault
-        return do_fault
+    def register(injector: FaultInjector) -> FaultInjector:
+        _injectors[kind] = injector
+        return injector
 
     return register
 
 
-async def _harm(link: Proxy, fault: FaultAt) -> None:
+async def _inject_link_fault(proxy: FaultProxy, fault: ScheduledFault) -> None:
     """Do one of the harms to a link for a while."""
-    harms = [harm for harm in Fault if harm is not Fault.NONE]
-    link.set_fault(harms[fault.variant % len(harms)])
-    await asyncio.sleep(fault.seconds)
-    link.set_fault(Fault.NONE)
+    link_faults = [
+        link_fault for link_fault in LinkFault if link_fault is not LinkFault.NONE
+    ]
+    proxy.set_fault(link_faults[fault.variant % len(link_faults)])
+    await asyncio.sleep(fault.duration_seconds)
+    proxy.set_fault(LinkFault.NONE)
 
 
-@_fault("node-pause")
-async def _pause(soak: Soak, fault: FaultAt) -> None:
-    await soak.get_place(fault).pause_node(fault.seconds)
+@_injects("node-pause")
+async def _pause_node(soak: Soak, fault: ScheduledFault) -> None:
+    await soak.get_machine(fault).pause_node(fault.duration_seconds)
 
 
-@_fault("node-kill")
-async def _kill(soak: Soak, fault: FaultAt) -> None:
-    await soak.get_place(fault).kill_node()
+@_injects("node-kill")
+async def _kill_node(soak: Soak, fault: ScheduledFault) -> None:
+    await soak.get_machine(fault).kill_node()
 
 
-@_fault("node-stop")
-async def _stop(soak: Soak, fault: FaultAt) -> None:
-    await soak.get_place(fault).stop_node()
+@_injects("node-stop")
+async def _stop_node(soak: Soak, fault: ScheduledFault) -> None:
+    await soak.get_machine(fault).stop_node()
 
 
-@_fault("backend-leave")
-async def _leave(soak: Soak, fault: FaultAt) -> None:
-    await soak.get_place(fault).leave_backend()
+@_injects("backend-leave")
+async def _drain_backend(soak: Soak, fault: ScheduledFault) -> None:
+    await soak.get_machine(fault).drain_backend()
 
 
-@_fault("backend-kill")
-async def _kill_backend(soak: Soak, fault: FaultAt) -> None:
-    await soak.get_place(fault).kill_backend()
+@_injects("backend-kill")
+async def _kill_backend(soak: Soak, fault: ScheduledFault) -> None:
+    await soak.get_machine(fault).kill_backend()
 
 
-@_fault("backend-link")
-async def _harm_backend_link(soak: Soak, fault: FaultAt) -> None:
-    await _harm(soak.get_place(fault).backend_link, fault)
+@_injects("backend-link")
+async def _fault_backend_link(soak: Soak, fault: ScheduledFault) -> None:
+    await _inject_link_fault(soak.get_machine(fault).backend_proxy, fault)
 
 
-@_fault("store-link")
-async def _harm_store_link(soak: Soak, fault: FaultAt) -> None:
-    await _harm(soak.get_place(fault).store_link, fault)
+@_injects("store-link")
+async def _fault_store_link(soak: Soak, fault: ScheduledFault) -> None:
+    await _inject_link_fault(soak.get_machine(fault).store_proxy, fault)
 
 
-@_fault("store-down")
-async def _take_store_down(soak: Soak, fault: FaultAt) -> None:
+@_injects("store-down")
+async def _make_store_unavailable(soak: Soak, fault: ScheduledFault) -> None:
     soak.store.faults.down = 503
-    await asyncio.sleep(fault.seconds)
+    await asyncio.sleep(fault.duration_seconds)
     soak.store.faults.down = 0
 
 
-@_fault("store-slow")
-async def _slow_store(soak: Soak, fault: FaultAt) -> None:
+@_injects("store-slow")
+async def _delay_store(soak: Soak, fault: ScheduledFault) -> None:
     soak.store.faults.slow = 0.3
-    await asyncio.sleep(fault.seconds)
+    await asyncio.sleep(fault.duration_seconds)
     soak.store.faults.slow = 0.0
 
 
-@_fault("store-loses-answers")
-async def _lose_answers(soak: Soak, fault: FaultAt) -> None:
+@_injects("store-loses-answers")
+async def _drop_store_answers(soak: Soak, fault: ScheduledFault) -> None:
     soak.store.faults.lose_answers = True
-    await asyncio.sleep(fault.seconds)
+    await asyncio.sleep(fault.duration_seconds)
     soak.store.faults.lose_answers = False
 
 
-@_fault("store-forgets")
-async def _forget(soak: Soak, fault: FaultAt) -> None:
+@_injects("store-forgets")
+async def _delete_store_history(soak: Soak, fault: ScheduledFault) -> None:
     soak.store.forget_history()
 
 
-@_fault("key-withdrawn")
-async def _withdraw(soak: Soak, fault: FaultAt) -> None:
+@_injects("key-withdrawn")
+async def _withdraw_key(soak: Soak, fault: ScheduledFault) -> None:
     soak.withdraw_key(fault.variant)
 
 
-@_fault("rate-changed")
-async def _change_rate(soak: Soak, fault: FaultAt) -> None:
+@_injects("rate-changed")
+async def _change_rate(soak: Soak, fault: ScheduledFault) -> None:
     soak.change_rate(fault.variant)
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -2,7 +2,7 @@
 
 import random
 
-KINDS = (
+FAULT_KINDS = (
     "node-pause",
     "node-kill",
     "node-stop",
@@ -18,11 +18,11 @@
     "rate-changed",
 )
 # Faults come in series and overlap: so many a second on average.
-FAULTS_A_SECOND = 0.7
-LONGEST_SECONDS = 4.0
+MEAN_FAULTS_PER_SECOND = 0.7
+MAX_FAULT_SECONDS = 4.0
 
 
-class FaultAt:
+class ScheduledFault:
     """One fault.
 
     Args:
@@ -33,38 +33,48 @@
         variant: A number that a kind may use.
     """
 
-    __slots__ = ("at", "kind", "place", "seconds", "variant")
+    __slots__ = ("duration_seconds", "kind", "machine", "start_seconds", "variant")
 
-    def __init__(self, at: float, kind: str, seconds: float, place: int, variant: int):
-        self.at = at
+    def __init__(
+        self,
+        start_seconds: float,
+        kind: str,
+        duration_seconds: float,
+        machine: int,
+        variant: int,
+    ):
+        self.start_seconds = start_seconds
         self.kind = kind
-        self.seconds = seconds
-        self.place = place
+        self.duration_seconds = duration_seconds
+        self.machine = machine
         self.variant = variant
 
     def __repr__(self) -> str:
-        return f"{self.at:.2f} s {self.kind} at {self.place} for {self.seconds:.2f} s"
+        return (
+            f"{self.start_seconds:.2f} s {self.kind} at {self.machine} "
+            f"for {self.duration_seconds:.2f} s"
+        )
 
 
-def draw_schedule(seed: int, seconds: float, places: int) -> list[FaultAt]:
+def generate_faults(seed: int, seconds: float, machines: int) -> list[ScheduledFault]:
     """Return the faults of a seed, the same each time.
 
-    >>> one = draw_schedule(1, 10.0, 4)
-    >>> [repr(f) for f in one] == [repr(f) for f in draw_schedule(1, 10.0, 4)]
+    >>> one = generate_faults(1, 10.0, 4)
+    >>> [repr(f) for f in one] == [repr(f) for f in generate_faults(1, 10.0, 4)]
     True
     """
     rng = random.Random(seed)
-    faults: list[FaultAt] = []
-    now = rng.expovariate(FAULTS_A_SECOND)
+    faults: list[ScheduledFault] = []
+    now = rng.expovariate(MEAN_FAULTS_PER_SECOND)
     while now < seconds:
         faults.append(
-            FaultAt(
+            ScheduledFault(
                 now,
-                rng.choice(KINDS),
-                rng.uniform(0.3, LONGEST_SECONDS),
-                rng.randrange(places),
+                rng.choice(FAULT_KINDS),
+                rng.uniform(0.3, MAX_FAULT_SECONDS),
+                rng.randrange(machines),
                 rng.randrange(1000),
             )
         )
-        now += rng.expovariate(FAULTS_A_SECOND)
+        now += rng.expovariate(MEAN_FAULTS_PER_SECOND)
     return faults
