--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -16,14 +16,14 @@
     tables,
     withdraw,
 )
-from .registry import get_benches
+from .registry import get_benchmarks
 
 
 def main() -> int:
     """Run one benchmark and print its figures."""
-    benches = get_benches()
+    benchmarks = get_benchmarks()
     parser = argparse.ArgumentParser(prog="python -m bench")
-    parser.add_argument("name", choices=sorted(benches))
+    parser.add_argument("name", choices=sorted(benchmarks))
     parser.add_argument("--json", action="store_true", help="print one JSON value")
     parser.add_argument("--deployment", choices=("split", "lagos"), default="split")
     parser.add_argument("--seconds", type=float, default=0.0, help="0: its own")
@@ -35,7 +35,7 @@
         "--off", action="append", default=[], metavar="MECHANISM", help="switch off"
     )
     options = parser.parse_args()
-    figures = asyncio.run(benches[options.name](options))
+    figures = asyncio.run(benchmarks[options.name](options))
     if options.json:
         print(json.dumps(figures))
     else:
--- a/bench/choices.py
+++ b/bench/choices.py
@@ -14,15 +14,15 @@
 from primroseglade.listener import build_application
 from primroseglade.stand_ins.backend import BackendStandIn, Behaviour
 
-from .registry import bench
+from .registry import benchmark
 
-CALLS = 3000
+CALLS_PER_ROUND = 3000
 ROUNDS = 5
 BODY = b"x" * 300
 HEADERS = [(b"content-type", b"application/json")]
 
 
-async def answer_plain(scope: dict[str, Any], receive: Any, send: Any) -> None:
+async def answer_asgi(scope: dict[str, Any], receive: Any, send: Any) -> None:
     """Answer as the listeners of calls do."""
     await receive()
     headers = [*HEADERS, (b"content-length", b"%d" % len(BODY))]
@@ -30,7 +30,7 @@
     await send({"type": "http.response.body", "body": BODY})
 
 
-def build_framework() -> Any:
+def build_blacksheep_app() -> Any:
     """Return the same as a blacksheep application."""
     app = build_application()
 
@@ -42,7 +42,7 @@
     return app
 
 
-async def measure_app(app: Any) -> float:
+async def measure_asgi_app(app: Any) -> float:
     """Return microseconds of processor time a request, without a socket."""
 
     async def receive() -> dict[str, Any]:
@@ -52,7 +52,7 @@
         return None
 
     started = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         scope = {
             "type": "http",
             "method": "POST",
@@ -62,52 +62,55 @@
             "headers": [(b"host", b"n"), (b"content-length", b"300")],
         }
         await app(scope, receive, send)
-    return (time.process_time() - started) / CALLS * 1e6
+    return (time.process_time() - started) / CALLS_PER_ROUND * 1e6
 
 
-async def measure_own(address: str) -> float:
+async def measure_own_client(address: str) -> float:
     """Return microseconds a call by the project's own connections."""
     pool = Pool(address, 4, 1.0, 65536)
     body = Body(BODY)
     started = time.process_time()
-    for _ in range(CALLS):
+    for _ in range(CALLS_PER_ROUND):
         connection = await pool.acquire()
         head = build_head("POST", b"/x", address, HEADERS, body)
         await connection.exchange(head, body, False)
         connection.take_held()
         pool.release(connection)
-    cost = (time.process_time() - started) / CALLS * 1e6
+    microseconds = (time.process_time() - started) / CALLS_PER_ROUND * 1e6
     pool.close_idle()
-    return cost
+    return microseconds
 
 
-async def measure_library(address: str) -> float:
+async def measure_aiohttp_client(address: str) -> float:
     """Return microseconds a call by aiohttp's client."""
     async with aiohttp.ClientSession() as session:
         started = time.process_time()
-        for _ in range(CALLS):
+        for _ in range(CALLS_PER_ROUND):
             async with session.post(f"http://{address}/x", data=BODY) as response:
                 await response.read()
-        return (time.process_time() - started) / CALLS * 1e6
+        return (time.process_time() - started) / CALLS_PER_ROUND * 1e6
 
 
-@bench("choices")
+@benchmark("choices")
 async def measure_choices(options: argparse.Namespace) -> dict[str, Any]:
     """Measure each choice and its alternative in turn; medians of five rounds."""
     backend = BackendStandIn("x", behaviour=Behaviour(work=0, slots=1000), seen_kept=1)
-    running = asyncio.create_task(backend.run())
+    backend_task = asyncio.create_task(backend.run())
     await backend.wait_started()
-    framework = build_framework()
-    await framework.start()
+    blacksheep_app = build_blacksheep_app()
+    await blacksheep_app.start()
     figures: dict[str, list[float]] = {}
     for _ in range(ROUNDS):
-        for name, cost in (
-            ("listener, plain ASGI, us", await measure_app(answer_plain)),
-            ("listener, blacksheep, us", await measure_app(framework)),
-            ("client and server, own, us", await measure_own(backend.address)),
-            ("client and server, aiohttp, us", await measure_library(backend.address)),
+        for name, microseconds in (
+            ("listener, plain ASGI, us", await measure_asgi_app(answer_asgi)),
+            ("listener, blacksheep, us", await measure_asgi_app(blacksheep_app)),
+            ("client and server, own, us", await measure_own_client(backend.address)),
+            (
+                "client and server, aiohttp, us",
+                await measure_aiohttp_client(backend.address),
+            ),
         ):
-            figures.setdefault(name, []).append(cost)
+            figures.setdefault(name, []).append(microseconds)
     backend.kill()
-    await running
-    return {name: sorted(costs)[ROUNDS // 2] for name, costs in figures.items()}
+    await backend_task
+    return {name: sorted(values)[ROUNDS // 2] for name, values in figures.items()}
--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -18,11 +18,11 @@
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.model import Tenant
 
-from .registry import bench
+from .registry import benchmark
 
 ZONES = 6
-SECONDS = 16.0
-RATES = (2.0, 5.0, 10.0, 30.0, 100.0, 300.0)
+CALLS_SECONDS = 16.0
+RATES_PER_SECOND = (2.0, 5.0, 10.0, 30.0, 100.0, 300.0)
 DEMANDS = {
     "0.5": Demand(0.5),
     "0.9": Demand(0.9),
@@ -32,10 +32,10 @@
     "1.06 to 7.5": Demand(1.06, (RISE_SECONDS, 7.5)),
 }
 # Rates above this one are not played with the highest demand: it takes too long.
-HIGHEST_RATE_AT_15 = 30.0
+MAX_RATE_AT_HIGHEST_DEMAND = 30.0
 
 
-class Result:
+class WorkspaceResult:
     """What became of one workspace in one play.
 
     Attributes:
@@ -45,41 +45,51 @@
         wait: Milliseconds that 99 in 100 of its admitted calls waited at most.
     """
 
-    __slots__ = ("demand", "served", "wait", "worst")
+    __slots__ = ("demand_name", "p99_wait_ms", "served_ratio", "worst_window_ratio")
 
-    def __init__(self, demand: str, rate: float, play: Play):
-        self.demand = demand
-        self.worst = play.find_worst_window() / count_allowed(rate, rate)
+    def __init__(self, demand_name: str, rate: float, play: Play):
+        self.demand_name = demand_name
+        self.worst_window_ratio = play.find_worst_window() / count_allowed(rate, rate)
         ideal = count_ideal(play.arrivals, rate, rate)
-        self.served = len(play.admitted) / max(1, ideal)
+        self.served_ratio = len(play.admitted) / max(1, ideal)
         waits = sorted(play.waits_of_admitted)
-        self.wait = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
+        self.p99_wait_ms = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
 
 
-def play_scenario(name: str, nodes: int, seed: int) -> list[Result]:
+def play_scenario(name: str, nodes: int, seed: int) -> list[WorkspaceResult]:
     """Play all workspaces of one fleet at the same time."""
     scenario = build_scenarios()[name]
-    lead = LEAD_SECONDS if scenario.first_start else 0.0
-    cuts = [Cut(cut.start + lead, cut.end + lead, cut.sides) for cut in scenario.cuts]
+    lead_seconds = LEAD_SECONDS if scenario.first_start else 0.0
+    cuts = [
+        Cut(cut.start + lead_seconds, cut.end + lead_seconds, cut.sides)
+        for cut in scenario.cuts
+    ]
     zones = [number % ZONES for number in range(nodes)]
     fleet = RateFleet(zones, seed, cuts, scenario.first_start)
-    for at, event in scenario.events:
-        fleet.simulation.schedule(lead + at, lambda event=event: event(fleet))
+    for event_time, event in scenario.events:
+        fleet.simulation.schedule(
+            lead_seconds + event_time, lambda event=event: event(fleet)
+        )
     plays = []
-    for rate in RATES:
+    for rate in RATES_PER_SECOND:
         for demand_name, demand in DEMANDS.items():
-            if demand.most >= 15.0 and rate > HIGHEST_RATE_AT_15:
+            if demand.most >= 15.0 and rate > MAX_RATE_AT_HIGHEST_DEMAND:
                 continue
             tenant = Tenant(f"{rate:g} at {demand_name}", 1, rate, rate)
             play = add_callers(
-                fleet, tenant, demand, lead, lead + SECONDS, range(nodes)
+                fleet,
+                tenant,
+                demand,
+                lead_seconds,
+                lead_seconds + CALLS_SECONDS,
+                range(nodes),
             )
             plays.append((demand_name, rate, play))
-    fleet.simulation.run(lead + SECONDS)
-    return [Result(demand, rate, play) for demand, rate, play in plays]
+    fleet.simulation.run(lead_seconds + CALLS_SECONDS)
+    return [WorkspaceResult(demand, rate, play) for demand, rate, play in plays]
 
 
-@bench("fleet-rates")
+@benchmark("fleet-rates")
 async def measure_fleet_rates(options: argparse.Namespace) -> dict[str, Any]:
     """Return, by scenario and demand, the worst window and what is served."""
     figures: dict[str, Any] = {}
@@ -94,18 +104,19 @@
     return figures
 
 
-def summarize(results: list[Result]) -> dict[str, Any]:
+def summarize(results: list[WorkspaceResult]) -> dict[str, Any]:
     """Return the figures of one scenario, by demand."""
-    by_demand: dict[str, list[Result]] = collections.defaultdict(list)
+    by_demand: dict[str, list[WorkspaceResult]] = collections.defaultdict(list)
     for result in results:
-        by_demand[result.demand].append(result)
+        by_demand[result.demand_name].append(result)
     return {
         f"demand {demand}": {
             "plays": len(group),
-            "worst window": max(result.worst for result in group),
-            "windows over": sum(result.worst > 1.0 for result in group),
-            "served, mean": sum(result.served for result in group) / len(group),
-            "wait ms, mean p99": sum(result.wait for result in group) / len(group),
+            "worst window": max(result.worst_window_ratio for result in group),
+            "windows over": sum(result.worst_window_ratio > 1.0 for result in group),
+            "served, mean": sum(result.served_ratio for result in group) / len(group),
+            "wait ms, mean p99": sum(result.p99_wait_ms for result in group)
+            / len(group),
         }
         for demand, group in by_demand.items()
     }
--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -10,84 +10,84 @@
 from primroseglade.limits.concurrency import ConcurrencyLimit
 from primroseglade.limits.importance import Importance
 
-Switch = Callable[[dict[str, Any]], Any]
+Disabler = Callable[[dict[str, Any]], Any]
 
-_switches: dict[str, Switch] = {}
-NO_LIMIT = 100_000
+_disablers: dict[str, Disabler] = {}
+UNLIMITED_CALLS = 100_000
 
 
-def switch(name: str) -> Callable[[Switch], Switch]:
+def disables(name: str) -> Callable[[Disabler], Disabler]:
     """Register what switches a mechanism off; it may change settings and patch."""
 
-    def register(function: Switch) -> Switch:
-        _switches[name] = function
+    def register(function: Disabler) -> Disabler:
+        _disablers[name] = function
         return function
 
     return register
 
 
-def get_names() -> list[str]:
+def get_mechanism_names() -> list[str]:
     """Return what can be switched off."""
-    return sorted(_switches)
+    return sorted(_disablers)
 
 
 @contextmanager
-def switched_off(names: list[str], settings: dict[str, Any]) -> Iterator[None]:
+def mechanisms_disabled(names: list[str], settings: dict[str, Any]) -> Iterator[None]:
     """Run a block without some mechanisms."""
     with ExitStack() as stack:
         for name in names:
-            patches = _switches[name](settings) or ()
+            patches = _disablers[name](settings) or ()
             for patch in patches:
                 stack.enter_context(patch)
         yield
 
 
-@switch("limit")
-def _switch_limit(_: dict[str, Any]) -> list[Any]:
+@disables("limit")
+def _disable_limit(_: dict[str, Any]) -> list[Any]:
     """Let every call through to the backend server."""
-    return [mock.patch.object(ConcurrencyLimit, "value", NO_LIMIT)]
+    return [mock.patch.object(ConcurrencyLimit, "value", UNLIMITED_CALLS)]
 
 
-@switch("importance")
-def _switch_importance(_: dict[str, Any]) -> list[Any]:
+@disables("importance")
+def _disable_importance(_: dict[str, Any]) -> list[Any]:
     """Treat all calls alike."""
     original = admission.Waiter.__init__
 
-    def build(waiter: Any, context: Any, turn: Any, arrived: float) -> None:
+    def init_waiter(waiter: Any, context: Any, turn: Any, arrived: float) -> None:
         context.importance = Importance.NORMAL
         original(waiter, context, turn, arrived)
 
-    return [mock.patch.object(admission.Waiter, "__init__", build)]
+    return [mock.patch.object(admission.Waiter, "__init__", init_waiter)]
 
 
-@switch("fair-shares")
-def _switch_shares(_: dict[str, Any]) -> list[Any]:
+@disables("fair-shares")
+def _disable_fair_shares(_: dict[str, Any]) -> list[Any]:
     """Put all workspaces into one line."""
     add = admission.AdmissionQueue._add
 
-    def add_to_one(queue: Any, waiter: Any) -> None:
+    def add_to_shared_queue(queue: Any, waiter: Any) -> None:
         waiter.context.workspace = "all"
         add(queue, waiter)
 
-    return [mock.patch.object(admission.AdmissionQueue, "_add", add_to_one)]
+    return [mock.patch.object(admission.AdmissionQueue, "_add", add_to_shared_queue)]
 
 
-@switch("same-order")
-def _switch_order(_: dict[str, Any]) -> list[Any]:
+@disables("same-order")
+def _disable_same_order(_: dict[str, Any]) -> list[Any]:
     """Let each hop shed other calls."""
     return [
         mock.patch.object(admission, "hash_root", lambda _: getrandbits(32)),
     ]
 
 
-@switch("throttle")
-def _switch_throttle(_: dict[str, Any]) -> list[Any]:
+@disables("throttle")
+def _disable_throttle(_: dict[str, Any]) -> list[Any]:
     """Let every call go, however many are shed further on."""
     return [mock.patch.object(throttle.Throttle, "admits", lambda *_: True)]
 
 
-@switch("doomed")
-def _switch_doomed(_: dict[str, Any]) -> list[Any]:
+@disables("doomed")
+def _disable_deadline_check(_: dict[str, Any]) -> list[Any]:
     """Let calls through that can no longer be answered in time."""
     return [
         mock.patch.object(
@@ -96,20 +96,20 @@
     ]
 
 
-@switch("retry-tokens")
-def _switch_tokens(settings: dict[str, Any]) -> None:
+@disables("retry-tokens")
+def _disable_retry_tokens(settings: dict[str, Any]) -> None:
     """Leave retries of a root call unbounded."""
     settings.setdefault("retries", {})["tokens"] = 1000
 
 
-@switch("retry-share")
-def _switch_share(settings: dict[str, Any]) -> None:
+@disables("retry-share")
+def _disable_retry_share(settings: dict[str, Any]) -> None:
     """Leave retries of a node unbounded."""
     settings.setdefault("retries", {})["share"] = 1000.0
 
 
-@switch("queue")
-def _switch_queue(settings: dict[str, Any]) -> None:
+@disables("queue")
+def _disable_queue_bounds(settings: dict[str, Any]) -> None:
     """Keep a long line in order of arrival, as a plain server does."""
     settings.setdefault("limits", {})["queue"] = 10_000
     settings.setdefault("timeouts", {})["queue"] = 60.0
--- a/bench/members.py
+++ b/bench/members.py
@@ -12,32 +12,32 @@
 from primroseglade.platform.log import CONFIGURATION_TOPIC
 
 from .overhead import choose_first_port
-from .processes import Process, run_processes, wait_page
-from .registry import bench
+from .processes import Process, run_processes, wait_for_page
+from .registry import benchmark
 
-SIZES = (3, 10, 30, 60)
-REST_SECONDS = 12.0
-EDITS = 20
+FLEET_SIZES = (3, 10, 30, 60)
+IDLE_SECONDS = 12.0
+EDIT_COUNT = 20
 EDIT_PAUSE_SECONDS = 0.25
-ZONES = 3
-WORKSPACES = 8
-STATE_SIZES = (1000, 4000, 12000)
+ZONE_COUNT = 3
+WORKSPACE_COUNT = 8
+TABLE_SIZES = (1000, 4000, 12000)
 
 
-class Sample:
+class CpuSample:
     """What nodes had used at a moment."""
 
     def __init__(self, nodes: list[Process]):
-        self.at = time.monotonic()
-        self.cpu = sum(node.cpu_seconds for node in nodes)
+        self.taken_at = time.monotonic()
+        self.cpu_seconds = sum(node.cpu_seconds for node in nodes)
 
 
 def build_edit() -> Edit:
     """Return a document with rates, so that leases are held."""
     sections: dict[str, Any] = {
-        f"zones/z{number}": {"share": 1 / ZONES} for number in range(ZONES)
+        f"zones/z{number}": {"share": 1 / ZONE_COUNT} for number in range(ZONE_COUNT)
     }
-    for number in range(WORKSPACES):
+    for number in range(WORKSPACE_COUNT):
         name = f"w{number}"
         key = {"id": name, "digest": digest_key(name)}
         sections[f"workspaces/{name}"] = {"keys": [key]}
@@ -56,100 +56,108 @@
     return sum(float(line.split()[-1]) for line in lines if line.startswith(prefix))
 
 
-async def measure_size(size: int) -> dict[str, Any]:
+async def measure_fleet(size: int) -> dict[str, Any]:
     """Start a fleet of this size and measure a node's share of its control."""
     async with run_processes(log={"level": "error"}) as processes:
         await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
-        nodes, operators = await start_nodes(processes, size)
-        await wait_members(operators, size)
+        nodes, operator_addresses = await start_nodes(processes, size)
+        await wait_for_members(operator_addresses, size)
         await asyncio.sleep(5)
-        rest = await measure_span(nodes, operators, asyncio.sleep(REST_SECONDS))
-        edits = await measure_span(
-            nodes, operators, publish_edits(processes, operators)
+        idle = await measure_usage(
+            nodes, operator_addresses, asyncio.sleep(IDLE_SECONDS)
         )
-        memory = sum(node.memory_mb for node in nodes) / size
+        edits = await measure_usage(
+            nodes, operator_addresses, publish_edits(processes, operator_addresses)
+        )
+        memory_mb = sum(node.memory_mb for node in nodes) / size
         return {
-            "at rest, cpu % of a core": rest["cpu"] * 100,
-            "at rest, bytes/s out and in": rest["bytes"],
-            "at rest, messages/s out": rest["messages"],
-            "an edit, cpu ms a node": (edits["cpu"] - rest["cpu"])
+            "at rest, cpu % of a core": idle["cpu"] * 100,
+            "at rest, bytes/s out and in": idle["bytes"],
+            "at rest, messages/s out": idle["messages"],
+            "an edit, cpu ms a node": (edits["cpu"] - idle["cpu"])
             * edits["seconds"]
-            / EDITS
+            / EDIT_COUNT
             * 1000,
-            "an edit, bytes a node": (edits["bytes"] - rest["bytes"])
+            "an edit, bytes a node": (edits["bytes"] - idle["bytes"])
             * edits["seconds"]
-            / EDITS,
-            "memory MB": memory,
+            / EDIT_COUNT,
+            "memory MB": memory_mb,
         }
 
 
 async def start_nodes(processes: Any, size: int) -> tuple[list[Process], list[str]]:
     """Start nodes, ten at a time."""
     nodes: list[Process] = []
-    operators: list[str] = []
-    first = choose_first_port()
+    operator_addresses: list[str] = []
+    first_port = choose_first_port()
     for start in range(0, size, 10):
         batch = [
-            processes.start_node(f"n{number}", f"z{number % ZONES}", first + number * 5)
+            processes.start_node(
+                f"n{number}", f"z{number % ZONE_COUNT}", first_port + number * 5
+            )
             for number in range(start, min(size, start + 10))
         ]
         for node, listen in await asyncio.gather(*batch):
             nodes.append(node)
-            operators.append(listen["operator"])
-    return nodes, operators
+            operator_addresses.append(listen["operator"])
+    return nodes, operator_addresses
 
 
-async def wait_members(operators: list[str], size: int) -> None:
+async def wait_for_members(operator_addresses: list[str], size: int) -> None:
     """Wait until the first and the last node know all."""
     async with asyncio.timeout(60):
-        for address in (operators[0], operators[-1]):
+        for address in (operator_addresses[0], operator_addresses[-1]):
             alive = 'primroseglade_members{state="alive"}'
             while await read_metric(address, alive) < size:
                 await asyncio.sleep(0.5)
 
 
-async def publish_edits(processes: Any, operators: list[str]) -> None:
+async def publish_edits(processes: Any, operator_addresses: list[str]) -> None:
     """Publish edits and wait until the last node has them."""
-    for number in range(EDITS):
+    for number in range(EDIT_COUNT):
         edit = Edit(
             [SectionEdit(f"recalls/r{number}", None, {"keys": [f"k{number}"]})], "bench"
         )
         await processes.log.append(CONFIGURATION_TOPIC, edit.to_value())
         await asyncio.sleep(EDIT_PAUSE_SECONDS)
-    await wait_page(f"http://{operators[-1]}/status")
+    await wait_for_page(f"http://{operator_addresses[-1]}/status")
 
 
-async def measure_span(nodes: list[Process], operators: list[str], work: Any) -> Any:
+async def measure_usage(
+    nodes: list[Process], operator_addresses: list[str], activity: Any
+) -> Any:
     """Return what a node used a second during some work, on average."""
-    names = (
+    metric_names = (
         "primroseglade_control_bytes_total",
         "primroseglade_control_messages_total",
     )
-    sampled = operators[:: max(1, len(operators) // 10)]
+    sampled_addresses = operator_addresses[:: max(1, len(operator_addresses) // 10)]
 
-    async def read() -> list[float]:
+    async def read_counters() -> list[float]:
         values = []
-        for name in names:
-            readings = [await read_metric(address, name) for address in sampled]
-            values.append(sum(readings) / len(sampled))
+        for name in metric_names:
+            readings = [
+                await read_metric(address, name) for address in sampled_addresses
+            ]
+            values.append(sum(readings) / len(sampled_addresses))
         return values
 
-    before = await read()
-    start = Sample(nodes)
-    await work
-    end = Sample(nodes)
-    after = await read()
-    seconds = end.at - start.at
+    counters_before = await read_counters()
+    start = CpuSample(nodes)
+    await activity
+    end = CpuSample(nodes)
+    counters_after = await read_counters()
+    seconds = end.taken_at - start.taken_at
     return {
         "seconds": seconds,
-        "cpu": (end.cpu - start.cpu) / len(nodes) / seconds,
-        "bytes": (after[0] - before[0]) / seconds,
+        "cpu": (end.cpu_seconds - start.cpu_seconds) / len(nodes) / seconds,
+        "bytes": (counters_after[0] - counters_before[0]) / seconds,
         # A message is counted where it leaves and where it arrives.
-        "messages": (after[1] - before[1]) / 2 / seconds,
+        "messages": (counters_after[1] - counters_before[1]) / 2 / seconds,
     }
 
 
-def measure_state(size: int) -> dict[str, Any]:
+def measure_table(size: int) -> dict[str, Any]:
     """Fill a table of members in this process and measure it."""
     import tracemalloc
 
@@ -158,15 +166,15 @@
     started = time.process_time()
     for number in range(size):
         members.merge(build_member(number))
-    merged = time.process_time() - started
-    memory, _ = tracemalloc.get_traced_memory()
+    merge_seconds = time.process_time() - started
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    raw = sum(len(m.to_proto().SerializeToString()) for m in members) / size
+    wire_bytes = sum(len(m.to_proto().SerializeToString()) for m in members) / size
     return {
-        "memory MB": memory / 1e6,
-        "bytes a member": memory / size,
-        "microseconds a merge (traced)": merged / size * 1e6,
-        "bytes a member on the wire": raw,
+        "memory MB": memory_bytes / 1e6,
+        "bytes a member": memory_bytes / size,
+        "microseconds a merge (traced)": merge_seconds / size * 1e6,
+        "bytes a member on the wire": wire_bytes,
     }
 
 
@@ -191,13 +199,13 @@
     )
 
 
-@bench("members")
+@benchmark("members")
 async def measure_members(options: argparse.Namespace) -> dict[str, Any]:
     """Measure fleets of several sizes, and tables of the sizes to come."""
     figures: dict[str, Any] = {}
-    for size in SIZES:
-        figures[f"{size} nodes"] = await measure_size(size)
+    for size in FLEET_SIZES:
+        figures[f"{size} nodes"] = await measure_fleet(size)
         print(f"measured {size} nodes", file=sys.stderr)
-    for size in STATE_SIZES:
-        figures[f"table of {size}"] = measure_state(size)
+    for size in TABLE_SIZES:
+        figures[f"table of {size}"] = measure_table(size)
     return figures
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -15,17 +15,17 @@
 from primroseglade.platform.log import CONFIGURATION_TOPIC
 
 from .processes import Process, run_processes
-from .registry import bench
+from .registry import benchmark
 
-KEY = "bench-key"
+API_KEY = "bench-key"
 BODY = b"x" * 300
 ROUNDS = 12
-CALLS_A_ROUND = 400
-IN_FLIGHT = (1, 16)
-LONGEST_US = 10_000_000
+CALLS_PER_ROUND = 400
+IN_FLIGHT_LEVELS = (1, 16)
+MAX_LATENCY_US = 10_000_000
 
 
-class Route:
+class CallPath:
     """A way to the backend server.
 
     Args:
@@ -34,24 +34,26 @@
         processes: What is on the way, for their processor time.
     """
 
-    def __init__(self, address: str, target: bytes, processes: list[Process]):
+    def __init__(self, address: str, url_path: bytes, processes: list[Process]):
         self.address = address
-        self.target = target
+        self.url_path = url_path
         self.processes = processes
-        self.histogram = HdrHistogram(1, LONGEST_US, 3)
+        self.latencies_us = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.cpu_seconds = 0.0
         self.seconds = 0.0
         self.calls = 0
 
     async def run_round(self, in_flight: int) -> None:
         """Send one round of calls."""
-        before = sum(process.cpu_seconds for process in self.processes)
+        cpu_before = sum(process.cpu_seconds for process in self.processes)
         started = time.perf_counter()
-        share = CALLS_A_ROUND // in_flight
-        await asyncio.gather(*(self._send(share) for _ in range(in_flight)))
+        calls_per_connection = CALLS_PER_ROUND // in_flight
+        await asyncio.gather(
+            *(self._send(calls_per_connection) for _ in range(in_flight))
+        )
         self.seconds += time.perf_counter() - started
-        self.cpu_seconds += sum(p.cpu_seconds for p in self.processes) - before
-        self.calls += share * in_flight
+        self.cpu_seconds += sum(p.cpu_seconds for p in self.processes) - cpu_before
+        self.calls += calls_per_connection * in_flight
 
     async def _send(self, count: int) -> None:
         host, port = self.address.split(":")
@@ -59,9 +61,9 @@
         _, connection = await loop.create_connection(
             lambda: Connection(65536), host, int(port)
         )
-        headers = [(b"authorization", f"Bearer {KEY}".encode())]
+        headers = [(b"authorization", f"Bearer {API_KEY}".encode())]
         body = Body(BODY)
-        head = build_head("POST", self.target, self.address, headers, body)
+        head = build_head("POST", self.url_path, self.address, headers, body)
         for _ in range(count):
             started = time.perf_counter()
             response = await connection.exchange(head, body, False)
@@ -69,17 +71,19 @@
             if response.status != 200:
                 raise RuntimeError(f"{self.address} answered {response.status}")
             connection.take_held()
-            self.histogram.record_value(max(1, int(elapsed * 1e6)))
+            self.latencies_us.record_value(max(1, int(elapsed * 1e6)))
         connection.close()
 
-    def report(self, direct: "Route | None") -> dict[str, Any]:
+    def report(self, direct: "CallPath | None") -> dict[str, Any]:
         """Return latencies, and what was added to the direct way."""
         figures: dict[str, Any] = {}
-        for name, share in (("p50_ms", 50), ("p99_ms", 99)):
-            figures[name] = self.histogram.get_value_at_percentile(share) / 1000
+        for name, percentile in (("p50_ms", 50), ("p99_ms", 99)):
+            figures[name] = self.latencies_us.get_value_at_percentile(percentile) / 1000
             if direct is not None:
-                other = direct.histogram.get_value_at_percentile(share) / 1000
-                figures[f"added_{name}"] = round(figures[name] - other, 3)
+                direct_ms = (
+                    direct.latencies_us.get_value_at_percentile(percentile) / 1000
+                )
+                figures[f"added_{name}"] = round(figures[name] - direct_ms, 3)
         figures["calls_per_s"] = round(self.calls / self.seconds)
         if self.processes and self.cpu_seconds:
             figures["cpu_us_a_call"] = round(self.cpu_seconds / self.calls * 1e6)
@@ -87,7 +91,7 @@
         return figures
 
 
-def find_ports(count: int) -> list[int]:
+def find_free_ports(count: int) -> list[int]:
     """Return free ports that the kernel chose."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
@@ -100,14 +104,14 @@
 
 def choose_first_port() -> int:
     """Return the first of some hundred ports under those of outgoing connections."""
-    return 10_000 + find_ports(1)[0] % 20_000
+    return 10_000 + find_free_ports(1)[0] % 20_000
 
 
 def build_edit() -> Edit:
     """Return the document of this benchmark; its rate is out of the way."""
     sections = {
         "zones/a": {"share": 1.0},
-        "workspaces/bench": {"keys": [{"id": "bench", "digest": digest_key(KEY)}]},
+        "workspaces/bench": {"keys": [{"id": "bench", "digest": digest_key(API_KEY)}]},
         "rates/bench": {"per_second": 1e6, "burst": 1e6},
         "services/archive": {"backend_servers": [{"network": "127.0.0.0/8"}]},
         "services/other": {"backend_servers": [{"network": "127.0.0.0/8"}]},
@@ -116,39 +120,49 @@
     return Edit(edits, "bench")
 
 
-@bench("overhead")
+@benchmark("overhead")
 async def measure_overhead(options: argparse.Namespace) -> dict[str, Any]:
     """Measure the same call on all ways, in turn."""
     figures: dict[str, Any] = {}
     async with run_processes(fleet={"lease": 0.5, "grant": 0.5}) as processes:
         await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
-        backend_port, relay_port = find_ports(2)
-        first = choose_first_port()
-        one, near = await processes.start_node("one", "a", first)
-        two, far = await processes.start_node("two", "a", first + 10)
-        server = f"127.0.0.1:{backend_port}"
-        await processes.start_backend("archive", near["backend"], server)
-        floor = await processes.start(
+        backend_port, relay_port = find_free_ports(2)
+        first_port = choose_first_port()
+        first_node, first_listen = await processes.start_node("one", "a", first_port)
+        second_node, second_listen = await processes.start_node(
+            "two", "a", first_port + 10
+        )
+        server_address = f"127.0.0.1:{backend_port}"
+        await processes.start_backend(
+            "archive", first_listen["backend"], server_address
+        )
+        relay = await processes.start(
             "floor", "-m", "bench.bare_relay", str(relay_port), str(backend_port)
         )
         await asyncio.sleep(4)
-        for in_flight in IN_FLIGHT:
-            routes = {
-                "direct": Route(server, b"/x", []),
-                "floor": Route(f"127.0.0.1:{relay_port}", b"/x", [floor]),
-                "one node": Route(near["callers"], b"/archive/x", [one]),
-                "two nodes": Route(far["callers"], b"/archive/x", [two, one]),
+        for in_flight in IN_FLIGHT_LEVELS:
+            call_paths = {
+                "direct": CallPath(server_address, b"/x", []),
+                "floor": CallPath(f"127.0.0.1:{relay_port}", b"/x", [relay]),
+                "one node": CallPath(
+                    first_listen["callers"], b"/archive/x", [first_node]
+                ),
+                "two nodes": CallPath(
+                    second_listen["callers"], b"/archive/x", [second_node, first_node]
+                ),
             }
-            for route in routes.values():
-                await route.run_round(in_flight)
-                route.__init__(route.address, route.target, route.processes)
+            for call_path in call_paths.values():
+                await call_path.run_round(in_flight)
+                call_path.__init__(
+                    call_path.address, call_path.url_path, call_path.processes
+                )
             for _ in range(ROUNDS):
-                for route in routes.values():
-                    await route.run_round(in_flight)
-            direct = routes["direct"]
+                for call_path in call_paths.values():
+                    await call_path.run_round(in_flight)
+            direct = call_paths["direct"]
             figures[f"in flight {in_flight}"] = {
-                name: route.report(None if route is direct else direct)
-                for name, route in routes.items()
+                name: call_path.report(None if call_path is direct else direct)
+                for name, call_path in call_paths.items()
             }
-        figures["node memory MB"] = round(one.memory_mb, 1)
+        figures["node memory MB"] = round(first_node.memory_mb, 1)
     return figures
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -7,15 +7,15 @@
 
 from primroseglade.stand_ins.fleet import EmbeddedFleet
 
-from .registry import bench
-from .trial import Layer, Outcome, Trial, Workload
+from .registry import benchmark
+from .trial import CallOutcome, ChainService, Trial, Workload
 
-BIN_SECONDS = 0.25
-RECOVERED = 0.95
+RECOVERY_STEP_SECONDS = 0.25
+RECOVERED_RATIO = 0.95
 
 # Baselines of our own: nothing at all, and the usual fixed limit with retries.
 NO_CONTROL = ["limit", "queue", "retry-tokens", "retry-share", "throttle", "doomed"]
-PLAIN = [
+FIXED_LIMIT_PLAIN_RETRIES = [
     "queue",
     "retry-tokens",
     "retry-share",
@@ -29,112 +29,121 @@
 
 def build_chain(demand: dict[str, float], **options: Any) -> Workload:
     """Return a chain of four services whose deepest is the narrowest."""
-    layers = {
-        "deep": Layer(4, 1, 0.2),
-        "third": Layer(2, 30, 0.005, ("/deep/x",)),
-        "second": Layer(2, 30, 0.005, ("/third/x",)),
-        "front": Layer(2, 30, 0.005, ("/second/x",)),
+    services = {
+        "deep": ChainService(4, 1, 0.2),
+        "third": ChainService(2, 30, 0.005, ("/deep/x",)),
+        "second": ChainService(2, 30, 0.005, ("/third/x",)),
+        "front": ChainService(2, 30, 0.005, ("/second/x",)),
     }
-    return Workload(layers, "front", layers["deep"].capacity, demand, **options)
+    return Workload(services, "front", services["deep"].capacity, demand, **options)
 
 
 async def measure_load(
-    factor: float, options: argparse.Namespace, off: list[str]
+    load_factor: float, options: argparse.Namespace, disabled: list[str]
 ) -> dict[str, Any]:
     """Run the chain at some multiple of its capacity."""
     capacity = build_chain({}).capacity
     demand = {
         "important": 0.2 * capacity,
-        "one": 0.3 * capacity * factor,
-        "two": 0.3 * capacity * factor,
-        "three": 0.3 * capacity * factor,
+        "one": 0.3 * capacity * load_factor,
+        "two": 0.3 * capacity * load_factor,
+        "three": 0.3 * capacity * load_factor,
     }
-    trial = Trial(build_chain(demand, important=("important",)), options.seed, off)
+    trial = Trial(build_chain(demand, important=("important",)), options.seed, disabled)
     seconds = options.seconds or 12.0
     await trial.run(seconds)
-    first = min(o.sent for o in trial.outcomes)
+    first_sent_at = min(o.sent_at for o in trial.outcomes)
     # The first second fills queues, and is left out.
-    return trial.report(first + 1.0, first + seconds)
+    return trial.report(first_sent_at + 1.0, first_sent_at + seconds)
 
 
-@bench("overload")
+@benchmark("overload")
 async def measure_overload(options: argparse.Namespace) -> dict[str, Any]:
     """Demand at, over and far over capacity, with and without control."""
     figures: dict[str, Any] = {}
-    factors = (0.8, 2.0, 10.0)
-    for factor in factors:
-        figures[f"{factor:g} times capacity"] = await measure_load(
-            factor, options, options.off
+    load_factors = (0.8, 2.0, 10.0)
+    for load_factor in load_factors:
+        figures[f"{load_factor:g} times capacity"] = await measure_load(
+            load_factor, options, options.off
         )
     no_control = NO_CONTROL
     if not options.off:
         figures["2 times, no control"] = await measure_load(2.0, options, no_control)
         figures["2 times, fixed limit, plain retries"] = await measure_load(
-            2.0, options, PLAIN
+            2.0, options, FIXED_LIMIT_PLAIN_RETRIES
         )
     return figures
 
 
-@bench("recovery")
+@benchmark("recovery")
 async def measure_recovery(options: argparse.Namespace) -> dict[str, Any]:
     """A deep service slows down for a while, and callers retry hard."""
-    figures = {"with control": await run_slow_down(options, options.off)}
+    figures = {"with control": await run_slowdown(options, options.off)}
     if not options.off:
         no_control = NO_CONTROL
-        figures["no control"] = await run_slow_down(options, no_control)
+        figures["no control"] = await run_slowdown(options, no_control)
     return figures
 
 
-async def run_slow_down(options: argparse.Namespace, off: list[str]) -> dict[str, Any]:
+async def run_slowdown(
+    options: argparse.Namespace, disabled: list[str]
+) -> dict[str, Any]:
     """Slow the deepest service eight times for ten seconds at 0.7 of capacity."""
     capacity = build_chain({}).capacity
     demand = {name: 0.7 * capacity / 3 for name in ("one", "two", "three")}
-    trial = Trial(build_chain(demand), options.seed, off)
-    before, slow, after = 4.0, options.seconds or 10.0, 12.0
-    moments: dict[str, float] = {}
-
-    async def disturb(fleet: EmbeddedFleet) -> None:
-        await asyncio.sleep(before)
-        deep = [p.backend for p in fleet.places if p.backend.service == "deep"]
-        moments["slow"] = time.monotonic()
-        for backend in deep:
+    trial = Trial(build_chain(demand), options.seed, disabled)
+    before_seconds, slow_seconds, after_seconds = 4.0, options.seconds or 10.0, 12.0
+    times: dict[str, float] = {}
+
+    async def slow_down(fleet: EmbeddedFleet) -> None:
+        await asyncio.sleep(before_seconds)
+        deep_backends = [p.backend for p in fleet.places if p.backend.service == "deep"]
+        times["slow"] = time.monotonic()
+        for backend in deep_backends:
             backend.behaviour.work *= 8
-        await asyncio.sleep(slow)
-        for backend in deep:
+        await asyncio.sleep(slow_seconds)
+        for backend in deep_backends:
             backend.behaviour.work /= 8
-        moments["well"] = time.monotonic()
+        times["well"] = time.monotonic()
 
-    await trial.run(before + slow + after, disturb)
-    first = min(o.sent for o in trial.outcomes)
-    normal = measure_goodput(trial.outcomes, first + 1, moments["slow"])
+    await trial.run(before_seconds + slow_seconds + after_seconds, slow_down)
+    first_sent_at = min(o.sent_at for o in trial.outcomes)
+    normal_goodput = measure_goodput(trial.outcomes, first_sent_at + 1, times["slow"])
     figures = {
-        "goodput before /s": normal,
+        "goodput before /s": normal_goodput,
         "goodput while slow / capacity then": measure_goodput(
-            trial.outcomes, moments["slow"], moments["well"]
+            trial.outcomes, times["slow"], times["well"]
         )
         / (capacity / 8),
-        "seconds to recover": find_recovery(trial.outcomes, moments["well"], normal),
+        "seconds to recover": find_recovery_seconds(
+            trial.outcomes, times["well"], normal_goodput
+        ),
     }
-    return figures | trial._report_work()
+    return figures | trial._report_executions()
 
 
-def measure_goodput(outcomes: list[Outcome], start: float, end: float) -> float:
+def measure_goodput(outcomes: list[CallOutcome], start: float, end: float) -> float:
     """Return whole answers a second that ended in a span of time."""
-    return sum(o.served and start <= o.ended < end for o in outcomes) / (end - start)
+    return sum(o.served and start <= o.ended_at < end for o in outcomes) / (end - start)
 
 
-def find_recovery(outcomes: list[Outcome], well: float, normal: float) -> float:
+def find_recovery_seconds(
+    outcomes: list[CallOutcome], restored_at: float, normal_goodput: float
+) -> float:
     """Return seconds until goodput over a second is 95 % of what it was."""
-    last = max(o.sent for o in outcomes)
-    start = well
-    while start < last:
-        if measure_goodput(outcomes, start, start + 1.0) >= RECOVERED * normal:
-            return start - well
-        start += BIN_SECONDS
+    last_sent_at = max(o.sent_at for o in outcomes)
+    window_start = restored_at
+    while window_start < last_sent_at:
+        if (
+            measure_goodput(outcomes, window_start, window_start + 1.0)
+            >= RECOVERED_RATIO * normal_goodput
+        ):
+            return window_start - restored_at
+        window_start += RECOVERY_STEP_SECONDS
     return float("inf")
 
 
-@bench("fairness")
+@benchmark("fairness")
 async def measure_fairness(options: argparse.Namespace) -> dict[str, Any]:
     """One workspace sends five times its part; the others ask for theirs."""
     figures: dict[str, Any] = {}
@@ -144,10 +153,10 @@
     capacity = build_chain({}).capacity
     demand = {"greedy": 5 * 0.25 * capacity}
     demand |= {name: 0.2 * capacity for name in ("one", "two", "three")}
-    for name, off in variants.items():
-        trial = Trial(build_chain(demand), options.seed, off)
+    for name, disabled in variants.items():
+        trial = Trial(build_chain(demand), options.seed, disabled)
         seconds = options.seconds or 12.0
         await trial.run(seconds)
-        first = min(o.sent for o in trial.outcomes)
-        figures[name] = trial.report(first + 1.0, first + seconds)
+        first_sent_at = min(o.sent_at for o in trial.outcomes)
+        figures[name] = trial.report(first_sent_at + 1.0, first_sent_at + seconds)
     return figures
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -15,8 +15,8 @@
 from primroseglade.settings.node import generate_secret
 from primroseglade.stand_ins.log import LogStandIn
 
-TICKS = os.sysconf("SC_CLK_TCK")
-START_SECONDS = 40.0
+CLOCK_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+START_TIMEOUT_SECONDS = 40.0
 
 
 class Process:
@@ -29,18 +29,18 @@
     @property
     def cpu_seconds(self) -> float:
         """Processor time used so far, user and system."""
-        text = pathlib.Path(f"/proc/{self._process.pid}/stat").read_text()
-        fields = text.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / TICKS
+        stat = pathlib.Path(f"/proc/{self._process.pid}/stat").read_text()
+        fields = stat.rpartition(")")[2].split()
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     @property
     def memory_mb(self) -> float:
         """Resident memory."""
-        text = pathlib.Path(f"/proc/{self._process.pid}/status").read_text()
-        line = next(item for item in text.splitlines() if item.startswith("VmRSS"))
+        status = pathlib.Path(f"/proc/{self._process.pid}/status").read_text()
+        line = next(item for item in status.splitlines() if item.startswith("VmRSS"))
         return int(line.split()[1]) / 1024
 
-    async def end(self) -> None:
+    async def kill_and_wait(self) -> None:
         """Kill it and wait."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
@@ -65,7 +65,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         for process in self._started:
-            await process.end()
+            await process.kill_and_wait()
         self.log.stop()
         assert self._log_task is not None
         await self._log_task
@@ -84,11 +84,11 @@
         return started
 
     async def start_node(
-        self, instance: str, zone: str, ports: int, **settings: Any
+        self, instance: str, zone: str, first_port: int, **settings: Any
     ) -> tuple[Process, dict[str, str]]:
         """Start a node on five ports from ``ports`` on; return it and its addresses."""
         names = ("callers", "relay", "control", "backend", "operator")
-        listen = {name: f"127.0.0.1:{ports + n}" for n, name in enumerate(names)}
+        listen = {name: f"127.0.0.1:{first_port + n}" for n, name in enumerate(names)}
         fields = {
             "instance": instance,
             "zone": zone,
@@ -102,7 +102,7 @@
         process = await self.start(
             instance, "-m", "primroseglade", "node", "--settings", str(path)
         )
-        await wait_page(f"http://{listen['operator']}/status")
+        await wait_for_page(f"http://{listen['operator']}/status")
         return process, listen
 
     async def start_backend(self, service: str, node: str, listen: str) -> Process:
@@ -114,9 +114,12 @@
         )
 
 
-async def wait_page(url: str) -> None:
+async def wait_for_page(url: str) -> None:
     """Wait until a page answers."""
-    async with asyncio.timeout(START_SECONDS), aiohttp.ClientSession() as session:
+    async with (
+        asyncio.timeout(START_TIMEOUT_SECONDS),
+        aiohttp.ClientSession() as session,
+    ):
         while True:
             with contextlib.suppress(aiohttp.ClientError):
                 async with session.get(url) as response:
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -14,12 +14,12 @@
 from primroseglade.stand_ins.fleet import EmbeddedFleet
 from primroseglade.verdicts import Refusal
 
-from .registry import bench
+from .registry import benchmark
 
 SETTINGS = {"log": {"level": "error"}, "traces": {"sampled": 0}}
-NODES_A_ZONE = 3
-SECONDS = 8.0
-PATIENCE = 2.0
+NODES_PER_ZONE = 3
+CALLS_SECONDS = 8.0
+MAX_WAIT_SECONDS = 2.0
 # Rate, burst, and demand as a share of the rate.
 CASES = {
     "small, 5/s": (5.0, 10.0, 0.9),
@@ -28,100 +28,103 @@
     "large at 5 times its rate": (200.0, 200.0, 5.0),
 }
 
-Choose = Callable[[list[Node], random.Random], Node]
-Charge = Callable[[Node, float], Any]
+ChooseNode = Callable[[list[Node], random.Random], Node]
+TakeToken = Callable[[Node, float], Any]
 
-DEMANDS: dict[str, Choose] = {
+DEMAND_PATTERNS: dict[str, ChooseNode] = {
     "even": lambda nodes, rng: rng.choice(nodes),
-    "one zone": lambda nodes, rng: rng.choice(nodes[:NODES_A_ZONE]),
+    "one zone": lambda nodes, rng: rng.choice(nodes[:NODES_PER_ZONE]),
     "one node": lambda nodes, rng: nodes[0],
 }
 
 
-class Outcome:
+class CaseOutcome:
     """Calls of one case: when each was asked, and when its token came, if it did."""
 
     def __init__(self, rate: float, burst: float):
         self.rate = rate
         self.burst = burst
-        self.asked: list[tuple[float, float | None]] = []
+        self.calls: list[tuple[float, float | None]] = []
 
-    def count_refused_within(self) -> int:
+    def count_refused_within_rate(self) -> int:
         """Return how many more calls one bucket with no network would have granted.
 
         Not call by call: over the rate it is a matter of chance which calls get the
         tokens, and only their number counts.
         """
-        ideal = Bucket(self.rate, self.burst, 0.0, 0.0)
-        ideal.accrue(1e9)
-        ideally = 0
+        ideal_bucket = Bucket(self.rate, self.burst, 0.0, 0.0)
+        ideal_bucket.accrue(1e9)
+        ideal_count = 0
         start = 1e9
-        first = min(at for at, _ in self.asked)
-        for at in sorted(at for at, _ in self.asked):
-            now = start + at - first
-            ideal.accrue(now)
-            if ideal.level >= 1:
-                ideally += 1
-                grant = ideal.grant(1.0, 1e-9, now)
+        first_sent_at = min(sent_at for sent_at, _ in self.calls)
+        for sent_at in sorted(sent_at for sent_at, _ in self.calls):
+            now = start + sent_at - first_sent_at
+            ideal_bucket.accrue(now)
+            if ideal_bucket.level >= 1:
+                ideal_count += 1
+                grant = ideal_bucket.grant(1.0, 1e-9, now)
                 assert grant is not None
-                ideal.settle(grant.id, now)
-        granted_in_all = sum(at is not None for _, at in self.asked)
-        return max(0, ideally - granted_in_all)
+                ideal_bucket.settle(grant.id, now)
+        granted_count = sum(granted_at is not None for _, granted_at in self.calls)
+        return max(0, ideal_count - granted_count)
 
     def find_worst_window(self) -> float:
         """Return the highest granted / allowed over all windows."""
-        times = sorted(at for _, at in self.asked if at is not None)
-        worst = 0.0
+        times = sorted(
+            granted_at for _, granted_at in self.calls if granted_at is not None
+        )
+        worst_ratio = 0.0
         for first in range(len(times)):
             for last in range(first, len(times)):
                 allowed = self.burst + self.rate * (times[last] - times[first])
-                worst = max(worst, (last - first + 1) / allowed)
-        return worst
+                worst_ratio = max(worst_ratio, (last - first + 1) / allowed)
+        return worst_ratio
 
 
 async def run_case(
     nodes: list[Node],
     workspace: str,
     case: tuple[float, float, float],
-    choose: Choose,
+    choose_node: ChooseNode,
     seconds: float,
-    charge: Charge,
+    take_token: TakeToken,
     seed: int,
-) -> Outcome:
+) -> CaseOutcome:
     """Send open-loop demand and note what became of it."""
     rate, burst, demand = case
     rng = random.Random(seed)
-    outcome = Outcome(rate, burst)
+    outcome = CaseOutcome(rate, burst)
     tasks = []
 
-    async def ask(node: Node) -> None:
-        asked = time.monotonic()
+    async def send_call(node: Node) -> None:
+        sent_at = time.monotonic()
         try:
-            await charge(node, PATIENCE)
-            outcome.asked.append((asked, time.monotonic()))
+            await take_token(node, MAX_WAIT_SECONDS)
+            outcome.calls.append((sent_at, time.monotonic()))
         except Refusal:
-            outcome.asked.append((asked, None))
+            outcome.calls.append((sent_at, None))
 
     due = time.monotonic()
     end = due + seconds
     while due < end:
         due += rng.expovariate(rate * demand)
         await asyncio.sleep(max(0.0, due - time.monotonic()))
-        tasks.append(asyncio.create_task(ask(choose(nodes, rng))))
+        tasks.append(asyncio.create_task(send_call(choose_node(nodes, rng))))
     await asyncio.gather(*tasks)
     return outcome
 
 
-def split_statically(nodes: list[Node], rate: float, burst: float) -> Charge:
+def split_statically(nodes: list[Node], rate: float, burst: float) -> TakeToken:
     """Return the baseline that gives each node its fixed part."""
-    part = len(nodes)
+    node_count = len(nodes)
     buckets = {
-        node: Bucket(rate / part, burst / part, time.monotonic(), 0.0) for node in nodes
+        node: Bucket(rate / node_count, burst / node_count, time.monotonic(), 0.0)
+        for node in nodes
     }
     for bucket in buckets.values():
         bucket.accrue(time.monotonic() + burst / rate)
 
-    async def charge(node: Node, _: float) -> None:
+    async def take_token(node: Node, _: float) -> None:
         now = time.monotonic()
         bucket = buckets[node]
         bucket.accrue(now)
@@ -130,14 +133,14 @@
             raise Refusal.__new__(Refusal)
         bucket.settle(grant.id, now)
 
-    return charge
+    return take_token
 
 
 def build_document(deployment: str, zones: tuple[str, ...]) -> dict[str, Any]:
     """Return a document in which these zones share all rates."""
     names = {name: f"w{number}" for number, name in enumerate(CASES)}
-    everywhere = DEPLOYMENTS[deployment].zones
-    shares = {zone: 1 / len(zones) if zone in zones else 0.0 for zone in everywhere}
+    all_zones = DEPLOYMENTS[deployment].zones
+    shares = {zone: 1 / len(zones) if zone in zones else 0.0 for zone in all_zones}
     return {
         "zones": {zone: {"share": share} for zone, share in shares.items()},
         "workspaces": {
@@ -152,68 +155,73 @@
 
 
 async def measure_fleet(
-    options: argparse.Namespace, zones: tuple[str, ...], statically: bool
+    options: argparse.Namespace, zones: tuple[str, ...], static_split: bool
 ) -> dict[str, Any]:
     """Run every case on a fleet of its own and return its figures."""
     figures: dict[str, Any] = {}
     async with EmbeddedFleet(SETTINGS) as fleet:
         await fleet.publish(**build_document(options.deployment, zones))
         for zone in DEPLOYMENTS[options.deployment].zones:
-            for _ in range(NODES_A_ZONE):
+            for _ in range(NODES_PER_ZONE):
                 await fleet.add(zone)
         await fleet.wait_ready()
-        for demand, choose in DEMANDS.items():
+        for demand, choose_node in DEMAND_PATTERNS.items():
             # All buckets fill up before each pattern.
             await asyncio.sleep(3)
             outcomes = await asyncio.gather(
                 *(
-                    run_one(fleet.nodes, number, case, choose, options, statically)
+                    run_fleet_case(
+                        fleet.nodes, number, case, choose_node, options, static_split
+                    )
                     for number, case in enumerate(CASES.values())
                 )
             )
             for name, outcome in zip(CASES, outcomes, strict=True):
-                granted = sum(at is not None for _, at in outcome.asked)
+                granted = sum(granted_at is not None for _, granted_at in outcome.calls)
                 figures.setdefault(demand, {})[name] = {
-                    "asked": len(outcome.asked),
+                    "asked": len(outcome.calls),
                     "granted": granted,
                     "granted/allowed, worst window": outcome.find_worst_window(),
                     "refused within rate %": round(
-                        100 * outcome.count_refused_within() / len(outcome.asked), 3
+                        100 * outcome.count_refused_within_rate() / len(outcome.calls),
+                        3,
                     ),
                 }
     return figures
 
 
-async def run_one(
+async def run_fleet_case(
     nodes: list[Node],
     number: int,
     case: tuple[float, float, float],
-    choose: Choose,
+    choose_node: ChooseNode,
     options: argparse.Namespace,
-    statically: bool,
-) -> Outcome:
+    static_split: bool,
+) -> CaseOutcome:
     """Run one case by the fleet's own rates or by the static split."""
     workspace = f"w{number}"
 
-    async def charge(node: Node, patience: float) -> None:
-        await node.rates.charger.charge(workspace, patience)
+    async def take_fleet_token(node: Node, max_wait_seconds: float) -> None:
+        await node.rates.charger.charge(workspace, max_wait_seconds)
 
-    chosen = split_statically(nodes, case[0], case[1]) if statically else charge
-    seconds = options.seconds or SECONDS
+    take_token = (
+        split_statically(nodes, case[0], case[1]) if static_split else take_fleet_token
+    )
+    seconds = options.seconds or CALLS_SECONDS
     return await run_case(
-        nodes, workspace, case, choose, seconds, chosen, options.seed + number
+        nodes, workspace, case, choose_node, seconds, take_token, options.seed + number
     )
 
 
-@bench("rates")
+@benchmark("rates")
 async def measure_rates(options: argparse.Namespace) -> dict[str, Any]:
     """Compare zones' buckets with loans, one holder for all, and a static split."""
     zones = DEPLOYMENTS[options.deployment].zones
-    loans = await measure_fleet(options, zones, False)
+    zone_buckets = await measure_fleet(options, zones, False)
     if "baselines" in options.off:
-        return {"zone buckets with loans": loans}
+        return {"zone buckets with loans": zone_buckets}
     return {
-        "zone buckets with loans": loans,
+        "zone buckets with loans": zone_buckets,
         "one zone holds all": await measure_fleet(options, zones[:1], False),
         "static split a node": await measure_fleet(options, zones, True),
     }
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -4,21 +4,21 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-Bench = Callable[[argparse.Namespace], Awaitable[dict[str, Any]]]
+Benchmark = Callable[[argparse.Namespace], Awaitable[dict[str, Any]]]
 
-_benches: dict[str, Bench] = {}
+_benchmarks: dict[str, Benchmark] = {}
 
 
-def bench(name: str) -> Callable[[Bench], Bench]:
+def benchmark(name: str) -> Callable[[Benchmark], Benchmark]:
     """Register a benchmark."""
 
-    def register(function: Bench) -> Bench:
-        _benches[name] = function
+    def register(function: Benchmark) -> Benchmark:
+        _benchmarks[name] = function
         return function
 
     return register
 
 
-def get_benches() -> dict[str, Bench]:
+def get_benchmarks() -> dict[str, Benchmark]:
     """Return every registered benchmark by name."""
-    return _benches
+    return _benchmarks
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -13,19 +13,21 @@
 from primroseglade.rates.lease import Partitions
 
 from .members import build_member
-from .registry import bench
+from .registry import benchmark
 
-SIZES = (1000, 4000, 12000)
-EDITS = 2000
-ROUNDS = 20
+TABLE_SIZES = (1000, 4000, 12000)
+EDIT_COUNT = 2000
+DEFAULT_ROUNDS = 20
 
 
-def measure(work: Callable[[], Any], rounds: int = ROUNDS) -> float:
+def measure_microseconds(
+    function: Callable[[], Any], rounds: int = DEFAULT_ROUNDS
+) -> float:
     """Return microseconds of processor time a run."""
-    work()
+    function()
     started = time.process_time()
     for _ in range(rounds):
-        work()
+        function()
     return (time.process_time() - started) / rounds * 1e6
 
 
@@ -38,29 +40,35 @@
     router = Router(members)
     names = [member.instance for member in members]
 
-    def rank_anew() -> None:
+    def rank_uncached() -> None:
         partitions._ranking._ranked.clear()
         partitions.rank("zone-1", 3)
 
-    def route_anew() -> None:
+    def route_uncached() -> None:
         router._version = -1
         router.choose("service-3", set())
 
-    def merge_news() -> None:
+    def merge_update() -> None:
         known = members.get("archive-eu-1-5")
         assert known is not None
         members.merge(known.replace(sequence=known.sequence + 1))
 
     return {
-        "zone ranked anew, us": measure(rank_anew),
-        "zone's ranking as kept, us": measure(
+        "zone ranked anew, us": measure_microseconds(rank_uncached),
+        "zone's ranking as kept, us": measure_microseconds(
             lambda: partitions.rank("zone-1", 3), 2000
         ),
-        "neighbours chosen anew, us": measure(lambda: rank("own", names, 2), 5),
-        "services indexed anew, us": measure(route_anew),
-        "a call routed, us": measure(lambda: router.choose("service-3", set()), 2000),
-        "a member merged, us": measure(merge_news, 500),
-        "suspicions checked, us": measure(lambda: members.expire(3.0), 2000),
+        "neighbours chosen anew, us": measure_microseconds(
+            lambda: rank("own", names, 2), 5
+        ),
+        "services indexed anew, us": measure_microseconds(route_uncached),
+        "a call routed, us": measure_microseconds(
+            lambda: router.choose("service-3", set()), 2000
+        ),
+        "a member merged, us": measure_microseconds(merge_update, 500),
+        "suspicions checked, us": measure_microseconds(
+            lambda: members.expire(3.0), 2000
+        ),
     }
 
 
@@ -68,17 +76,17 @@
     """Fold edits of one section among many."""
     fold = Fold(b"s" * 32)
     started = time.process_time()
-    for number in range(EDITS):
+    for number in range(EDIT_COUNT):
         value = {"keys": [f"k{number}"], "note": "x" * 200}
         edit = Edit([SectionEdit(f"recalls/r{number}", None, value)], "bench")
         fold.apply(number, edit.to_value())
-    cost = (time.process_time() - started) / EDITS * 1e6
-    return {"an edit folded in, us": cost}
+    microseconds = (time.process_time() - started) / EDIT_COUNT * 1e6
+    return {"an edit folded in, us": microseconds}
 
 
-@bench("tables")
+@benchmark("tables")
 async def measure_tables(options: argparse.Namespace) -> dict[str, Any]:
     """Measure tables of several sizes, and the fold."""
-    figures: dict[str, Any] = {f"{n} members": measure_table(n) for n in SIZES}
+    figures: dict[str, Any] = {f"{n} members": measure_table(n) for n in TABLE_SIZES}
     figures["the fold"] = measure_fold()
     return figures
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -14,19 +14,19 @@
 from primroseglade.stand_ins.fleet import EmbeddedFleet
 from primroseglade.verdicts import Refusal, Verdict
 
-from .mechanisms import switched_off
+from .mechanisms import mechanisms_disabled
 
 SETTINGS = {
     "log": {"level": "error"},
     "traces": {"sampled": 0},
     "fleet": {"lease": 0.5, "grant": 0.3},
 }
-TIMEOUT = 2.0
+TIMEOUT_SECONDS = 2.0
 ZONES = ("a", "b")
-LONGEST_MS = 60_000
+MAX_LATENCY_MS = 60_000
 
 
-class Layer:
+class ChainService:
     """A service of the chain.
 
     Args:
@@ -37,17 +37,21 @@
     """
 
     def __init__(
-        self, servers: int, slots: int, work: float, nested: tuple[str, ...] = ()
+        self,
+        server_count: int,
+        slots_per_server: int,
+        work_seconds: float,
+        nested_paths: tuple[str, ...] = (),
     ):
-        self.servers = servers
-        self.slots = slots
-        self.work = work
-        self.nested = nested
+        self.server_count = server_count
+        self.slots_per_server = slots_per_server
+        self.work_seconds = work_seconds
+        self.nested_paths = nested_paths
 
     @property
     def capacity(self) -> float:
         """Calls a second that it can serve."""
-        return self.servers * self.slots / self.work
+        return self.server_count * self.slots_per_server / self.work_seconds
 
 
 class Workload:
@@ -64,31 +68,39 @@
 
     def __init__(
         self,
-        layers: dict[str, Layer],
-        entry: str,
+        services: dict[str, ChainService],
+        entry_service: str,
         capacity: float,
         demand: dict[str, float],
         important: tuple[str, ...] = (),
-        attempts: int = 3,
+        max_attempts: int = 3,
     ):
-        self.layers = layers
-        self.entry = entry
+        self.services = services
+        self.entry_service = entry_service
         self.capacity = capacity
         self.demand = demand
         self.important = important
-        self.attempts = attempts
+        self.max_attempts = max_attempts
 
 
-class Outcome:
+class CallOutcome:
     """One root call, as its caller saw it."""
 
-    __slots__ = ("attempts", "ended", "id", "sent", "served", "verdict", "workspace")
+    __slots__ = (
+        "attempts",
+        "ended_at",
+        "id",
+        "sent_at",
+        "served",
+        "verdict",
+        "workspace",
+    )
 
-    def __init__(self, id: str, workspace: str, sent: float):
+    def __init__(self, id: str, workspace: str, sent_at: float):
         self.id = id
         self.workspace = workspace
-        self.sent = sent
-        self.ended = sent
+        self.sent_at = sent_at
+        self.ended_at = sent_at
         self.served = False
         self.attempts = 1
         self.verdict: Verdict | None = None
@@ -103,27 +115,27 @@
         off: Mechanisms that are switched off.
     """
 
-    def __init__(self, workload: Workload, seed: int, off: list[str]):
+    def __init__(self, workload: Workload, seed: int, disabled: list[str]):
         self._workload = workload
         self._random = random.Random(seed)
         self._seed = seed
-        self._off = off
-        self.outcomes: list[Outcome] = []
-        self.seen: list[Any] = []
+        self._disabled = disabled
+        self.outcomes: list[CallOutcome] = []
+        self.executions: list[Any] = []
         self.fleet: EmbeddedFleet | None = None
 
-    async def run(self, seconds: float, disturb: Any = None) -> None:
+    async def run(self, seconds: float, disturbance: Any = None) -> None:
         """Start the fleet, send calls, and keep what came of them."""
         settings = {name: dict(value) for name, value in SETTINGS.items()}
-        with switched_off(self._off, settings):
+        with mechanisms_disabled(self._disabled, settings):
             async with EmbeddedFleet(settings) as fleet:
                 self.fleet = fleet
                 await self._start(fleet)
-                work = [self._send_all(fleet, seconds)]
-                if disturb is not None:
-                    work.append(disturb(fleet))
-                await asyncio.gather(*work)
-                self.seen = [
+                tasks = [self._send_all(fleet, seconds)]
+                if disturbance is not None:
+                    tasks.append(disturbance(fleet))
+                await asyncio.gather(*tasks)
+                self.executions = [
                     item
                     for place in fleet.places
                     if place.backend
@@ -140,24 +152,26 @@
             },
             services={
                 name: {"backend_servers": [{"network": "127.0.0.0/8"}]}
-                for name in workload.layers
+                for name in workload.services
             },
             importance={
                 name: {
                     "default": "normal",
                     "routes": [{"path": "/important", "importance": "critical"}],
                 }
-                for name in workload.layers
+                for name in workload.services
             },
         )
-        number = 0
-        for name, layer in workload.layers.items():
-            for _ in range(layer.servers):
+        server_number = 0
+        for name, service in workload.services.items():
+            for _ in range(service.server_count):
                 behaviour = Behaviour(
-                    work=layer.work, slots=layer.slots, nested=layer.nested
+                    work=service.work_seconds,
+                    slots=service.slots_per_server,
+                    nested=service.nested_paths,
                 )
-                await fleet.add(ZONES[number % len(ZONES)], name, behaviour)
-                number += 1
+                await fleet.add(ZONES[server_number % len(ZONES)], name, behaviour)
+                server_number += 1
         await fleet.wait_ready()
         # Freshly started backend servers get fewer calls at first.
         for place in fleet.places:
@@ -168,9 +182,10 @@
         workload = self._workload
         names = list(workload.demand)
         rates = list(workload.demand.values())
-        nodes = [place.callers for place in fleet.places]
+        node_addresses = [place.callers for place in fleet.places]
         clients = {
-            name: Client(nodes, name, TIMEOUT, workload.attempts) for name in names
+            name: Client(node_addresses, name, TIMEOUT_SECONDS, workload.max_attempts)
+            for name in names
         }
         tasks: set[asyncio.Task[None]] = set()
         due = time.monotonic()
@@ -179,7 +194,7 @@
             due += self._random.expovariate(sum(rates))
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             name = self._random.choices(names, rates)[0]
-            outcome = Outcome(f"{len(self.outcomes)}", name, due)
+            outcome = CallOutcome(f"{len(self.outcomes)}", name, due)
             self.outcomes.append(outcome)
             task = asyncio.create_task(self._call(clients[name], outcome))
             tasks.add(task)
@@ -189,88 +204,101 @@
         for client in clients.values():
             await client.close()
 
-    async def _call(self, client: Client, outcome: Outcome) -> None:
+    async def _call(self, client: Client, outcome: CallOutcome) -> None:
         workload = self._workload
         path = "/important" if outcome.workspace in workload.important else "/x"
         headers = {"X-Echo": outcome.id, "X-Operation": outcome.id}
         try:
-            reply = await client.call(workload.entry, path, headers=headers)
+            reply = await client.call(workload.entry_service, path, headers=headers)
             outcome.served = reply.status == 200
             outcome.attempts = reply.attempts
         except Refusal as refusal:
             outcome.verdict = refusal.verdict
-        outcome.ended = time.monotonic()
+        outcome.ended_at = time.monotonic()
 
     def report(self, start: float, end: float) -> dict[str, Any]:
         """Return the measures over the calls due in a span of time."""
         workload = self._workload
-        counted = [o for o in self.outcomes if start <= o.sent < end]
-        served = [o for o in counted if o.served]
+        offered = [o for o in self.outcomes if start <= o.sent_at < end]
+        served = [o for o in offered if o.served]
         figures: dict[str, Any] = {
-            "offered / capacity": len(counted) / (end - start) / workload.capacity,
+            "offered / capacity": len(offered) / (end - start) / workload.capacity,
             "goodput / capacity": len(served) / (end - start) / workload.capacity,
         }
-        histogram = HdrHistogram(1, LONGEST_MS, 3)
+        histogram = HdrHistogram(1, MAX_LATENCY_MS, 3)
         for outcome in served:
-            histogram.record_value(max(1, int((outcome.ended - outcome.sent) * 1000)))
-        for share in (50, 99):
-            figures[f"p{share} ms"] = histogram.get_value_at_percentile(share)
-        figures |= self._report_shares(counted, served, end - start)
-        figures |= self._report_work()
+            histogram.record_value(
+                max(1, int((outcome.ended_at - outcome.sent_at) * 1000))
+            )
+        for percentile in (50, 99):
+            figures[f"p{percentile} ms"] = histogram.get_value_at_percentile(percentile)
+        figures |= self._report_shares(offered, served, end - start)
+        figures |= self._report_executions()
         return figures
 
     def _report_shares(
-        self, counted: list[Outcome], served: list[Outcome], seconds: float
+        self, offered: list[CallOutcome], served: list[CallOutcome], seconds: float
     ) -> dict[str, Any]:
         workload = self._workload
-        by_name = collections.Counter(o.workspace for o in served)
-        asked = collections.Counter(o.workspace for o in counted)
-        fair = share_fairly(
-            {name: asked[name] / seconds for name in workload.demand},
+        served_by_workspace = collections.Counter(o.workspace for o in served)
+        offered_by_workspace = collections.Counter(o.workspace for o in offered)
+        fair_shares = compute_fair_shares(
+            {name: offered_by_workspace[name] / seconds for name in workload.demand},
             workload.capacity,
         )
         others = [name for name in workload.demand if name not in workload.important]
-        worst = min(by_name[name] / seconds / max(fair[name], 1e-9) for name in others)
-        figures = {"worst workspace / fair share": worst}
+        worst_ratio = min(
+            served_by_workspace[name] / seconds / max(fair_shares[name], 1e-9)
+            for name in others
+        )
+        figures = {"worst workspace / fair share": worst_ratio}
         if workload.important:
-            wanted = sum(asked[name] for name in workload.important)
-            got = sum(by_name[name] for name in workload.important)
-            figures["important served"] = got / max(1, wanted)
+            important_offered = sum(
+                offered_by_workspace[name] for name in workload.important
+            )
+            important_served = sum(
+                served_by_workspace[name] for name in workload.important
+            )
+            figures["important served"] = important_served / max(1, important_offered)
         return figures
 
-    def _report_work(self) -> dict[str, Any]:
+    def _report_executions(self) -> dict[str, Any]:
         served = {o.id for o in self.outcomes if o.served}
         not_run = {o.id for o in self.outcomes if o.verdict is Verdict.NOT_RUN}
-        roots: collections.Counter[str] = collections.Counter()
-        roots_of_call: dict[str, str] = {}
-        for item in self.seen:
+        executions_by_trace: collections.Counter[str] = collections.Counter()
+        call_id_by_trace: dict[str, str] = {}
+        for item in self.executions:
             trace = item.headers.get("traceparent", "")[3:35]
-            roots[trace] += 1
-            echo = item.headers.get("x-echo")
-            if echo:
-                roots_of_call[trace] = echo
-        wasted = sum(
+            executions_by_trace[trace] += 1
+            call_id = item.headers.get("x-echo")
+            if call_id:
+                call_id_by_trace[trace] = call_id
+        wasted_executions = sum(
             count
-            for trace, count in roots.items()
-            if roots_of_call.get(trace) not in served
+            for trace, count in executions_by_trace.items()
+            if call_id_by_trace.get(trace) not in served
         )
-        started = [
-            item.headers["x-echo"] for item in self.seen if "x-echo" in item.headers
+        executed_ids = [
+            item.headers["x-echo"]
+            for item in self.executions
+            if "x-echo" in item.headers
         ]
         return {
-            "wasted work share": wasted / max(1, sum(roots.values())),
-            "starts a root call, max": max(roots.values(), default=0),
-            "starts a root call, mean": sum(roots.values()) / max(1, len(roots)),
-            "wrong verdicts": len(not_run & set(started)),
+            "wasted work share": wasted_executions
+            / max(1, sum(executions_by_trace.values())),
+            "starts a root call, max": max(executions_by_trace.values(), default=0),
+            "starts a root call, mean": sum(executions_by_trace.values())
+            / max(1, len(executions_by_trace)),
+            "wrong verdicts": len(not_run & set(executed_ids)),
         }
 
 
-def share_fairly(demand: dict[str, float], capacity: float) -> dict[str, float]:
+def compute_fair_shares(demand: dict[str, float], capacity: float) -> dict[str, float]:
     """Return max-min fair shares of a capacity."""
     shares: dict[str, float] = {}
-    left = capacity
+    remaining = capacity
     for number, name in enumerate(sorted(demand, key=lambda key: demand[key])):
-        part = left / (len(demand) - number)
-        shares[name] = min(demand[name], part)
-        left -= shares[name]
+        equal_share = remaining / (len(demand) - number)
+        shares[name] = min(demand[name], equal_share)
+        remaining -= shares[name]
     return shares
--- a/bench/withdraw.py
+++ b/bench/withdraw.py
@@ -11,22 +11,22 @@
 from primroseglade.stand_ins.fleet import EmbeddedFleet
 from primroseglade.verdicts import Refusal
 
-from .registry import bench
+from .registry import benchmark
 
 SETTINGS = {"log": {"level": "error"}, "traces": {"sampled": 0}}
 ZONES = ("a", "b", "c", "d")
-NODES_A_ZONE = 3
-KEYS = 6
+NODES_PER_ZONE = 3
+KEYS_PER_CASE = 6
 CALL_PAUSE_SECONDS = 0.01
 
 
-async def use_key(address: str, key: str, last: dict[str, float]) -> None:
+async def use_key(address: str, key: str, last_use: dict[str, float]) -> None:
     """Use a key at a node until it is refused, and note the last use."""
     async with Client([address], key, timeout=2.0, attempts=1) as client:
         while True:
             try:
                 await client.call("archive", "/x")
-                last[key] = max(last.get(key, 0.0), time.monotonic())
+                last_use[key] = max(last_use.get(key, 0.0), time.monotonic())
             except Refusal as refusal:
                 if refusal.reason.code in ("key-withdrawn", "key-unknown"):
                     return
@@ -37,25 +37,25 @@
     """Withdraw keys one after another and return the seconds each took."""
     seconds = []
     for key in keys:
-        last: dict[str, float] = {}
-        users = [
-            asyncio.create_task(use_key(place.callers, key, last))
+        last_use: dict[str, float] = {}
+        callers = [
+            asyncio.create_task(use_key(place.callers, key, last_use))
             for place in fleet.places
         ]
         await asyncio.sleep(0.5)
         await fleet.publish(recalls={key: {"keys": [key]}})
         accepted = time.monotonic()
         async with asyncio.timeout(30):
-            await asyncio.gather(*users)
-        seconds.append(max(0.0, last.get(key, accepted) - accepted))
+            await asyncio.gather(*callers)
+        seconds.append(max(0.0, last_use.get(key, accepted) - accepted))
     return seconds
 
 
-@bench("withdraw")
+@benchmark("withdraw")
 async def measure_withdraw(options: argparse.Namespace) -> dict[str, Any]:
     """Withdraw keys in a connected fleet, and with a zone off the platform."""
     figures: dict[str, Any] = {}
-    keys = [f"k{number}" for number in range(3 * KEYS)]
+    keys = [f"k{number}" for number in range(3 * KEYS_PER_CASE)]
     async with EmbeddedFleet(SETTINGS) as fleet:
         await fleet.publish(
             zones={zone: {"share": 0.25} for zone in ZONES},
@@ -65,18 +65,20 @@
             services={"archive": {"backend_servers": [{"network": "127.0.0.0/8"}]}},
         )
         for zone in ZONES:
-            for _ in range(NODES_A_ZONE):
+            for _ in range(NODES_PER_ZONE):
                 await fleet.add(zone, "archive")
         await fleet.wait_ready()
-        figures["connected"] = summarize(await withdraw_keys(fleet, keys[:KEYS]))
+        figures["connected"] = summarize(
+            await withdraw_keys(fleet, keys[:KEYS_PER_CASE])
+        )
         fleet.cut_zone("d", from_platform=True, from_zones=False)
         figures["a zone off the platform"] = summarize(
-            await withdraw_keys(fleet, keys[KEYS : 2 * KEYS])
+            await withdraw_keys(fleet, keys[KEYS_PER_CASE : 2 * KEYS_PER_CASE])
         )
         fleet.heal()
         fleet.log.faults.delay = 1.0
         figures["platform slow by 1 s"] = summarize(
-            await withdraw_keys(fleet, keys[2 * KEYS :])
+            await withdraw_keys(fleet, keys[2 * KEYS_PER_CASE :])
         )
     return figures
 
