--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: the real programs as processes, faults from outside, promises."""
+"""Randomized soak test: real processes, injected faults, checked guarantees."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m soak``: run seeds, print what broke, exit with 1 if anything did."""
+"""``python -m soak``: run seeds, print violations and exit with 1 if there are any."""
 
 import argparse
 import asyncio
@@ -12,22 +12,30 @@
 
 
 def build_parser() -> argparse.ArgumentParser:
-    """Return the command line."""
+    """Return the command-line parser."""
     parser = argparse.ArgumentParser(prog="python -m soak")
     parser.add_argument(
-        "--seed", type=int, action="append", help="may be given again; random if not"
+        "--seed",
+        type=int,
+        action="append",
+        help="seed to run; may be repeated (default: random)",
+    )
+    parser.add_argument(
+        "--runs", type=int, default=1, help="random seeds to run without --seed"
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="duration of the faults"
     )
-    parser.add_argument("--runs", type=int, default=1, help="random seeds to run")
-    parser.add_argument("--seconds", type=float, default=20.0, help="of faults")
     parser.add_argument("--nodes", type=int, default=6)
-    parser.add_argument("--folder", help="where logs stay; a temporary one if not")
+    parser.add_argument("--folder", help="keeps settings and logs (default: temporary)")
     return parser
 
 
 def main() -> int:
-    """Run the seeds, one after the other."""
+    """Run the seeds one after the other; return 1 if any violated a guarantee."""
     options = build_parser().parse_args()
-    # As Ctrl-C: by default the processes that it started would outlive it.
+    # Handle SIGTERM like Ctrl-C: its default action would leave the started processes
+    # running.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     seeds = options.seed or [random.randrange(10**6) for _ in range(options.runs)]
     failed_seeds = 0
@@ -40,16 +48,14 @@
         served = sum(request.status == 200 for request in soak.record.requests.values())
         print(f"seed {seed}: {len(soak.faults)} faults, {served} of {sent} served")
         for line in violations[:20]:
-            print(f"  BROKEN: {line}")
+            print(f"  VIOLATION: {line}")
         if violations:
             failed_seeds += 1
             print(f"  logs: {folder}")
             for fault in soak.faults:
                 print(f"  {fault}")
         sys.stdout.flush()
-    print(
-        f"{len(seeds) - failed_seeds} seeds kept all promises, {failed_seeds} did not"
-    )
+    print(f"{len(seeds) - failed_seeds} seeds passed, {failed_seeds} failed")
     return 1 if failed_seeds else 0
 
 
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -1,7 +1,7 @@
-"""``python -m soak.backend``: a backend server as a process, which tells what it ran.
+"""``python -m soak.backend``: a backend server process that reports what it executes.
 
-It writes one JSON line for each request that it begins to run; the soak reads them and
-knows what really ran, whatever callers were told.
+It writes one JSON line to stdout for each request that it starts to execute, so that
+the soak test knows what was executed whatever status the caller received.
 """
 
 import argparse
@@ -16,18 +16,18 @@
 from primroseglade.stand_ins.mesh_backend import MeshBackend
 
 WORK_SECONDS_RANGE = (0.005, 0.06)
-# After the acknowledgement of its leaving it serves on for so long, in seconds.
+# Time for which it keeps serving after the node acknowledged its drain.
 LINGER_SECONDS = 2.5
 
 
 def write_event(**fields: object) -> None:
-    """Write one line to the soak."""
+    """Write an event to stdout as one JSON line, with the time in ``at``."""
     sys.stdout.write(json.dumps({"at": time.monotonic()} | fields) + "\n")
     sys.stdout.flush()
 
 
 class SoakBackend(MeshBackend):
-    """Tells of each run, and answers with the request's id in the body."""
+    """Reports each execution and returns the request id in the response body."""
 
     async def _handle(self, request: Request) -> Reply:
         headers = {name.decode().lower(): v.decode() for name, v in request.headers}
@@ -45,7 +45,7 @@
 
 
 async def serve(backend: SoakBackend) -> None:
-    """Serve until told to leave, then leave as the platform's backend servers do."""
+    """Serve until SIGTERM, then drain and deregister as the platform does."""
     stop_requested = asyncio.Event()
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, stop_requested.set)
     serving = asyncio.create_task(backend.run())
@@ -59,7 +59,7 @@
 
 
 def main() -> None:
-    """Run one backend server."""
+    """Run one backend server until SIGTERM."""
     parser = argparse.ArgumentParser()
     for name in ("instance", "service", "address", "reached", "control"):
         parser.add_argument(f"--{name}", required=True)
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,21 +1,24 @@
-"""The promises, checked by what callers and backend servers saw."""
+"""Checks the guarantees against what callers and backend servers observed."""
 
-# Of the platform's pages: a withdrawn key stops working within this many seconds.
+# The platform requires that a withdrawn key stops working within this time.
 MAX_REVOCATION_SECONDS = 5.0
-# A backend server whose leaving was acknowledged gets nothing after so many.
+# A backend server receives no requests later than this after its drain was
+# acknowledged.
 MAX_DRAIN_SECONDS = 2.0
-# What a loaded machine may add to the moments that different processes note.
+# Tolerance for timestamps of different processes on a loaded machine.
 TIMESTAMP_TOLERANCE_SECONDS = 0.3
+# A response with one of these guarantees that the request was not executed.
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 
 
 class SentRequest:
-    """One request of a caller, and what became of it.
+    """A request that a caller sent, and its response.
 
     Attributes:
-        at: When it was sent, on the machine's steady clock.
-        status: Of the answer; 0 for none.
-        whole: Whether a success had the whole body of this request.
+        sent_at: Monotonic time in seconds.
+        status: HTTP status of the response; 0 if there was none.
+        has_expected_body: False if the response lacked the complete body of this
+            request.
     """
 
     __slots__ = (
@@ -37,7 +40,7 @@
 
 
 class Execution:
-    """One run at a backend server, as it told."""
+    """One execution of a request, as the backend server reported it."""
 
     __slots__ = ("instance", "key_seen", "request_id", "started_at", "tenant")
 
@@ -57,7 +60,7 @@
 
 
 class Record:
-    """All that was seen in a run of the soak."""
+    """Everything that callers and backend servers observed in one run."""
 
     def __init__(self) -> None:
         self.requests: dict[str, SentRequest] = {}
@@ -68,16 +71,16 @@
 
 
 def find_violations(record: Record) -> list[str]:
-    """Return each broken promise as one sentence."""
+    """Return one sentence for each violated guarantee."""
     violations: list[str] = []
     for request_id, executions in record.executions.items():
         request = record.requests.get(request_id)
         if request is None:
-            violations.append(f"{request_id} ran and was never sent")
+            violations.append(f"{request_id} was executed but never sent")
             continue
         violations += _check_request(record, request, executions)
     violations += [
-        f"{request.request_id} got a success with a body that is not its own"
+        f"{request.request_id} got status 200 without its own complete body"
         for request in record.requests.values()
         if request.status == 200 and not request.has_expected_body
     ]
@@ -90,26 +93,31 @@
     violations = []
     if len(executions) > 1 and not request.idempotent:
         violations.append(
-            f"{request.request_id} may run once and ran {len(executions)} times"
+            f"{request.request_id} is not idempotent and was executed "
+            f"{len(executions)} times"
         )
     if request.status in NOT_EXECUTED_STATUSES:
-        violations.append(f"{request.request_id} was answered {request.status} and ran")
+        violations.append(
+            f"{request.request_id} got status {request.status} but was executed"
+        )
     withdrawn_at = record.withdrawn_at.get(request.key)
     if (
         withdrawn_at is not None
         and request.sent_at > withdrawn_at + MAX_REVOCATION_SECONDS
     ):
         violations.append(
-            f"{request.request_id} ran {request.sent_at - withdrawn_at:.1f} s "
-            "after its key"
+            f"{request.request_id} was executed but sent "
+            f"{request.sent_at - withdrawn_at:.1f} s after its key was withdrawn"
         )
     for execution in executions:
         if execution.key_seen:
             violations.append(
-                f"{request.request_id} showed its key to {execution.instance}"
+                f"{request.request_id} exposed its API key to {execution.instance}"
             )
         if execution.tenant != record.tenants_by_key[request.key]:
-            violations.append(f"{request.request_id} ran for {execution.tenant!r}")
+            violations.append(
+                f"{request.request_id} was executed for tenant {execution.tenant!r}"
+            )
         drained_at = record.drain_acknowledged_at.get(execution.instance)
         if (
             drained_at is not None
@@ -118,6 +126,7 @@
         ):
             delay = execution.started_at - drained_at
             violations.append(
-                f"{request.request_id} reached {execution.instance} {delay:.1f} s late"
+                f"{request.request_id} reached {execution.instance} "
+                f"{delay:.1f} s after its drain was acknowledged"
             )
     return violations
--- a/soak/machines.py
+++ b/soak/machines.py
@@ -1,4 +1,4 @@
-"""A node and the backend server beside it, as processes that faults are done to."""
+"""A node and its backend server as processes, with methods that disturb them."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 from .proxy import build_fault_proxy, FaultProxy
 
-# Ports of a place; every place has a loopback address of its own.
+# The same ports on each machine: every machine has its own loopback address.
 (
     OUTBOUND_PORT,
     READY_PORT,
@@ -24,19 +24,19 @@
 INTERNAL_PORTS = [7000, 7015]
 SERVICES = ("front", "deep")
 ZONES = ("a", "b")
-# Before a killed process is started again, as the platform does it.
+# Delay before a process that ended is restarted, as on the platform.
 RESTART_DELAY_SECONDS = 0.3
 SHUTDOWN_GRACE_SECONDS = 6.0
 
 
 class Machine:
-    """One machine of the soak.
+    """One emulated machine: a node, its backend server and their fault proxies.
 
     Args:
-        number: Of this place.
-        network: First three numbers of the loopback addresses in use.
-        store: Address of the store.
-        folder: For settings and logs.
+        number: Index of the machine; determines service, zone and loopback address.
+        network: First three octets of the loopback addresses.
+        store: ``IP:PORT`` of the store.
+        folder: Folder for settings and logs.
     """
 
     def __init__(self, number: int, network: str, store: str, folder: pathlib.Path):
@@ -60,18 +60,18 @@
         self._reader_task: asyncio.Task[None] | None = None
 
     def address(self, port: int) -> str:
-        """Return one of this place's addresses."""
+        """Return ``IP:PORT`` for a port of this machine."""
         return join_address(self.host, port)
 
     async def start(self) -> None:
-        """Start links, node and backend server."""
+        """Start the proxies, the node and the backend server."""
         await self.backend_proxy.start()
         await self.store_proxy.start()
         await self.start_node()
         await self.start_backend()
 
     async def start_node(self) -> None:
-        """Start the node's process."""
+        """Write the node's settings and start its process."""
         path = self.folder / f"{self.name}.json"
         path.write_text(json.dumps(self._build_settings()))
         self._is_first_start = False
@@ -86,7 +86,7 @@
             )
 
     async def start_backend(self) -> None:
-        """Start another life of the backend server."""
+        """Start the backend server under a new instance id."""
         self._backend_starts += 1
         options = {
             "instance": f"i-{self.number}-{self._backend_starts}",
@@ -106,30 +106,30 @@
         self._reader_task = asyncio.create_task(self._read_events(self._backend))
 
     async def pause_node(self, seconds: float) -> None:
-        """Stop the node's process for a while."""
+        """Suspend the node's process for some seconds (SIGSTOP)."""
         assert self._node is not None
         _send_signal(self._node, signal.SIGSTOP)
         await asyncio.sleep(seconds)
         _send_signal(self._node, signal.SIGCONT)
 
     async def kill_node(self) -> None:
-        """Kill the node and start it again."""
+        """Kill the node and restart it."""
         await self._restart_node(signal.SIGKILL)
 
     async def stop_node(self) -> None:
-        """Stop the node as planned and start it again."""
+        """Shut the node down gracefully and restart it."""
         await self._restart_node(signal.SIGTERM)
 
     async def drain_backend(self) -> None:
-        """Have the backend server leave, and start another life of it."""
+        """Drain the backend server and start it again under a new instance id."""
         await self._restart_backend(signal.SIGTERM)
 
     async def kill_backend(self) -> None:
-        """Kill the backend server and start it again."""
+        """Kill the backend server and start it again under a new instance id."""
         await self._restart_backend(signal.SIGKILL)
 
     async def close(self) -> None:
-        """End both processes."""
+        """Kill both processes and wait for them to end."""
         for process in (self._node, self._backend):
             if process is not None:
                 _send_signal(process, signal.SIGKILL)
@@ -143,7 +143,7 @@
         try:
             await asyncio.wait_for(process.wait(), SHUTDOWN_GRACE_SECONDS)
         except TimeoutError:
-            # The platform kills what has not ended after its grace.
+            # The platform kills a process that exceeds its shutdown grace period.
             _send_signal(process, signal.SIGKILL)
             await process.wait()
         await asyncio.sleep(RESTART_DELAY_SECONDS)
@@ -192,6 +192,6 @@
 def _send_signal(
     process: asyncio.subprocess.Process, signal_number: signal.Signals
 ) -> None:
-    """Send a signal to a process of the soak; it may have ended by itself."""
+    """Send a signal to a process; do nothing if it has already ended."""
     with contextlib.suppress(ProcessLookupError):
         process.send_signal(signal_number)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or cuts connections one way."""
+"""A TCP proxy that injects faults: delay, reset, silence and one-way loss."""
 
 import asyncio
 import contextlib
@@ -9,28 +9,28 @@
 from primroseglade.addresses import join_address, parse_address
 
 CHUNK_BYTES = 64 * 1024
-# Closing with this option resets the connection (SO_LINGER, on, 0 seconds).
+# SO_LINGER on with 0 seconds: closing the socket resets the connection.
 RESET = struct.pack("ii", 1, 0)
 
 
 class LinkFault(enum.Enum):
-    """What the proxy does to connections."""
+    """A fault that the proxy injects into connections."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    # Open connections carry nothing any more, new ones work.
+    # Connections that are open now stay open but carry no more data; new ones work.
     SILENCE = "silence"
-    # Nothing comes back, what is sent arrives.
+    # Data reaches the target; data from the target is dropped.
     ONE_WAY = "one way"
 
 
 class FaultProxy:
-    """Forwards TCP to a target.
+    """Forwards TCP connections to a target and injects faults.
 
     Args:
-        listen: ``IP:PORT``.
-        target: ``IP:PORT``.
+        listen: ``IP:PORT`` to listen on.
+        target: ``IP:PORT`` to connect to.
     """
 
     def __init__(self, listen: str, target: str):
@@ -41,11 +41,11 @@
         self._silenced_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await asyncio.start_server(self._accept, *parse_address(self.listen))
 
     def set_fault(self, fault: LinkFault) -> None:
-        """Do this to connections from now on."""
+        """Inject this fault from now on, instead of the previous one."""
         self._fault = fault
         if fault is LinkFault.SILENCE:
             self._silenced_writers |= self._client_writers
@@ -62,7 +62,7 @@
         try:
             target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
-            # Nothing listens there: the caller sees the same as without a proxy.
+            # Nothing listens at the target: reset, as without the proxy.
             _reset(writer)
             return
         self._client_writers.add(writer)
@@ -72,7 +72,8 @@
         from_target = asyncio.create_task(
             self._forward(target_reader, writer, writer, True)
         )
-        # Cancelled when the soak ends: asyncio would print each as an error.
+        # Cancelled at the end of the run; asyncio would log each cancellation as an
+        # error.
         with contextlib.suppress(asyncio.CancelledError):
             await asyncio.wait(
                 {to_target, from_target}, return_when=asyncio.FIRST_COMPLETED
@@ -101,7 +102,7 @@
                 writer.write(data)
                 await writer.drain()
         except OSError:
-            # The other end is gone; both directions end.
+            # One end is gone: on return `_accept` closes both connections.
             return
 
 
@@ -112,5 +113,5 @@
 
 
 def build_fault_proxy(host: str, port: int, target: str) -> FaultProxy:
-    """Return a proxy that is not started."""
+    """Return a proxy on a host and port, not yet started."""
     return FaultProxy(join_address(host, port), target)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run: start everything, send requests, do the faults, check the promises."""
+"""One run: start all processes, send requests, inject faults, check guarantees."""
 
 import asyncio
 import contextlib
@@ -22,21 +22,22 @@
 MEAN_CALLER_PAUSE_SECONDS = 0.05
 REQUEST_TIMEOUT_SECONDS = 3.0
 WARM_UP_SECONDS = 3.0
-# After the last fault everything has to be served again.
+# Time after the last fault, by the end of which requests must succeed again.
 RECOVERY_SECONDS = 10.0
+# Share of the final requests that must succeed.
 MIN_RECOVERED_RATIO = 0.9
 TENANTS_BY_KEY = {"key-a": "north", "key-b": "north", "key-c": "south"}
 KINDS_BY_ROUTE = {"front": "safe", "deep": "safe", "once": "unsafe"}
 
 
 class Soak:
-    """A run of one seed.
+    """Runs one seed.
 
     Args:
-        seed: Of faults and callers.
-        seconds: For which faults are done.
-        places: Nodes, each with a backend server.
-        folder: For settings and logs.
+        seed: Seed of the fault schedule and the callers.
+        fault_seconds: Time during which faults are injected.
+        machine_count: Number of machines, each with a node and a backend server.
+        folder: Folder for settings and logs.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
     ):
         self._random = random.Random(seed)
         self._fault_seconds = fault_seconds
-        # Of this run alone, so that several may run on one machine.
+        # Not from the seed: concurrent runs on one host need different addresses.
         system_random = random.SystemRandom()
         network = (
             f"127.{system_random.randrange(10, 250)}.{system_random.randrange(250)}"
@@ -63,7 +64,7 @@
         self._last_request_number = 0
 
     async def run(self) -> list[str]:
-        """Return the promises that were broken."""
+        """Run the test and return one sentence for each violated guarantee."""
         store = asyncio.create_task(self._store.run())
         self._publish()
         tasks = [store]
@@ -99,7 +100,7 @@
         ]
         served = sum(request.status == 200 for request in final_requests)
         if served < MIN_RECOVERED_RATIO * len(final_requests) or not final_requests:
-            return [f"{served} of {len(final_requests)} were served at the end"]
+            return [f"{served} of {len(final_requests)} final requests succeeded"]
         return []
 
     async def _inject_faults(self) -> None:
@@ -113,7 +114,7 @@
             await asyncio.sleep(max(0.0, remaining))
 
     async def _send_requests(self, machine: Machine) -> None:
-        """Send requests on kept connections, one after the other."""
+        """Send requests one after the other over pooled connections until cancelled."""
         pool = ConnectionPool(machine.address(OUTBOUND_PORT), 1.0)
         while True:
             await asyncio.sleep(
@@ -128,7 +129,7 @@
             )
             self.record.requests[request.request_id] = request
             with contextlib.suppress(ExchangeError, TimeoutError):
-                # No answer is an answer too: it promises nothing.
+                # No response is a valid outcome; it guarantees nothing.
                 async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                     await self._send_request(pool, request, route)
 
@@ -153,7 +154,7 @@
         )
 
     async def _record_events(self, machine: Machine) -> None:
-        """Note what a backend server tells."""
+        """Record the events of a machine's backend server until cancelled."""
         while True:
             event = await machine.events.get()
             event_time = float(str(event["at"]))
@@ -172,7 +173,7 @@
                 self.record.drain_acknowledged_at[str(event["draining"])] = event_time
 
     def _publish(self) -> None:
-        """Write the configuration, as the operator does."""
+        """Publish the next version of the configuration to the store."""
         self._configuration_version += 1
         tenants: dict[str, list[str]] = {"north": [], "south": []}
         for key, tenant in self._active_keys.items():
@@ -216,11 +217,11 @@
         )
 
     def get_machine(self, fault: ScheduledFault) -> Machine:
-        """Return where a fault is done."""
+        """Return the machine that a fault affects."""
         return self._machines[fault.machine]
 
     def withdraw_key(self, variant: int) -> None:
-        """Take a key away, but never the last one."""
+        """Withdraw an API key, unless it is the last one."""
         if len(self._active_keys) > 1:
             key = sorted(self._active_keys)[variant % len(self._active_keys)]
             del self._active_keys[key]
@@ -228,13 +229,13 @@
             self.record.withdrawn_at[key] = time.monotonic()
 
     def change_rate(self, variant: int) -> None:
-        """Set other rates, far above what callers send."""
+        """Change the rate of all tenants to another value far above the load."""
         self._rate_per_second = 5_000 + variant
         self._publish()
 
     @property
     def store(self) -> StoreStandIn:
-        """The store's stand-in."""
+        """The stand-in for the platform's store."""
         return self._store
 
 
@@ -243,7 +244,7 @@
 
 
 def _injects(kind: str) -> Callable[[FaultInjector], FaultInjector]:
-    """Register what a kind of fault does."""
+    """Register the function that injects a kind of fault."""
 
     def register(injector: FaultInjector) -> FaultInjector:
         _injectors[kind] = injector
@@ -253,7 +254,7 @@
 
 
 async def _inject_link_fault(proxy: FaultProxy, fault: ScheduledFault) -> None:
-    """Do one of the harms to a link for a while."""
+    """Inject one of the link faults into a proxy for the fault's duration."""
     link_faults = [
         link_fault for link_fault in LinkFault if link_fault is not LinkFault.NONE
     ]
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -1,4 +1,4 @@
-"""From a seed to the faults of a run."""
+"""Generates the fault schedule of a run from its seed."""
 
 import random
 
@@ -17,20 +17,20 @@
     "key-withdrawn",
     "rate-changed",
 )
-# Faults come in series and overlap: so many a second on average.
+# Mean of a Poisson process: faults can come in bursts and overlap.
 MEAN_FAULTS_PER_SECOND = 0.7
 MAX_FAULT_SECONDS = 4.0
 
 
 class ScheduledFault:
-    """One fault.
+    """One fault of the schedule.
 
     Args:
-        at: Seconds from the start.
-        kind: Of `KINDS`.
-        seconds: How long it lasts.
-        place: Number of the node or backend server.
-        variant: A number that a kind may use.
+        start_seconds: Time from the start of the schedule.
+        kind: One of `FAULT_KINDS`.
+        duration_seconds: How long it lasts, for kinds that last.
+        machine: Index of the affected machine, for kinds that affect one.
+        variant: Random number from which some kinds choose what they do.
     """
 
     __slots__ = ("duration_seconds", "kind", "machine", "start_seconds", "variant")
@@ -57,7 +57,7 @@
 
 
 def generate_faults(seed: int, seconds: float, machines: int) -> list[ScheduledFault]:
-    """Return the faults of a seed, the same each time.
+    """Return the faults for a seed, the same in each run, ordered by start time.
 
     >>> one = generate_faults(1, 10.0, 4)
     >>> [repr(f) for f in one] == [repr(f) for f in generate_faults(1, 10.0, 4)]
