--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak itself: a short run of one seed, and that its checks see what breaks."""
+"""The soak test: a short run of one seed, and whether its checks find violations."""
 
 import pathlib
 
@@ -7,15 +7,15 @@
 from soak.checks import Execution, find_violations, Record, SentRequest
 from soak.run import Soak
 
-# A short run for every change; more seeds are run by hand with `python -m soak`.
+# A short run for every change; `python -m soak` runs more seeds by hand.
 SEED = 1
 SECONDS = 6.0
 NODES = 4
 
 
 async def test_a_short_run_keeps_all_promises(tmp_path: pathlib.Path):
-    """Real processes, paused, killed, stopped and cut from the store; what callers
-    and backend servers saw keeps every promise, and at the end all is served again.
+    """Real processes are paused, killed, stopped and cut off from the store: callers
+    and backend servers observe no violation, and requests succeed again at the end.
     """
     soak = Soak(SEED, SECONDS, NODES, tmp_path)
     violations = await soak.run()
@@ -24,7 +24,7 @@
 
 
 def build_record() -> Record:
-    """Return a record of one unsafe request that ran once and was served."""
+    """Return a record of one unsafe request that succeeded and was executed once."""
     record = Record()
     record.tenants_by_key = {"key-a": "north"}
     request = SentRequest("r1", "key-a", False, 10.0)
@@ -35,47 +35,47 @@
 
 
 def execute_twice(record: Record) -> None:
-    """Let it run again."""
+    """Execute the request a second time."""
     record.executions["r1"].append(Execution("r1", "i-2", "north", False, 10.2))
 
 
 def answer_not_executed(record: Record) -> None:
-    """Say that it has not run."""
+    """Answer the executed request with a status that says that it was not."""
     record.requests["r1"].status = 503
 
 
 def mix_up_bodies(record: Record) -> None:
-    """Hand out another request's body."""
+    """Return the body of another request."""
     record.requests["r1"].has_expected_body = False
 
 
 def withdraw_key(record: Record) -> None:
-    """Withdraw its key long before."""
+    """Withdraw the key more than 5 s before the request."""
     record.withdrawn_at["key-a"] = 4.0
 
 
 def drain_backend(record: Record) -> None:
-    """Have its backend server leave long before."""
+    """Drain the backend server more than 2 s before the execution."""
     record.drain_acknowledged_at["i-1"] = 7.0
 
 
 def swap_tenant(record: Record) -> None:
-    """Run it for another workspace."""
+    """Execute the request for another workspace."""
     record.executions["r1"][0].tenant = "south"
 
 
 def show_key(record: Record) -> None:
-    """Show its key to the backend server."""
+    """Pass the API key on to the backend server."""
     record.executions["r1"][0].key_seen = True
 
 
 def execute_unsent(record: Record) -> None:
-    """Run what nobody sent."""
+    """Execute a request that nobody sent."""
     record.executions["r2"] = [Execution("r2", "i-1", "north", False, 10.1)]
 
 
 def test_what_is_kept_is_not_reported():
-    """A served request breaks nothing."""
+    """A request that succeeded and was executed once violates nothing."""
     assert find_violations(build_record()) == []
 
 
@@ -93,7 +93,7 @@
     ],
 )
 def test_each_broken_promise_is_seen(harm):
-    """A check that sees nothing would pass every run."""
+    """A check that never finds a violation would pass every run."""
     record = build_record()
     harm(record)
     assert len(find_violations(record)) == 1
