--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -10,7 +10,7 @@
 
 CHUNK_BYTES = 64 * 1024
 # SO_LINGER on with 0 seconds: closing the socket resets the connection.
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class LinkFault(enum.Enum):
@@ -108,7 +108,7 @@
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -13,7 +13,7 @@
 NODES = 4
 
 
-async def test_a_short_run_keeps_all_promises(tmp_path: pathlib.Path):
+async def test_short_run_has_no_violations(tmp_path: pathlib.Path):
     """Real processes are paused, killed, stopped and cut off from the store: callers
     and backend servers observe no violation, and requests succeed again at the end.
     """
@@ -64,7 +64,7 @@
     record.executions["r1"][0].tenant = "south"
 
 
-def show_key(record: Record) -> None:
+def expose_key(record: Record) -> None:
     """Pass the API key on to the backend server."""
     record.executions["r1"][0].key_seen = True
 
@@ -74,7 +74,7 @@
     record.executions["r2"] = [Execution("r2", "i-1", "north", False, 10.1)]
 
 
-def test_what_is_kept_is_not_reported():
+def test_valid_record_has_no_violations():
     """A request that succeeded and was executed once violates nothing."""
     assert find_violations(build_record()) == []
 
@@ -88,11 +88,11 @@
         withdraw_key,
         drain_backend,
         swap_tenant,
-        show_key,
+        expose_key,
         execute_unsent,
     ],
 )
-def test_each_broken_promise_is_seen(harm):
+def test_each_violation_is_found(harm):
     """A check that never finds a violation would pass every run."""
     record = build_record()
     harm(record)
