--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: never tests, always ratios within one run."""
+"""Benchmarks, which are no tests: only ratios within one run are comparable."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m bench NAME [--json]``."""
+"""``python -m bench NAME [--json]``: run one benchmark and print its figures."""
 
 import argparse
 import asyncio
@@ -24,15 +24,30 @@
     benchmarks = get_benchmarks()
     parser = argparse.ArgumentParser(prog="python -m bench")
     parser.add_argument("name", choices=sorted(benchmarks))
-    parser.add_argument("--json", action="store_true", help="print one JSON value")
+    parser.add_argument("--json", action="store_true", help="print the figures as JSON")
     parser.add_argument("--deployment", choices=("split", "lagos"), default="split")
-    parser.add_argument("--seconds", type=float, default=0.0, help="0: its own")
+    parser.add_argument(
+        "--seconds",
+        type=float,
+        default=0.0,
+        help="duration (0: the benchmark's default)",
+    )
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--seeds", type=int, default=5, help="of fleet-rates")
-    parser.add_argument("--nodes", type=int, default=14, help="of fleet-rates")
-    parser.add_argument("--jobs", type=int, default=2, help="of fleet-rates")
     parser.add_argument(
-        "--off", action="append", default=[], metavar="MECHANISM", help="switch off"
+        "--seeds", type=int, default=5, help="number of seeds (fleet-rates)"
+    )
+    parser.add_argument(
+        "--nodes", type=int, default=14, help="number of nodes (fleet-rates)"
+    )
+    parser.add_argument(
+        "--jobs", type=int, default=2, help="parallel processes (fleet-rates)"
+    )
+    parser.add_argument(
+        "--off",
+        action="append",
+        default=[],
+        metavar="MECHANISM",
+        help="mechanism to disable; may be repeated",
     )
     options = parser.parse_args()
     figures = asyncio.run(benchmarks[options.name](options))
@@ -44,7 +59,7 @@
 
 
 def print_figures(figures: dict, indent: str = "") -> None:
-    """Print nested figures for people."""
+    """Print figures one per line, nested ones indented."""
     for name, value in figures.items():
         if isinstance(value, dict):
             print(f"{indent}{name}")
--- a/bench/bare_relay.py
+++ b/bench/bare_relay.py
@@ -1,4 +1,4 @@
-"""The floor: the least a relay in this language costs. Bytes in, bytes out."""
+"""A minimal TCP relay: the lower bound of what a relay in Python costs."""
 
 import asyncio
 import socket
@@ -6,7 +6,7 @@
 
 
 class RelaySide(asyncio.Protocol):
-    """One of two connections that are joined."""
+    """One of the two connections of a relayed stream."""
 
     def __init__(self) -> None:
         self.peer: RelaySide | None = None
@@ -14,6 +14,7 @@
         self.pending: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Send the data that arrived before the connection was open."""
         assert isinstance(transport, asyncio.Transport)
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -22,6 +23,7 @@
             transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Forward data to the peer, or keep it until the peer is connected."""
         assert self.peer is not None
         if self.peer.transport is None:
             self.peer.pending.append(data)
@@ -29,12 +31,13 @@
             self.peer.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Close the peer's connection."""
         if self.peer is not None and self.peer.transport is not None:
             self.peer.transport.close()
 
 
 async def main(port: int, target: int) -> None:
-    """Relay between a port and a target on loopback."""
+    """Relay connections from one loopback port to another."""
     loop = asyncio.get_running_loop()
 
     def accept() -> RelaySide:
--- a/bench/choices.py
+++ b/bench/choices.py
@@ -1,4 +1,4 @@
-"""What the choices cost that leave the house style: framework and client library."""
+"""Costs of the own listener and client against a framework and a client library."""
 
 import argparse
 import asyncio
@@ -23,7 +23,7 @@
 
 
 async def answer_asgi(scope: dict[str, Any], receive: Any, send: Any) -> None:
-    """Answer as the listeners of calls do."""
+    """Answer as plain ASGI, like the node's listeners for calls."""
     await receive()
     headers = [*HEADERS, (b"content-length", b"%d" % len(BODY))]
     await send({"type": "http.response.start", "status": 200, "headers": headers})
@@ -31,7 +31,7 @@
 
 
 def build_blacksheep_app() -> Any:
-    """Return the same as a blacksheep application."""
+    """Return a blacksheep application that sends the same response."""
     app = build_application()
 
     async def answer(request: Request) -> Response:
@@ -43,7 +43,7 @@
 
 
 async def measure_asgi_app(app: Any) -> float:
-    """Return microseconds of processor time a request, without a socket."""
+    """Return microseconds of CPU time per request, without a socket."""
 
     async def receive() -> dict[str, Any]:
         return {"type": "http.request", "body": BODY, "more_body": False}
@@ -66,7 +66,7 @@
 
 
 async def measure_own_client(address: str) -> float:
-    """Return microseconds a call by the project's own connections."""
+    """Return microseconds of CPU time per call with the project's own client."""
     pool = Pool(address, 4, 1.0, 65536)
     body = Body(BODY)
     started = time.process_time()
@@ -82,7 +82,7 @@
 
 
 async def measure_aiohttp_client(address: str) -> float:
-    """Return microseconds a call by aiohttp's client."""
+    """Return microseconds of CPU time per call with aiohttp's client."""
     async with aiohttp.ClientSession() as session:
         started = time.process_time()
         for _ in range(CALLS_PER_ROUND):
@@ -93,7 +93,7 @@
 
 @benchmark("choices")
 async def measure_choices(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure each choice and its alternative in turn; medians of five rounds."""
+    """Measure the choices and their alternatives in turn; return medians."""
     backend = BackendStandIn("x", behaviour=Behaviour(work=0, slots=1000), seen_kept=1)
     backend_task = asyncio.create_task(backend.run())
     await backend.wait_started()
--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -1,4 +1,4 @@
-"""Rates of many workspaces over an emulated fleet, over scenarios and seeds."""
+"""Rate limits of many workspaces in an emulated fleet, by scenario and demand."""
 
 import argparse
 import collections
@@ -31,18 +31,18 @@
     "15": Demand(15.0),
     "1.06 to 7.5": Demand(1.06, (RISE_SECONDS, 7.5)),
 }
-# Rates above this one are not played with the highest demand: it takes too long.
+# Higher rates per second are not simulated at the highest demand: it takes too long.
 MAX_RATE_AT_HIGHEST_DEMAND = 30.0
 
 
 class WorkspaceResult:
-    """What became of one workspace in one play.
+    """Result of one workspace in one simulation.
 
     Attributes:
-        demand: Name of its demand.
-        worst: Most calls in a window, as a part of what is tolerated.
-        served: Calls let through, as a part of what one exact bucket would let through.
-        wait: Milliseconds that 99 in 100 of its admitted calls waited at most.
+        demand_name: Key in `DEMANDS`.
+        worst_window_ratio: Most admitted calls in any window / tolerated calls.
+        served_ratio: Admitted calls / calls that one exact token bucket would admit.
+        p99_wait_ms: 99th percentile of the waits of admitted calls, in milliseconds.
     """
 
     __slots__ = ("demand_name", "p99_wait_ms", "served_ratio", "worst_window_ratio")
@@ -57,7 +57,7 @@
 
 
 def play_scenario(name: str, nodes: int, seed: int) -> list[WorkspaceResult]:
-    """Play all workspaces of one fleet at the same time."""
+    """Simulate a scenario with one workspace for each rate and demand."""
     scenario = build_scenarios()[name]
     lead_seconds = LEAD_SECONDS if scenario.first_start else 0.0
     cuts = [
@@ -91,7 +91,7 @@
 
 @benchmark("fleet-rates")
 async def measure_fleet_rates(options: argparse.Namespace) -> dict[str, Any]:
-    """Return, by scenario and demand, the worst window and what is served."""
+    """Return the worst window and the served ratio, by scenario and demand."""
     figures: dict[str, Any] = {}
     with concurrent.futures.ProcessPoolExecutor(options.jobs) as executor:
         for name in build_scenarios():
@@ -105,7 +105,7 @@
 
 
 def summarize(results: list[WorkspaceResult]) -> dict[str, Any]:
-    """Return the figures of one scenario, by demand."""
+    """Return the figures of one scenario by demand."""
     by_demand: dict[str, list[WorkspaceResult]] = collections.defaultdict(list)
     for result in results:
         by_demand[result.demand_name].append(result)
--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -1,4 +1,4 @@
-"""Switches that take one mechanism out, to see what it earns."""
+"""Disables single mechanisms, to measure what each contributes."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager, ExitStack
@@ -13,11 +13,15 @@
 Disabler = Callable[[dict[str, Any]], Any]
 
 _disablers: dict[str, Disabler] = {}
+# Concurrency limit that no benchmark reaches.
 UNLIMITED_CALLS = 100_000
 
 
 def disables(name: str) -> Callable[[Disabler], Disabler]:
-    """Register what switches a mechanism off; it may change settings and patch."""
+    """Register a function that disables a mechanism by settings or patches.
+
+    The function gets the settings, may change them and may return patches to apply.
+    """
 
     def register(function: Disabler) -> Disabler:
         _disablers[name] = function
@@ -27,13 +31,13 @@
 
 
 def get_mechanism_names() -> list[str]:
-    """Return what can be switched off."""
+    """Return the names of the mechanisms that can be disabled."""
     return sorted(_disablers)
 
 
 @contextmanager
 def mechanisms_disabled(names: list[str], settings: dict[str, Any]) -> Iterator[None]:
-    """Run a block without some mechanisms."""
+    """Disable some mechanisms while the block runs."""
     with ExitStack() as stack:
         for name in names:
             patches = _disablers[name](settings) or ()
@@ -44,13 +48,13 @@
 
 @disables("limit")
 def _disable_limit(_: dict[str, Any]) -> list[Any]:
-    """Let every call through to the backend server."""
+    """Admit every call to the backend server."""
     return [mock.patch.object(ConcurrencyLimit, "value", UNLIMITED_CALLS)]
 
 
 @disables("importance")
 def _disable_importance(_: dict[str, Any]) -> list[Any]:
-    """Treat all calls alike."""
+    """Give all calls the same importance."""
     original = admission.Waiter.__init__
 
     def init_waiter(waiter: Any, context: Any, turn: Any, arrived: float) -> None:
@@ -62,7 +66,7 @@
 
 @disables("fair-shares")
 def _disable_fair_shares(_: dict[str, Any]) -> list[Any]:
-    """Put all workspaces into one line."""
+    """Put the calls of all workspaces into one queue."""
     add = admission.AdmissionQueue._add
 
     def add_to_shared_queue(queue: Any, waiter: Any) -> None:
@@ -74,7 +78,7 @@
 
 @disables("same-order")
 def _disable_same_order(_: dict[str, Any]) -> list[Any]:
-    """Let each hop shed other calls."""
+    """Let each hop choose at random which calls it sheds."""
     return [
         mock.patch.object(admission, "hash_root", lambda _: getrandbits(32)),
     ]
@@ -82,13 +86,13 @@
 
 @disables("throttle")
 def _disable_throttle(_: dict[str, Any]) -> list[Any]:
-    """Let every call go, however many are shed further on."""
+    """Send every call, however many the next hop sheds."""
     return [mock.patch.object(throttle.Throttle, "admits", lambda *_: True)]
 
 
 @disables("doomed")
 def _disable_deadline_check(_: dict[str, Any]) -> list[Any]:
-    """Let calls through that can no longer be answered in time."""
+    """Admit calls that cannot meet their deadline."""
     return [
         mock.patch.object(
             admission.AdmissionQueue, "_is_doomed", lambda *_: False, create=True
@@ -98,18 +102,18 @@
 
 @disables("retry-tokens")
 def _disable_retry_tokens(settings: dict[str, Any]) -> None:
-    """Leave retries of a root call unbounded."""
+    """Lift the limit on retries of one root call."""
     settings.setdefault("retries", {})["tokens"] = 1000
 
 
 @disables("retry-share")
 def _disable_retry_share(settings: dict[str, Any]) -> None:
-    """Leave retries of a node unbounded."""
+    """Lift the limit on the share of retries of a node."""
     settings.setdefault("retries", {})["share"] = 1000.0
 
 
 @disables("queue")
 def _disable_queue_bounds(settings: dict[str, Any]) -> None:
-    """Keep a long line in order of arrival, as a plain server does."""
+    """Allow a long queue and long waits, as a plain server does."""
     settings.setdefault("limits", {})["queue"] = 10_000
     settings.setdefault("timeouts", {})["queue"] = 60.0
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""Control traffic of a fleet at rest and under edits: slopes with the fleet's size."""
+"""Control traffic of an idle fleet and one under edits, by the fleet's size."""
 
 import argparse
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class CpuSample:
-    """What nodes had used at a moment."""
+    """CPU time that nodes have used up to now."""
 
     def __init__(self, nodes: list[Process]):
         self.taken_at = time.monotonic()
@@ -33,7 +33,7 @@
 
 
 def build_edit() -> Edit:
-    """Return a document with rates, so that leases are held."""
+    """Return an edit that sets rates, so that nodes hold leases."""
     sections: dict[str, Any] = {
         f"zones/z{number}": {"share": 1 / ZONE_COUNT} for number in range(ZONE_COUNT)
     }
@@ -47,7 +47,7 @@
 
 
 async def read_metric(address: str, prefix: str) -> float:
-    """Return the sum of a node's samples whose line begins with a prefix."""
+    """Return the sum of a node's metric samples whose lines begin with a prefix."""
     import aiohttp
 
     async with aiohttp.ClientSession() as session:
@@ -57,7 +57,7 @@
 
 
 async def measure_fleet(size: int) -> dict[str, Any]:
-    """Start a fleet of this size and measure a node's share of its control."""
+    """Start a fleet of this size and return what control traffic costs a node."""
     async with run_processes(log={"level": "error"}) as processes:
         await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
         nodes, operator_addresses = await start_nodes(processes, size)
@@ -86,7 +86,7 @@
 
 
 async def start_nodes(processes: Any, size: int) -> tuple[list[Process], list[str]]:
-    """Start nodes, ten at a time."""
+    """Start nodes ten at a time; return them and their operator addresses."""
     nodes: list[Process] = []
     operator_addresses: list[str] = []
     first_port = choose_first_port()
@@ -104,7 +104,7 @@
 
 
 async def wait_for_members(operator_addresses: list[str], size: int) -> None:
-    """Wait until the first and the last node know all."""
+    """Wait until the first and the last node see all members alive."""
     async with asyncio.timeout(60):
         for address in (operator_addresses[0], operator_addresses[-1]):
             alive = 'primroseglade_members{state="alive"}'
@@ -113,7 +113,7 @@
 
 
 async def publish_edits(processes: Any, operator_addresses: list[str]) -> None:
-    """Publish edits and wait until the last node has them."""
+    """Publish edits, then wait until the last node answers its status page."""
     for number in range(EDIT_COUNT):
         edit = Edit(
             [SectionEdit(f"recalls/r{number}", None, {"keys": [f"k{number}"]})], "bench"
@@ -126,7 +126,7 @@
 async def measure_usage(
     nodes: list[Process], operator_addresses: list[str], activity: Any
 ) -> Any:
-    """Return what a node used a second during some work, on average."""
+    """Return a node's mean usage per second while an activity runs."""
     metric_names = (
         "primroseglade_control_bytes_total",
         "primroseglade_control_messages_total",
@@ -152,13 +152,13 @@
         "seconds": seconds,
         "cpu": (end.cpu_seconds - start.cpu_seconds) / len(nodes) / seconds,
         "bytes": (counters_after[0] - counters_before[0]) / seconds,
-        # A message is counted where it leaves and where it arrives.
+        # The sender and the receiver each count a message.
         "messages": (counters_after[1] - counters_before[1]) / 2 / seconds,
     }
 
 
 def measure_table(size: int) -> dict[str, Any]:
-    """Fill a table of members in this process and measure it."""
+    """Fill a member table in this process and return its memory and merge cost."""
     import tracemalloc
 
     tracemalloc.start()
@@ -179,7 +179,7 @@
 
 
 def build_member(number: int) -> Member:
-    """Return a member as a real one would look."""
+    """Return a member with realistic values."""
     host = f"10.{number >> 16}.{number >> 8 & 255}.{number & 255}"
     return Member(
         f"archive-eu-1-{number}",
@@ -201,7 +201,7 @@
 
 @benchmark("members")
 async def measure_members(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure fleets of several sizes, and tables of the sizes to come."""
+    """Measure real fleets of several sizes, and member tables of larger ones."""
     figures: dict[str, Any] = {}
     for size in FLEET_SIZES:
         figures[f"{size} nodes"] = await measure_fleet(size)
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""What a node adds to a call: direct, through one node, through two, and the floor."""
+"""What a node adds to a call: direct, by a bare relay, by one node and by two."""
 
 import argparse
 import asyncio
@@ -26,12 +26,12 @@
 
 
 class CallPath:
-    """A way to the backend server.
+    """A path to the backend server, and measurements of calls over it.
 
     Args:
-        address: Where calls are sent.
-        target: Path.
-        processes: What is on the way, for their processor time.
+        address: ``IP:PORT`` that calls are sent to.
+        url_path: Path of the request URL.
+        processes: Processes on the path, whose CPU time is measured.
     """
 
     def __init__(self, address: str, url_path: bytes, processes: list[Process]):
@@ -44,7 +44,7 @@
         self.calls = 0
 
     async def run_round(self, in_flight: int) -> None:
-        """Send one round of calls."""
+        """Send one round of calls over ``in_flight`` connections."""
         cpu_before = sum(process.cpu_seconds for process in self.processes)
         started = time.perf_counter()
         calls_per_connection = CALLS_PER_ROUND // in_flight
@@ -75,7 +75,7 @@
         connection.close()
 
     def report(self, direct: "CallPath | None") -> dict[str, Any]:
-        """Return latencies, and what was added to the direct way."""
+        """Return latencies, rate and CPU cost, and what the path adds to ``direct``."""
         figures: dict[str, Any] = {}
         for name, percentile in (("p50_ms", 50), ("p99_ms", 99)):
             figures[name] = self.latencies_us.get_value_at_percentile(percentile) / 1000
@@ -92,7 +92,7 @@
 
 
 def find_free_ports(count: int) -> list[int]:
-    """Return free ports that the kernel chose."""
+    """Return free ports chosen by the kernel."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
         item.bind(("127.0.0.1", 0))
@@ -103,12 +103,12 @@
 
 
 def choose_first_port() -> int:
-    """Return the first of some hundred ports under those of outgoing connections."""
+    """Return the first of several hundred ports below the ephemeral port range."""
     return 10_000 + find_free_ports(1)[0] % 20_000
 
 
 def build_edit() -> Edit:
-    """Return the document of this benchmark; its rate is out of the way."""
+    """Return this benchmark's document, with a rate too high to limit any call."""
     sections = {
         "zones/a": {"share": 1.0},
         "workspaces/bench": {"keys": [{"id": "bench", "digest": digest_key(API_KEY)}]},
@@ -122,7 +122,7 @@
 
 @benchmark("overhead")
 async def measure_overhead(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure the same call on all ways, in turn."""
+    """Measure the same call over all paths in turn."""
     figures: dict[str, Any] = {}
     async with run_processes(fleet={"lease": 0.5, "grant": 0.5}) as processes:
         await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,4 @@
-"""Policy under load and faults: goodput, recovery, fair shares, retries, waste."""
+"""Overload control under load and faults: goodput, recovery, fairness and waste."""
 
 import argparse
 import asyncio
@@ -13,7 +13,8 @@
 RECOVERY_STEP_SECONDS = 0.25
 RECOVERED_RATIO = 0.95
 
-# Baselines of our own: nothing at all, and the usual fixed limit with retries.
+# Mechanisms that the baselines disable: everything that limits load, or everything
+# but the concurrency limit.
 NO_CONTROL = ["limit", "queue", "retry-tokens", "retry-share", "throttle", "doomed"]
 FIXED_LIMIT_PLAIN_RETRIES = [
     "queue",
@@ -28,7 +29,7 @@
 
 
 def build_chain(demand: dict[str, float], **options: Any) -> Workload:
-    """Return a chain of four services whose deepest is the narrowest."""
+    """Return a chain of four services whose deepest has the least capacity."""
     services = {
         "deep": ChainService(4, 1, 0.2),
         "third": ChainService(2, 30, 0.005, ("/deep/x",)),
@@ -41,7 +42,7 @@
 async def measure_load(
     load_factor: float, options: argparse.Namespace, disabled: list[str]
 ) -> dict[str, Any]:
-    """Run the chain at some multiple of its capacity."""
+    """Return the figures of the chain at a multiple of its capacity."""
     capacity = build_chain({}).capacity
     demand = {
         "important": 0.2 * capacity,
@@ -53,13 +54,13 @@
     seconds = options.seconds or 12.0
     await trial.run(seconds)
     first_sent_at = min(o.sent_at for o in trial.outcomes)
-    # The first second fills queues, and is left out.
+    # Leave out the first second, in which queues fill.
     return trial.report(first_sent_at + 1.0, first_sent_at + seconds)
 
 
 @benchmark("overload")
 async def measure_overload(options: argparse.Namespace) -> dict[str, Any]:
-    """Demand at, over and far over capacity, with and without control."""
+    """Measure demand below, above and far above capacity, with and without control."""
     figures: dict[str, Any] = {}
     load_factors = (0.8, 2.0, 10.0)
     for load_factor in load_factors:
@@ -77,7 +78,7 @@
 
 @benchmark("recovery")
 async def measure_recovery(options: argparse.Namespace) -> dict[str, Any]:
-    """A deep service slows down for a while, and callers retry hard."""
+    """Measure recovery after a slowdown of the deepest service, while callers retry."""
     figures = {"with control": await run_slowdown(options, options.off)}
     if not options.off:
         no_control = NO_CONTROL
@@ -88,7 +89,10 @@
 async def run_slowdown(
     options: argparse.Namespace, disabled: list[str]
 ) -> dict[str, Any]:
-    """Slow the deepest service eight times for ten seconds at 0.7 of capacity."""
+    """Slow the deepest service down by a factor of 8 at 0.7 of its capacity.
+
+    The slowdown lasts ``options.seconds``, or 10 seconds if that is 0.
+    """
     capacity = build_chain({}).capacity
     demand = {name: 0.7 * capacity / 3 for name in ("one", "two", "three")}
     trial = Trial(build_chain(demand), options.seed, disabled)
@@ -123,14 +127,17 @@
 
 
 def measure_goodput(outcomes: list[CallOutcome], start: float, end: float) -> float:
-    """Return whole answers a second that ended in a span of time."""
+    """Return successful calls per second that ended in ``[start, end)``."""
     return sum(o.served and start <= o.ended_at < end for o in outcomes) / (end - start)
 
 
 def find_recovery_seconds(
     outcomes: list[CallOutcome], restored_at: float, normal_goodput: float
 ) -> float:
-    """Return seconds until goodput over a second is 95 % of what it was."""
+    """Return seconds from the restoration until goodput is 95 % of normal again.
+
+    Goodput is taken over one second; infinity means that it did not recover.
+    """
     last_sent_at = max(o.sent_at for o in outcomes)
     window_start = restored_at
     while window_start < last_sent_at:
@@ -145,7 +152,7 @@
 
 @benchmark("fairness")
 async def measure_fairness(options: argparse.Namespace) -> dict[str, Any]:
-    """One workspace sends five times its part; the others ask for theirs."""
+    """Measure fairness when one workspace sends five times its fair share."""
     figures: dict[str, Any] = {}
     variants = {"with fair shares": options.off}
     if not options.off:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Processes that a benchmark starts, and what they cost."""
+"""Processes that a benchmark starts, with their CPU time and memory."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 class Process:
-    """A started process."""
+    """A process that a benchmark started."""
 
     def __init__(self, process: asyncio.subprocess.Process, name: str):
         self._process = process
@@ -28,27 +28,27 @@
 
     @property
     def cpu_seconds(self) -> float:
-        """Processor time used so far, user and system."""
+        """CPU time used so far, user and system, in seconds."""
         stat = pathlib.Path(f"/proc/{self._process.pid}/stat").read_text()
         fields = stat.rpartition(")")[2].split()
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     @property
     def memory_mb(self) -> float:
-        """Resident memory."""
+        """Resident memory in MiB."""
         status = pathlib.Path(f"/proc/{self._process.pid}/status").read_text()
         line = next(item for item in status.splitlines() if item.startswith("VmRSS"))
         return int(line.split()[1]) / 1024
 
     async def kill_and_wait(self) -> None:
-        """Kill it and wait."""
+        """Kill the process and wait for its end."""
         with contextlib.suppress(ProcessLookupError):
             self._process.kill()
         await self._process.wait()
 
 
 class Processes:
-    """A log in this process, and nodes and backend servers in their own."""
+    """Runs the platform's log here, and nodes and backend servers as processes."""
 
     def __init__(self, settings: dict[str, Any] | None = None):
         self._settings = settings or {}
@@ -86,7 +86,7 @@
     async def start_node(
         self, instance: str, zone: str, first_port: int, **settings: Any
     ) -> tuple[Process, dict[str, str]]:
-        """Start a node on five ports from ``ports`` on; return it and its addresses."""
+        """Start a node on five successive ports; return it and its addresses."""
         names = ("callers", "relay", "control", "backend", "operator")
         listen = {name: f"127.0.0.1:{first_port + n}" for n, name in enumerate(names)}
         fields = {
@@ -106,7 +106,7 @@
         return process, listen
 
     async def start_backend(self, service: str, node: str, listen: str) -> Process:
-        """Start a backend server that works for no time."""
+        """Start a backend server with 150 slots that answers without delay."""
         return await self.start(
             service,
             *("-m", "primroseglade", "stand-in", "backend", "--service", service),
@@ -115,7 +115,7 @@
 
 
 async def wait_for_page(url: str) -> None:
-    """Wait until a page answers."""
+    """Wait until a URL answers."""
     async with (
         asyncio.timeout(START_TIMEOUT_SECONDS),
         aiohttp.ClientSession() as session,
@@ -130,6 +130,6 @@
 
 @contextlib.asynccontextmanager
 async def run_processes(**settings: Any) -> AsyncIterator[Processes]:
-    """Run processes for as long as the block."""
+    """Provide `Processes` and stop them all at the end of the block."""
     async with Processes(settings) as processes:
         yield processes
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,4 +1,4 @@
-"""Granted against allowed, and refused within rate, at even and at skewed demand."""
+"""Rate limits in a fleet: granted against allowed calls, and wrong refusals."""
 
 import argparse
 import asyncio
@@ -20,7 +20,7 @@
 NODES_PER_ZONE = 3
 CALLS_SECONDS = 8.0
 MAX_WAIT_SECONDS = 2.0
-# Rate, burst, and demand as a share of the rate.
+# Rate per second, burst, and demand as a multiple of the rate.
 CASES = {
     "small, 5/s": (5.0, 10.0, 0.9),
     "middle, 40/s": (40.0, 40.0, 0.9),
@@ -39,7 +39,7 @@
 
 
 class CaseOutcome:
-    """Calls of one case: when each was asked, and when its token came, if it did."""
+    """Calls of one case: when each was sent, and when it got its token or None."""
 
     def __init__(self, rate: float, burst: float):
         self.rate = rate
@@ -47,10 +47,10 @@
         self.calls: list[tuple[float, float | None]] = []
 
     def count_refused_within_rate(self) -> int:
-        """Return how many more calls one bucket with no network would have granted.
+        """Return how many more calls a single local bucket would have granted.
 
-        Not call by call: over the rate it is a matter of chance which calls get the
-        tokens, and only their number counts.
+        Only the totals are compared: above the rate, which of the calls get the tokens
+        is a matter of chance.
         """
         ideal_bucket = Bucket(self.rate, self.burst, 0.0, 0.0)
         ideal_bucket.accrue(1e9)
@@ -69,7 +69,7 @@
         return max(0, ideal_count - granted_count)
 
     def find_worst_window(self) -> float:
-        """Return the highest granted / allowed over all windows."""
+        """Return the highest granted / allowed ratio over all windows."""
         times = sorted(
             granted_at for _, granted_at in self.calls if granted_at is not None
         )
@@ -90,7 +90,7 @@
     take_token: TakeToken,
     seed: int,
 ) -> CaseOutcome:
-    """Send open-loop demand and note what became of it."""
+    """Send open-loop demand to the nodes and return its outcome."""
     rate, burst, demand = case
     rng = random.Random(seed)
     outcome = CaseOutcome(rate, burst)
@@ -115,7 +115,7 @@
 
 
 def split_statically(nodes: list[Node], rate: float, burst: float) -> TakeToken:
-    """Return the baseline that gives each node its fixed part."""
+    """Return the baseline that gives each node a fixed, equal part of the rate."""
     node_count = len(nodes)
     buckets = {
         node: Bucket(rate / node_count, burst / node_count, time.monotonic(), 0.0)
@@ -137,7 +137,7 @@
 
 
 def build_document(deployment: str, zones: tuple[str, ...]) -> dict[str, Any]:
-    """Return a document in which these zones share all rates."""
+    """Return a document in which the given zones share all rates equally."""
     names = {name: f"w{number}" for number, name in enumerate(CASES)}
     all_zones = DEPLOYMENTS[deployment].zones
     shares = {zone: 1 / len(zones) if zone in zones else 0.0 for zone in all_zones}
@@ -157,7 +157,7 @@
 async def measure_fleet(
     options: argparse.Namespace, zones: tuple[str, ...], static_split: bool
 ) -> dict[str, Any]:
-    """Run every case on a fleet of its own and return its figures."""
+    """Run all cases with each demand pattern on a new fleet; return their figures."""
     figures: dict[str, Any] = {}
     async with EmbeddedFleet(SETTINGS) as fleet:
         await fleet.publish(**build_document(options.deployment, zones))
@@ -166,7 +166,7 @@
                 await fleet.add(zone)
         await fleet.wait_ready()
         for demand, choose_node in DEMAND_PATTERNS.items():
-            # All buckets fill up before each pattern.
+            # Let all buckets fill up before each pattern.
             await asyncio.sleep(3)
             outcomes = await asyncio.gather(
                 *(
@@ -198,7 +198,7 @@
     options: argparse.Namespace,
     static_split: bool,
 ) -> CaseOutcome:
-    """Run one case by the fleet's own rates or by the static split."""
+    """Run one case with the fleet's rate limits or with the static split."""
     workspace = f"w{number}"
 
     async def take_fleet_token(node: Node, max_wait_seconds: float) -> None:
@@ -215,7 +215,7 @@
 
 @benchmark("rates")
 async def measure_rates(options: argparse.Namespace) -> dict[str, Any]:
-    """Compare zones' buckets with loans, one holder for all, and a static split."""
+    """Compare zone buckets with loans, one zone for all rates, and a static split."""
     zones = DEPLOYMENTS[options.deployment].zones
     zone_buckets = await measure_fleet(options, zones, False)
     if "baselines" in options.off:
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,4 +1,4 @@
-"""Benchmarks by name."""
+"""Registry of the benchmarks by name."""
 
 import argparse
 from collections.abc import Awaitable, Callable
@@ -10,7 +10,7 @@
 
 
 def benchmark(name: str) -> Callable[[Benchmark], Benchmark]:
-    """Register a benchmark."""
+    """Register a function as the benchmark of this name."""
 
     def register(function: Benchmark) -> Benchmark:
         _benchmarks[name] = function
@@ -20,5 +20,5 @@
 
 
 def get_benchmarks() -> dict[str, Benchmark]:
-    """Return every registered benchmark by name."""
+    """Return all registered benchmarks by name."""
     return _benchmarks
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -1,4 +1,4 @@
-"""What the questions that a node asks of its table cost, at sizes to come."""
+"""Costs of a node's lookups in its member table, at several table sizes."""
 
 import argparse
 import time
@@ -23,7 +23,7 @@
 def measure_microseconds(
     function: Callable[[], Any], rounds: int = DEFAULT_ROUNDS
 ) -> float:
-    """Return microseconds of processor time a run."""
+    """Return microseconds of CPU time per run, after one run to warm up."""
     function()
     started = time.process_time()
     for _ in range(rounds):
@@ -32,7 +32,7 @@
 
 
 def measure_table(size: int) -> dict[str, Any]:
-    """Ask a table of this size what a node asks of it."""
+    """Return the costs of a node's operations on a table of this size."""
     members = Members(Member("own", 1, zone="zone-0", control="10.255.0.1:1"))
     for number in range(size):
         members.merge(build_member(number))
@@ -73,7 +73,7 @@
 
 
 def measure_fold() -> dict[str, Any]:
-    """Fold edits of one section among many."""
+    """Return the cost of applying an edit that adds one section to a document."""
     fold = Fold(b"s" * 32)
     started = time.process_time()
     for number in range(EDIT_COUNT):
@@ -86,7 +86,7 @@
 
 @benchmark("tables")
 async def measure_tables(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure tables of several sizes, and the fold."""
+    """Measure member tables of several sizes, and applying edits to a document."""
     figures: dict[str, Any] = {f"{n} members": measure_table(n) for n in TABLE_SIZES}
     figures["the fold"] = measure_fold()
     return figures
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -1,4 +1,4 @@
-"""A workload on an embedded fleet, and what its callers saw."""
+"""Runs a workload on an embedded fleet and reports what its callers observed."""
 
 import asyncio
 import collections
@@ -27,13 +27,13 @@
 
 
 class ChainService:
-    """A service of the chain.
+    """A service in the call chain.
 
     Args:
-        servers: How many backend servers.
-        slots: Calls at once, each.
-        work: Seconds a call.
-        nested: What each call calls first.
+        server_count: Number of backend servers.
+        slots_per_server: Calls that a backend server works on at once.
+        work_seconds: Work per call.
+        nested_paths: Paths that each call calls before its own work.
     """
 
     def __init__(
@@ -50,20 +50,20 @@
 
     @property
     def capacity(self) -> float:
-        """Calls a second that it can serve."""
+        """Calls per second that the service can serve."""
         return self.server_count * self.slots_per_server / self.work_seconds
 
 
 class Workload:
-    """Who calls what, how much.
+    """The services, and the demand of each workspace.
 
     Args:
-        layers: Services by name.
-        entry: Root service.
-        capacity: Root calls a second that the chain can serve.
-        demand: Root calls a second, by workspace.
+        services: Services by name.
+        entry_service: Service that root calls go to.
+        capacity: Root calls per second that the chain can serve.
+        demand: Root calls per second by workspace.
         important: Workspaces that call the critical route.
-        attempts: Attempts of a caller at one call.
+        max_attempts: Maximum attempts of a caller per call.
     """
 
     def __init__(
@@ -84,7 +84,7 @@
 
 
 class CallOutcome:
-    """One root call, as its caller saw it."""
+    """One root call, as its caller observed it."""
 
     __slots__ = (
         "attempts",
@@ -110,9 +110,9 @@
     """Runs a workload on a fleet.
 
     Args:
-        workload: What runs.
-        seed: Of what is random.
-        off: Mechanisms that are switched off.
+        workload: Services and demand.
+        seed: Seed of the arrival times and workspaces of calls.
+        disabled: Names of mechanisms to disable.
     """
 
     def __init__(self, workload: Workload, seed: int, disabled: list[str]):
@@ -125,7 +125,7 @@
         self.fleet: EmbeddedFleet | None = None
 
     async def run(self, seconds: float, disturbance: Any = None) -> None:
-        """Start the fleet, send calls, and keep what came of them."""
+        """Start the fleet, send calls for some seconds and record their outcomes."""
         settings = {name: dict(value) for name, value in SETTINGS.items()}
         with mechanisms_disabled(self._disabled, settings):
             async with EmbeddedFleet(settings) as fleet:
@@ -173,7 +173,7 @@
                 await fleet.add(ZONES[server_number % len(ZONES)], name, behaviour)
                 server_number += 1
         await fleet.wait_ready()
-        # Freshly started backend servers get fewer calls at first.
+        # Skip the slow start, in which new backend servers get fewer calls.
         for place in fleet.places:
             place.node.members.change_own(serving_since_ms=0)
         await asyncio.sleep(1.0)
@@ -217,7 +217,7 @@
         outcome.ended_at = time.monotonic()
 
     def report(self, start: float, end: float) -> dict[str, Any]:
-        """Return the measures over the calls due in a span of time."""
+        """Return the figures of the calls that were due in ``[start, end)``."""
         workload = self._workload
         offered = [o for o in self.outcomes if start <= o.sent_at < end]
         served = [o for o in offered if o.served]
@@ -294,7 +294,7 @@
 
 
 def compute_fair_shares(demand: dict[str, float], capacity: float) -> dict[str, float]:
-    """Return max-min fair shares of a capacity."""
+    """Return the max-min fair shares of a capacity by name."""
     shares: dict[str, float] = {}
     remaining = capacity
     for number, name in enumerate(sorted(demand, key=lambda key: demand[key])):
--- a/bench/withdraw.py
+++ b/bench/withdraw.py
@@ -1,4 +1,4 @@
-"""Seconds from an accepted edit to the last use of a withdrawn key."""
+"""Seconds from the accepted withdrawal of a key to its last successful use."""
 
 import argparse
 import asyncio
@@ -21,7 +21,7 @@
 
 
 async def use_key(address: str, key: str, last_use: dict[str, float]) -> None:
-    """Use a key at a node until it is refused, and note the last use."""
+    """Send calls with a key until it is refused; record the last success."""
     async with Client([address], key, timeout=2.0, attempts=1) as client:
         while True:
             try:
@@ -34,7 +34,7 @@
 
 
 async def withdraw_keys(fleet: EmbeddedFleet, keys: list[str]) -> list[float]:
-    """Withdraw keys one after another and return the seconds each took."""
+    """Withdraw keys one after another; return how many seconds each stayed usable."""
     seconds = []
     for key in keys:
         last_use: dict[str, float] = {}
@@ -53,7 +53,7 @@
 
 @benchmark("withdraw")
 async def measure_withdraw(options: argparse.Namespace) -> dict[str, Any]:
-    """Withdraw keys in a connected fleet, and with a zone off the platform."""
+    """Measure a connected fleet, one with a zone cut off, and a slow platform."""
     figures: dict[str, Any] = {}
     keys = [f"k{number}" for number in range(3 * KEYS_PER_CASE)]
     async with EmbeddedFleet(SETTINGS) as fleet:
@@ -84,5 +84,5 @@
 
 
 def summarize(seconds: list[float]) -> dict[str, float]:
-    """Return median and maximum."""
+    """Return the median and the maximum."""
     return {"median s": statistics.median(seconds), "max s": max(seconds)}
