--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -47,16 +47,16 @@
 
     __slots__ = ("demand_name", "p99_wait_ms", "served_ratio", "worst_window_ratio")
 
-    def __init__(self, demand_name: str, rate: float, play: Play):
+    def __init__(self, demand_name: str, rate: float, calls: Play):
         self.demand_name = demand_name
-        self.worst_window_ratio = play.find_worst_window() / count_allowed(rate, rate)
-        ideal = count_ideal(play.arrivals, rate, rate)
-        self.served_ratio = len(play.admitted) / max(1, ideal)
-        waits = sorted(play.waits_of_admitted)
+        self.worst_window_ratio = calls.find_worst_window() / count_allowed(rate, rate)
+        ideal = count_ideal(calls.arrivals, rate, rate)
+        self.served_ratio = len(calls.admitted) / max(1, ideal)
+        waits = sorted(calls.waits_of_admitted)
         self.p99_wait_ms = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
 
 
-def play_scenario(name: str, nodes: int, seed: int) -> list[WorkspaceResult]:
+def simulate_scenario(name: str, node_count: int, seed: int) -> list[WorkspaceResult]:
     """Simulate a scenario with one workspace for each rate and demand."""
     scenario = build_scenarios()[name]
     lead_seconds = LEAD_SECONDS if scenario.first_start else 0.0
@@ -64,29 +64,31 @@
         Cut(cut.start + lead_seconds, cut.end + lead_seconds, cut.sides)
         for cut in scenario.cuts
     ]
-    zones = [number % ZONES for number in range(nodes)]
+    zones = [number % ZONES for number in range(node_count)]
     fleet = RateFleet(zones, seed, cuts, scenario.first_start)
     for event_time, event in scenario.events:
         fleet.simulation.schedule(
             lead_seconds + event_time, lambda event=event: event(fleet)
         )
-    plays = []
+    workspace_calls = []
     for rate in RATES_PER_SECOND:
         for demand_name, demand in DEMANDS.items():
             if demand.most >= 15.0 and rate > MAX_RATE_AT_HIGHEST_DEMAND:
                 continue
             tenant = Tenant(f"{rate:g} at {demand_name}", 1, rate, rate)
-            play = add_callers(
+            calls = add_callers(
                 fleet,
                 tenant,
                 demand,
                 lead_seconds,
                 lead_seconds + CALLS_SECONDS,
-                range(nodes),
+                range(node_count),
             )
-            plays.append((demand_name, rate, play))
+            workspace_calls.append((demand_name, rate, calls))
     fleet.simulation.run(lead_seconds + CALLS_SECONDS)
-    return [WorkspaceResult(demand, rate, play) for demand, rate, play in plays]
+    return [
+        WorkspaceResult(demand, rate, calls) for demand, rate, calls in workspace_calls
+    ]
 
 
 @benchmark("fleet-rates")
@@ -96,7 +98,7 @@
     with concurrent.futures.ProcessPoolExecutor(options.jobs) as executor:
         for name in build_scenarios():
             futures = [
-                executor.submit(play_scenario, name, options.nodes, seed)
+                executor.submit(simulate_scenario, name, options.nodes, seed)
                 for seed in range(options.seed, options.seed + options.seeds)
             ]
             results = [result for future in futures for result in future.result()]
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -97,30 +97,32 @@
     demand = {name: 0.7 * capacity / 3 for name in ("one", "two", "three")}
     trial = Trial(build_chain(demand), options.seed, disabled)
     before_seconds, slow_seconds, after_seconds = 4.0, options.seconds or 10.0, 12.0
-    times: dict[str, float] = {}
+    slowdown_times: dict[str, float] = {}
 
     async def slow_down(fleet: EmbeddedFleet) -> None:
         await asyncio.sleep(before_seconds)
         deep_backends = [p.backend for p in fleet.places if p.backend.service == "deep"]
-        times["slow"] = time.monotonic()
+        slowdown_times["slow"] = time.monotonic()
         for backend in deep_backends:
             backend.behaviour.work *= 8
         await asyncio.sleep(slow_seconds)
         for backend in deep_backends:
             backend.behaviour.work /= 8
-        times["well"] = time.monotonic()
+        slowdown_times["well"] = time.monotonic()
 
     await trial.run(before_seconds + slow_seconds + after_seconds, slow_down)
     first_sent_at = min(o.sent_at for o in trial.outcomes)
-    normal_goodput = measure_goodput(trial.outcomes, first_sent_at + 1, times["slow"])
+    normal_goodput = measure_goodput(
+        trial.outcomes, first_sent_at + 1, slowdown_times["slow"]
+    )
     figures = {
         "goodput before /s": normal_goodput,
         "goodput while slow / capacity then": measure_goodput(
-            trial.outcomes, times["slow"], times["well"]
+            trial.outcomes, slowdown_times["slow"], slowdown_times["well"]
         )
         / (capacity / 8),
         "seconds to recover": find_recovery_seconds(
-            trial.outcomes, times["well"], normal_goodput
+            trial.outcomes, slowdown_times["well"], normal_goodput
         ),
     }
     return figures | trial._report_executions()
