--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, which are no tests: only ratios within one run are comparable."""
+"""Benchmarks, not tests: only ratios within one run are comparable."""
--- a/bench/choices.py
+++ b/bench/choices.py
@@ -1,4 +1,4 @@
-"""Costs of the own listener and client against a framework and a client library."""
+"""Cost of the project's listener and client against blacksheep and aiohttp."""
 
 import argparse
 import asyncio
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""What a node adds to a call: direct, by a bare relay, by one node and by two."""
+"""Cost of a call: direct, over a bare relay, over one node and over two nodes."""
 
 import argparse
 import asyncio
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -89,7 +89,7 @@
 async def run_slowdown(
     options: argparse.Namespace, disabled: list[str]
 ) -> dict[str, Any]:
-    """Slow the deepest service down by a factor of 8 at 0.7 of its capacity.
+    """Slow the deepest service down eightfold, at a demand of 0.7 of its capacity.
 
     The slowdown lasts ``options.seconds``, or 10 seconds if that is 0.
     """
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -48,7 +48,7 @@
 
 
 class Processes:
-    """Runs the platform's log here, and nodes and backend servers as processes."""
+    """Runs nodes and backend servers as processes, and their log in this one."""
 
     def __init__(self, settings: dict[str, Any] | None = None):
         self._settings = settings or {}
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,4 +1,4 @@
-"""Rate limits in a fleet: granted against allowed calls, and wrong refusals."""
+"""Rate limits in a fleet at even and skewed demand: excess grants and refusals."""
 
 import argparse
 import asyncio
