--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks: never tests, always ratios within one run."""
+"""Benchmarks, not tests: only ratios within one run are comparable."""
--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -1,4 +1,4 @@
-"""Rates of many workspaces over an emulated fleet, over scenarios and seeds."""
+"""Rate limits of many workspaces in an emulated fleet, by scenario and demand."""
 
 import argparse
 import collections
@@ -18,11 +18,11 @@
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.model import Tenant
 
-from .registry import bench
+from .registry import benchmark
 
 ZONES = 6
-SECONDS = 16.0
-RATES = (2.0, 5.0, 10.0, 30.0, 100.0, 300.0)
+CALLS_SECONDS = 16.0
+RATES_PER_SECOND = (2.0, 5.0, 10.0, 30.0, 100.0, 300.0)
 DEMANDS = {
     "0.5": Demand(0.5),
     "0.9": Demand(0.9),
@@ -31,62 +31,74 @@
     "15": Demand(15.0),
     "1.06 to 7.5": Demand(1.06, (RISE_SECONDS, 7.5)),
 }
-# Rates above this one are not played with the highest demand: it takes too long.
-HIGHEST_RATE_AT_15 = 30.0
+# Higher rates per second are not simulated at the highest demand: it takes too long.
+MAX_RATE_AT_HIGHEST_DEMAND = 30.0
 
 
-class Result:
-    """What became of one workspace in one play.
+class WorkspaceResult:
+    """Result of one workspace in one simulation.
 
     Attributes:
-        demand: Name of its demand.
-        worst: Most calls in a window, as a part of what is tolerated.
-        served: Calls let through, as a part of what one exact bucket would let through.
-        wait: Milliseconds that 99 in 100 of its admitted calls waited at most.
+        demand_name: Key in `DEMANDS`.
+        worst_window_ratio: Most admitted calls in any window / tolerated calls.
+        served_ratio: Admitted calls / calls that one exact token bucket would admit.
+        p99_wait_ms: 99th percentile of the waits of admitted calls, in milliseconds.
     """
 
-    __slots__ = ("demand", "served", "wait", "worst")
+    __slots__ = ("demand_name", "p99_wait_ms", "served_ratio", "worst_window_ratio")
 
-    def __init__(self, demand: str, rate: float, play: Play):
-        self.demand = demand
-        self.worst = play.find_worst_window() / count_allowed(rate, rate)
-        ideal = count_ideal(play.arrivals, rate, rate)
-        self.served = len(play.admitted) / max(1, ideal)
-        waits = sorted(play.waits_of_admitted)
-        self.wait = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
+    def __init__(self, demand_name: str, rate: float, calls: Play):
+        self.demand_name = demand_name
+        self.worst_window_ratio = calls.find_worst_window() / count_allowed(rate, rate)
+        ideal = count_ideal(calls.arrivals, rate, rate)
+        self.served_ratio = len(calls.admitted) / max(1, ideal)
+        waits = sorted(calls.waits_of_admitted)
+        self.p99_wait_ms = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
 
 
-def play_scenario(name: str, nodes: int, seed: int) -> list[Result]:
-    """Play all workspaces of one fleet at the same time."""
+def simulate_scenario(name: str, node_count: int, seed: int) -> list[WorkspaceResult]:
+    """Simulate a scenario with one workspace for each rate and demand."""
     scenario = build_scenarios()[name]
-    lead = LEAD_SECONDS if scenario.first_start else 0.0
-    cuts = [Cut(cut.start + lead, cut.end + lead, cut.sides) for cut in scenario.cuts]
-    zones = [number % ZONES for number in range(nodes)]
+    lead_seconds = LEAD_SECONDS if scenario.first_start else 0.0
+    cuts = [
+        Cut(cut.start + lead_seconds, cut.end + lead_seconds, cut.sides)
+        for cut in scenario.cuts
+    ]
+    zones = [number % ZONES for number in range(node_count)]
     fleet = RateFleet(zones, seed, cuts, scenario.first_start)
-    for at, event in scenario.events:
-        fleet.simulation.schedule(lead + at, lambda event=event: event(fleet))
-    plays = []
-    for rate in RATES:
+    for event_time, event in scenario.events:
+        fleet.simulation.schedule(
+            lead_seconds + event_time, lambda event=event: event(fleet)
+        )
+    workspace_calls = []
+    for rate in RATES_PER_SECOND:
         for demand_name, demand in DEMANDS.items():
-            if demand.most >= 15.0 and rate > HIGHEST_RATE_AT_15:
+            if demand.most >= 15.0 and rate > MAX_RATE_AT_HIGHEST_DEMAND:
                 continue
             tenant = Tenant(f"{rate:g} at {demand_name}", 1, rate, rate)
-            play = add_callers(
-                fleet, tenant, demand, lead, lead + SECONDS, range(nodes)
+            calls = add_callers(
+                fleet,
+                tenant,
+                demand,
+                lead_seconds,
+                lead_seconds + CALLS_SECONDS,
+                range(node_count),
             )
-            plays.append((demand_name, rate, play))
-    fleet.simulation.run(lead + SECONDS)
-    return [Result(demand, rate, play) for demand, rate, play in plays]
+            workspace_calls.append((demand_name, rate, calls))
+    fleet.simulation.run(lead_seconds + CALLS_SECONDS)
+    return [
+        WorkspaceResult(demand, rate, calls) for demand, rate, calls in workspace_calls
+    ]
 
 
-@bench("fleet-rates")
+@benchmark("fleet-rates")
 async def measure_fleet_rates(options: argparse.Namespace) -> dict[str, Any]:
-    """Return, by scenario and demand, the worst window and what is served."""
+    """Return the worst window and the served ratio, by scenario and demand."""
     figures: dict[str, Any] = {}
     with concurrent.futures.ProcessPoolExecutor(options.jobs) as executor:
         for name in build_scenarios():
             futures = [
-                executor.submit(play_scenario, name, options.nodes, seed)
+                executor.submit(simulate_scenario, name, options.nodes, seed)
                 for seed in range(options.seed, options.seed + options.seeds)
             ]
             results = [result for future in futures for result in future.result()]
@@ -94,18 +106,19 @@
     return figures
 
 
-def summarize(results: list[Result]) -> dict[str, Any]:
-    """Return the figures of one scenario, by demand."""
-    by_demand: dict[str, list[Result]] = collections.defaultdict(list)
+def summarize(results: list[WorkspaceResult]) -> dict[str, Any]:
+    """Return the figures of one scenario by demand."""
+    by_demand: dict[str, list[WorkspaceResult]] = collections.defaultdict(list)
     for result in results:
-        by_demand[result.demand].append(result)
+        by_demand[result.demand_name].append(result)
     return {
         f"demand {demand}": {
             "plays": len(group),
-            "worst window": max(result.worst for result in group),
-            "windows over": sum(result.worst > 1.0 for result in group),
-            "served, mean": sum(result.served for result in group) / len(group),
-            "wait ms, mean p99": sum(result.wait for result in group) / len(group),
+            "worst window": max(result.worst_window_ratio for result in group),
+            "windows over": sum(result.worst_window_ratio > 1.0 for result in group),
+            "served, mean": sum(result.served_ratio for result in group) / len(group),
+            "wait ms, mean p99": sum(result.p99_wait_ms for result in group)
+            / len(group),
         }
         for demand, group in by_demand.items()
     }
--- a/bench/registry.py
+++ b/bench/registry.py
@@ -1,24 +1,24 @@
-"""Benchmarks by name."""
+"""Registry of the benchmarks by name."""
 
 import argparse
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-Bench = Callable[[argparse.Namespace], Awaitable[dict[str, Any]]]
+Benchmark = Callable[[argparse.Namespace], Awaitable[dict[str, Any]]]
 
-_benches: dict[str, Bench] = {}
+_benchmarks: dict[str, Benchmark] = {}
 
 
-def bench(name: str) -> Callable[[Bench], Bench]:
-    """Register a benchmark."""
+def benchmark(name: str) -> Callable[[Benchmark], Benchmark]:
+    """Register a function as the benchmark of this name."""
 
-    def register(function: Bench) -> Bench:
-        _benches[name] = function
+    def register(function: Benchmark) -> Benchmark:
+        _benchmarks[name] = function
         return function
 
     return register
 
 
-def get_benches() -> dict[str, Bench]:
-    """Return every registered benchmark by name."""
-    return _benches
+def get_benchmarks() -> dict[str, Benchmark]:
+    """Return all registered benchmarks by name."""
+    return _benchmarks
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or cuts connections one way."""
+"""A TCP proxy that injects faults: delay, reset, silence and one-way loss."""
 
 import asyncio
 import contextlib
@@ -9,102 +9,109 @@
 from primroseglade.addresses import join_address, parse_address
 
 CHUNK_BYTES = 64 * 1024
-# Closing with this option resets the connection (SO_LINGER, on, 0 seconds).
-RESET = struct.pack("ii", 1, 0)
+# SO_LINGER on with 0 seconds: closing the socket resets the connection.
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Fault(enum.Enum):
-    """What the proxy does to connections."""
+class LinkFault(enum.Enum):
+    """A fault that the proxy injects into connections."""
 
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    # Open connections carry nothing any more, new ones work.
+    # Connections that are open now stay open but carry no more data; new ones work.
     SILENCE = "silence"
-    # Nothing comes back, what is sent arrives.
+    # Data reaches the target; data from the target is dropped.
     ONE_WAY = "one way"
 
 
-class Proxy:
-    """Forwards TCP to a target.
+class FaultProxy:
+    """Forwards TCP connections to a target and injects faults.
 
     Args:
-        listen: ``IP:PORT``.
-        target: ``IP:PORT``.
+        listen: ``IP:PORT`` to listen on.
+        target: ``IP:PORT`` to connect to.
     """
 
     def __init__(self, listen: str, target: str):
         self.listen = listen
         self._target = parse_address(target)
-        self._fault = Fault.NONE
-        self._open: set[asyncio.StreamWriter] = set()
-        self._silent: set[asyncio.StreamWriter] = set()
+        self._fault = LinkFault.NONE
+        self._client_writers: set[asyncio.StreamWriter] = set()
+        self._silenced_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         await asyncio.start_server(self._accept, *parse_address(self.listen))
 
-    def set_fault(self, fault: Fault) -> None:
-        """Do this to connections from now on."""
+    def set_fault(self, fault: LinkFault) -> None:
+        """Inject this fault from now on, instead of the previous one."""
         self._fault = fault
-        if fault is Fault.SILENCE:
-            self._silent |= self._open
-        if fault is Fault.RESET:
-            for writer in list(self._open):
+        if fault is LinkFault.SILENCE:
+            self._silenced_writers |= self._client_writers
+        if fault is LinkFault.RESET:
+            for writer in list(self._client_writers):
                 _reset(writer)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if self._fault is Fault.RESET:
+        if self._fault is LinkFault.RESET:
             _reset(writer)
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
-            # Nothing listens there: the caller sees the same as without a proxy.
+            # Nothing listens at the target: reset, as without the proxy.
             _reset(writer)
             return
-        self._open.add(writer)
-        there = asyncio.create_task(self._pump(reader, far_writer, writer, False))
-        back = asyncio.create_task(self._pump(far_reader, writer, writer, True))
-        # Cancelled when the soak ends: asyncio would print each as an error.
+        self._client_writers.add(writer)
+        to_target = asyncio.create_task(
+            self._forward(reader, target_writer, writer, False)
+        )
+        from_target = asyncio.create_task(
+            self._forward(target_reader, writer, writer, True)
+        )
+        # Cancelled at the end of the run; asyncio would log each cancellation as an
+        # error.
         with contextlib.suppress(asyncio.CancelledError):
-            await asyncio.wait({there, back}, return_when=asyncio.FIRST_COMPLETED)
-        there.cancel()
-        back.cancel()
-        self._open.discard(writer)
-        self._silent.discard(writer)
+            await asyncio.wait(
+                {to_target, from_target}, return_when=asyncio.FIRST_COMPLETED
+            )
+        to_target.cancel()
+        from_target.cancel()
+        self._client_writers.discard(writer)
+        self._silenced_writers.discard(writer)
         writer.close()
-        far_writer.close()
+        target_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        connection: asyncio.StreamWriter,
-        back: bool,
+        client_writer: asyncio.StreamWriter,
+        from_target: bool,
     ) -> None:
         try:
             while data := await reader.read(CHUNK_BYTES):
-                if self._fault is Fault.DELAY:
+                if self._fault is LinkFault.DELAY:
                     await asyncio.sleep(0.2)
-                lost = back and self._fault is Fault.ONE_WAY
-                if lost or connection in self._silent:
+                is_dropped = from_target and self._fault is LinkFault.ONE_WAY
+                if is_dropped or client_writer in self._silenced_writers:
                     continue
                 writer.write(data)
                 await writer.drain()
         except OSError:
-            # The other end is gone; both directions end.
+            # One end is gone: on return `_accept` closes both connections.
             return
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
     sock = writer.get_extra_info("socket")
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.transport.abort()
 
 
-def build_proxy(host: str, port: int, target: str) -> Proxy:
-    """Return a proxy that is not started."""
-    return Proxy(join_address(host, port), target)
+def build_fault_proxy(host: str, port: int, target: str) -> FaultProxy:
+    """Return a proxy on a host and port, not yet started."""
+    return FaultProxy(join_address(host, port), target)
