--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -11,12 +11,12 @@
 from .concurrency import ConcurrencyLimit
 from .importance import Importance
 
-SHORTEST_RETRY_SECONDS = 0.1
-LONGEST_RETRY_SECONDS = 5.0
+MIN_RETRY_AFTER_SECONDS = 0.1
+MAX_RETRY_AFTER_SECONDS = 5.0
 # A call may wait for so many calls to be served before it.
-TURNS_WAITED = 1.5
+MAX_WAIT_LATENCY_RATIO = 1.5
 # Calls differ: one that has less than this share of the usual time left is given up.
-DOOMED_SHARE = 0.9
+MIN_REMAINING_LATENCY_RATIO = 0.9
 
 Refuse = Callable[[Context], Refusal | None]
 
@@ -24,18 +24,20 @@
 class Waiter:
     """A call that waits, and the future that lets it go."""
 
-    __slots__ = ("arrived", "context", "priority", "turn")
+    __slots__ = ("arrived_at", "context", "shed_order", "slot")
 
-    def __init__(self, context: Context, turn: "asyncio.Future[None]", arrived: float):
+    def __init__(
+        self, context: Context, slot: "asyncio.Future[None]", arrived_at: float
+    ):
         self.context = context
-        self.turn = turn
-        self.arrived = arrived
-        self.priority = hash_root(context.root)
+        self.slot = slot
+        self.arrived_at = arrived_at
+        self.shed_order = hash_root(context.root)
 
     @property
-    def waiting(self) -> bool:
+    def is_waiting(self) -> bool:
         """Whether it was neither let go nor refused."""
-        return not self.turn.done()
+        return not self.slot.done()
 
 
 def hash_root(root: str) -> int:
@@ -62,10 +64,10 @@
         longest_wait: Seconds after which a waiting call is refused.
     """
 
-    def __init__(self, limit: ConcurrencyLimit, capacity: int, longest_wait: float):
+    def __init__(self, limit: ConcurrencyLimit, capacity: int, max_wait_seconds: float):
         self._limit = limit
         self._capacity = capacity
-        self._longest_wait = longest_wait
+        self._max_wait_seconds = max_wait_seconds
         self._in_flight = 0
         self._size = 0
         self._standing_since: float | None = None
@@ -91,7 +93,7 @@
     def replace_limit(self, limit: ConcurrencyLimit) -> None:
         """Go on with another limit, for another backend server."""
         self._limit = limit
-        self._let_go()
+        self._admit_waiters()
 
     async def acquire(self, context: Context) -> float:
         """Wait for a turn.
@@ -108,46 +110,46 @@
             self._in_flight += 1
             return 0.0
         if self._size >= self._capacity:
-            self._make_room(context)
+            self._shed_one(context)
         return await self._wait(context)
 
     def release(self) -> None:
         """Give a turn back."""
         self._in_flight -= 1
-        self._let_go()
+        self._admit_waiters()
 
     def refuse_where(self, refuse: Refuse) -> None:
         """Refuse waiting calls at once, by what ``refuse`` returns for each."""
-        for waiter in list(self._iterate()):
+        for waiter in list(self._iterate_waiters()):
             refusal = refuse(waiter.context)
-            if refusal is not None and waiter.waiting:
+            if refusal is not None and waiter.is_waiting:
                 self._remove(waiter)
-                waiter.turn.set_exception(refusal)
+                waiter.slot.set_exception(refusal)
 
     def estimate_retry_after(self) -> float:
         """Return seconds after which a turn may be free, spread over callers."""
-        per_call = self._limit.latency / self._limit.value
-        drain = self._size * per_call
-        base = min(LONGEST_RETRY_SECONDS, max(SHORTEST_RETRY_SECONDS, drain))
+        seconds_per_call = self._limit.latency / self._limit.value
+        drain_seconds = self._size * seconds_per_call
+        base = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, drain_seconds))
         return base * random.uniform(1.0, 2.0)
 
     async def _wait(self, context: Context) -> float:
         loop = asyncio.get_running_loop()
         now = time.monotonic()
-        patience = self._get_patience(context)
+        max_wait = self._get_max_wait(context)
         waiter = Waiter(context, loop.create_future(), now)
         self._add(waiter)
-        timer = loop.call_later(patience, self._give_up, waiter)
+        timer = loop.call_later(max_wait, self._expire, waiter)
         try:
-            await waiter.turn
+            await waiter.slot
         except asyncio.CancelledError:
-            self._leave(waiter)
+            self._handle_cancellation(waiter)
             raise
         finally:
             timer.cancel()
         return time.monotonic() - now
 
-    def _get_patience(self, context: Context) -> float:
+    def _get_max_wait(self, context: Context) -> float:
         """Return how long a call may wait.
 
         Most are better told at once to come back than kept. Two kinds wait as long as
@@ -160,21 +162,21 @@
         if alone or context.importance is Importance.CRITICAL:
             return max(0.0, context.remaining - self._limit.latency)
         # A queue of which no call lives to see its turn would be of no use.
-        usual = TURNS_WAITED * self._limit.latency
-        return min(max(self._longest_wait, usual), context.remaining)
+        min_wait = MAX_WAIT_LATENCY_RATIO * self._limit.latency
+        return min(max(self._max_wait_seconds, min_wait), context.remaining)
 
-    def _leave(self, waiter: Waiter) -> None:
+    def _handle_cancellation(self, waiter: Waiter) -> None:
         """Take out a call whose caller went away, or give its turn to the next."""
-        if waiter.turn.done() and not waiter.turn.cancelled():
-            if waiter.turn.exception() is None:
+        if waiter.slot.done() and not waiter.slot.cancelled():
+            if waiter.slot.exception() is None:
                 self.release()
         else:
             self._remove(waiter)
 
-    def _give_up(self, waiter: Waiter) -> None:
-        if waiter.waiting:
+    def _expire(self, waiter: Waiter) -> None:
+        if waiter.is_waiting:
             self._remove(waiter)
-            waiter.turn.set_exception(self._build_refusal(waiter.context))
+            waiter.slot.set_exception(self._build_refusal(waiter.context))
 
     def _build_refusal(self, context: Context) -> Refusal:
         if context.remaining <= 0:
@@ -184,36 +186,36 @@
         detail = f"{self._in_flight} calls at work, {self._size} waiting"
         return not_run(Reason.OVERLOADED, detail, self.estimate_retry_after())
 
-    def _make_room(self, context: Context) -> None:
+    def _shed_one(self, context: Context) -> None:
         """Refuse the waiting call that matters least, or the new one if that is it."""
-        worst = self._find_worst(context)
-        if worst is None:
+        victim = self._find_victim(context)
+        if victim is None:
             raise self._build_refusal(context)
-        self._remove(worst)
-        worst.turn.set_exception(self._build_refusal(worst.context))
+        self._remove(victim)
+        victim.slot.set_exception(self._build_refusal(victim.context))
 
-    def _find_worst(self, context: Context) -> Waiter | None:
+    def _find_victim(self, context: Context) -> Waiter | None:
         for level in Importance:
             if level > context.importance:
                 return None
             queues = self._classes[level]
             if not queues:
                 continue
-            longest = max(queues, key=lambda name: len(queues[name]))
-            worst = max(queues[longest], key=lambda waiter: waiter.priority)
+            largest = max(queues, key=lambda name: len(queues[name]))
+            victim = max(queues[largest], key=lambda waiter: waiter.shed_order)
             if level < context.importance:
-                return worst
-            mine = len(queues.get(context.workspace, ())) + 1
-            if longest != context.workspace and len(queues[longest]) > mine:
-                return worst
-            if worst.priority > hash_root(context.root):
-                return worst
+                return victim
+            own_calls = len(queues.get(context.workspace, ())) + 1
+            if largest != context.workspace and len(queues[largest]) > own_calls:
+                return victim
+            if victim.shed_order > hash_root(context.root):
+                return victim
             return None
         return None
 
     def _add(self, waiter: Waiter) -> None:
         if not self._size:
-            self._standing_since = waiter.arrived
+            self._standing_since = waiter.arrived_at
         queues = self._classes[waiter.context.importance]
         queue = queues.setdefault(waiter.context.workspace, collections.deque())
         queue.append(waiter)
@@ -231,14 +233,14 @@
         if not self._size:
             self._standing_since = None
 
-    def _let_go(self) -> None:
+    def _admit_waiters(self) -> None:
         while self._size and self._in_flight < self._limit.value:
-            waiter = self._take_next()
+            waiter = self._pop_next()
             if self._is_doomed(waiter.context):
-                waiter.turn.set_exception(self._build_refusal(waiter.context))
+                waiter.slot.set_exception(self._build_refusal(waiter.context))
                 continue
             self._in_flight += 1
-            waiter.turn.set_result(None)
+            waiter.slot.set_result(None)
 
     def _is_doomed(self, context: Context) -> bool:
         """Whether the deadline will pass before a call as usual is done.
@@ -247,28 +249,32 @@
         free slots any call is let try, or a service that has become fast again
         would never be seen to be.
         """
-        needed = DOOMED_SHARE * self._limit.latency if self._size else 0.0
+        needed = (
+            MIN_REMAINING_LATENCY_RATIO * self._limit.latency if self._size else 0.0
+        )
         return context.remaining <= needed
 
-    def _take_next(self) -> Waiter:
+    def _pop_next(self) -> Waiter:
         queues = next(
             self._classes[level]
             for level in reversed(Importance)
             if self._classes[level]
         )
         workspace, queue = next(iter(queues.items()))
-        waiter = min(queue, key=lambda w: w.priority) if self._stands() else queue[0]
+        waiter = (
+            min(queue, key=lambda w: w.shed_order) if self._is_standing() else queue[0]
+        )
         self._remove(waiter)
         if workspace in queues:
             queues.move_to_end(workspace)
         return waiter
 
-    def _stands(self) -> bool:
+    def _is_standing(self) -> bool:
         """Whether the queue has not been empty for as long as a call waits."""
         since = self._standing_since
-        return since is not None and time.monotonic() - since > self._longest_wait
+        return since is not None and time.monotonic() - since > self._max_wait_seconds
 
-    def _iterate(self) -> Iterator[Waiter]:
+    def _iterate_waiters(self) -> Iterator[Waiter]:
         for queues in self._classes.values():
             for queue in queues.values():
                 yield from queue
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -1,18 +1,18 @@
 """How many calls a backend server gets at once."""
 
 # A shed means that the limit is too high; a tenth less, as in TCP's gentler variants.
-DECREASE = 0.9
+DECREASE_FACTOR = 0.9
 # Of one overload many calls return at once; it lowers the limit once in this time.
-DECREASE_PAUSE_SECONDS = 0.1
-FLOOR = 1.0
+MIN_DECREASE_INTERVAL_SECONDS = 0.1
+MIN_LIMIT = 1.0
 # Where no slots are announced: latency this many times the best known says that
 # calls wait inside the backend server.
-LATENCY_TOLERANCE = 2.0
+MAX_LATENCY_RATIO = 2.0
 # The best known latency is measured anew after so many calls, at half the limit: a
 # lasting change has to become normal, but not the calls' own waiting at the limit.
-CALLS_A_BASELINE = 1000
-MEASURED_SHARE = 0.5
-SMOOTHING = 0.1
+CALLS_PER_BASELINE = 1000
+BASELINE_LIMIT_RATIO = 0.5
+LATENCY_SMOOTHING_FACTOR = 0.1
 
 
 class ConcurrencyLimit:
@@ -24,14 +24,14 @@
             is an upper bound only: what the backend server does weighs more.
     """
 
-    def __init__(self, start: float, ceiling: int | None = None):
-        self._ceiling = ceiling
-        self._limit = float(ceiling or start)
+    def __init__(self, initial: float, max_limit: int | None = None):
+        self._max_limit = max_limit
+        self._limit = float(max_limit or initial)
         self._baseline = 0.0
         self._latency = 0.0
-        self._until_measured = CALLS_A_BASELINE
-        self._measured_calls = 0
-        self._lowest = float("inf")
+        self._calls_until_baseline = CALLS_PER_BASELINE
+        self._baseline_calls_left = 0
+        self._lowest_latency = float("inf")
         self._decreased_at = -float("inf")
 
     @property
@@ -54,16 +54,16 @@
         """
         if not self._latency:
             self._latency = self._baseline = seconds
-        self._latency += SMOOTHING * (seconds - self._latency)
-        used_up = in_flight >= self._limit - 1
-        if self._ceiling is not None:
-            if used_up:
+        self._latency += LATENCY_SMOOTHING_FACTOR * (seconds - self._latency)
+        is_used_up = in_flight >= self._limit - 1
+        if self._max_limit is not None:
+            if is_used_up:
                 self._increase()
             return
-        self._measure(seconds)
-        if self._measured_calls or not used_up:
+        self._update_baseline(seconds)
+        if self._baseline_calls_left or not is_used_up:
             return
-        if self._latency > LATENCY_TOLERANCE * self._baseline:
+        if self._latency > MAX_LATENCY_RATIO * self._baseline:
             self._decrease(now)
         else:
             self._increase()
@@ -72,30 +72,30 @@
         """Learn from a call that the backend server refused."""
         self._decrease(now)
 
-    def _measure(self, seconds: float) -> None:
+    def _update_baseline(self, seconds: float) -> None:
         """Lower the limit now and then and take the shortest call for the baseline."""
-        if self._measured_calls:
-            self._lowest = min(self._lowest, seconds)
-            self._measured_calls -= 1
-            if not self._measured_calls:
-                self._baseline = self._lowest
+        if self._baseline_calls_left:
+            self._lowest_latency = min(self._lowest_latency, seconds)
+            self._baseline_calls_left -= 1
+            if not self._baseline_calls_left:
+                self._baseline = self._lowest_latency
             return
         self._baseline = min(self._baseline, self._latency)
-        self._until_measured -= 1
-        if self._until_measured <= 0:
-            self._until_measured = CALLS_A_BASELINE
-            self._limit = max(FLOOR, self._limit * MEASURED_SHARE)
+        self._calls_until_baseline -= 1
+        if self._calls_until_baseline <= 0:
+            self._calls_until_baseline = CALLS_PER_BASELINE
+            self._limit = max(MIN_LIMIT, self._limit * BASELINE_LIMIT_RATIO)
             # Calls that began before are still among the first of these.
-            self._measured_calls = 4 * self.value
-            self._lowest = float("inf")
+            self._baseline_calls_left = 4 * self.value
+            self._lowest_latency = float("inf")
 
     def _increase(self) -> None:
         self._limit += 1 / self._limit
-        if self._ceiling is not None:
-            self._limit = min(self._limit, float(self._ceiling))
+        if self._max_limit is not None:
+            self._limit = min(self._limit, float(self._max_limit))
 
     def _decrease(self, now: float) -> None:
-        if now - self._decreased_at < DECREASE_PAUSE_SECONDS:
+        if now - self._decreased_at < MIN_DECREASE_INTERVAL_SECONDS:
             return
         self._decreased_at = now
-        self._limit = max(FLOOR, self._limit * DECREASE)
+        self._limit = max(MIN_LIMIT, self._limit * DECREASE_FACTOR)
--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -19,15 +19,15 @@
 from .importance import Importance
 
 # Calls are let go up to this multiple of those that were accepted.
-MULTIPLE = 2.0
+ACCEPTED_CALLS_MULTIPLE = 2.0
 WINDOW_SECONDS = 0.5
 # Beyond that, so many a window: a workspace none of whose calls was accepted for a
 # while would otherwise never be let go again.
-PROBES = 1.0
+PROBES_PER_WINDOW = 1.0
 # Under this many calls in the window chance would decide.
-FEWEST_CALLS = 5.0
-HASHES = 1 << 32
-KEPT = 4096
+MIN_CALLS = 5.0
+HASH_COUNT = 1 << 32
+MAX_WINDOWS = 4096
 
 Key = tuple[str, str, Importance]
 
@@ -35,24 +35,26 @@
 class Window:
     """Calls asked for and accepted lately, forgetting exponentially."""
 
-    __slots__ = ("accepted", "asked", "at")
+    __slots__ = ("accepted", "requested", "updated_at")
 
     def __init__(self, now: float):
-        self.asked = 0.0
+        self.requested = 0.0
         self.accepted = 0.0
-        self.at = now
+        self.updated_at = now
 
     @property
-    def share(self) -> float:
+    def admitted_fraction(self) -> float:
         """The share of calls to let go."""
-        return (MULTIPLE * self.accepted + PROBES) / self.asked
+        return (
+            ACCEPTED_CALLS_MULTIPLE * self.accepted + PROBES_PER_WINDOW
+        ) / self.requested
 
-    def forget(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let what lies back count less."""
-        factor = math.exp((self.at - now) / WINDOW_SECONDS)
-        self.asked *= factor
+        factor = math.exp((self.updated_at - now) / WINDOW_SECONDS)
+        self.requested *= factor
         self.accepted *= factor
-        self.at = now
+        self.updated_at = now
 
 
 class Throttle:
@@ -73,44 +75,50 @@
         shed ones, and a service that is slow but sheds nothing would be throttled.
         """
         window = self._get_window(service, context)
-        if window.asked < FEWEST_CALLS or hash_root(context.root) < self._bound(window):
+        if window.requested < MIN_CALLS or hash_root(
+            context.root
+        ) < self._get_hash_bound(window):
             return True
-        window.asked += 1
+        window.requested += 1
         return False
 
     def note_accepted(self, service: str, context: Context) -> None:
         """Note that a call was not shed, whatever else became of it."""
         window = self._get_window(service, context)
-        window.asked += 1
+        window.requested += 1
         window.accepted += 1
 
     def note_shed(self, service: str, context: Context) -> None:
         """Note that a call was shed, here or further on."""
-        self._get_window(service, context).asked += 1
+        self._get_window(service, context).requested += 1
 
-    def get_share(self, service: str, workspace: str, importance: Importance) -> float:
+    def get_admitted_fraction(
+        self, service: str, workspace: str, importance: Importance
+    ) -> float:
         """Return the share of calls that would be let go now."""
         window = self._windows.get((service, workspace, importance))
         if window is None:
             return 1.0
-        window.forget(self._clock())
-        if window.asked < FEWEST_CALLS:
+        window.decay(self._clock())
+        if window.requested < MIN_CALLS:
             return 1.0
-        return min(1.0, window.share)
+        return min(1.0, window.admitted_fraction)
 
     def describe(self) -> dict[str, float]:
         """Return the shares under one, for the operator address."""
-        shares = {}
+        fractions = {}
         for service, workspace, importance in list(self._windows):
-            share = self.get_share(service, workspace, importance)
-            if share < 1:
+            admitted_fraction = self.get_admitted_fraction(
+                service, workspace, importance
+            )
+            if admitted_fraction < 1:
                 name = f"{service} {workspace} {importance.name.lower()}"
-                shares[name] = round(share, 3)
-        return shares
+                fractions[name] = round(admitted_fraction, 3)
+        return fractions
 
-    def _bound(self, window: Window) -> float:
+    def _get_hash_bound(self, window: Window) -> float:
         """Return the hash under which calls go on."""
-        return window.share * HASHES
+        return window.admitted_fraction * HASH_COUNT
 
     def _get_window(self, service: str, context: Context) -> Window:
         key = (service, context.workspace, context.importance)
@@ -118,7 +126,7 @@
         window = self._windows.get(key)
         if window is None:
             window = self._windows[key] = Window(now)
-            if len(self._windows) > KEPT:
+            if len(self._windows) > MAX_WINDOWS:
                 self._windows.popitem(last=False)
-        window.forget(now)
+        window.decay(now)
         return window
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -103,9 +103,9 @@
 async def test_standing_queue_favours_the_calls_that_other_hops_favour():
     """Each hop of a chain sheds some calls; shed by chance, few get through all."""
     queue = build_queue(wait=0.0)
-    queue._longest_wait = 0.0
+    queue._max_wait_seconds = 0.0
     contexts = [make_context(root=root) for root in (50, 10, 40, 20)]
-    queue._get_patience = lambda _: 30.0
+    queue._get_max_wait = lambda _: 30.0
     tasks = await line_up(queue, contexts)
     await asyncio.sleep(0.01)
     assert await serve_all(queue, tasks) == [1, 3, 2, 0]
@@ -152,7 +152,7 @@
 
 
 def test_limit_falls_on_sheds_and_never_grows_over_what_was_announced():
-    limit = ConcurrencyLimit(20, ceiling=10)
+    limit = ConcurrencyLimit(20, max_limit=10)
     for moment in range(100):
         limit.note_served(0.01, in_flight=limit.value, now=float(moment))
     assert limit.value == 10
@@ -191,7 +191,7 @@
         context = make_context(root=step * 2654435761 % 2**32)
         if throttle.admits("s", context):
             throttle.note_accepted("s", context)
-    assert throttle.get_share("s", "north", Importance.NORMAL) == 1.0
+    assert throttle.get_admitted_fraction("s", "north", Importance.NORMAL) == 1.0
 
 
 def test_calls_that_take_long_are_not_taken_for_shed():
