--- a/primroseglade/limits/__init__.py
+++ b/primroseglade/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Admission beside a backend server: importance, queue and concurrency limit."""
+"""Overload control around a backend server: importance, queue, limit and throttle."""
--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -1,4 +1,4 @@
-"""The admission queue in front of a backend server."""
+"""Queue that admits calls to a backend server."""
 
 import asyncio
 import collections
@@ -13,16 +13,18 @@
 
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 5.0
-# A call may wait for so many calls to be served before it.
+# The maximum wait is at least this multiple of the latency: a shorter one would expire
+# every call before a slot becomes free.
 MAX_WAIT_LATENCY_RATIO = 1.5
-# Calls differ: one that has less than this share of the usual time left is given up.
+# Calls with less than this fraction of the latency left cannot meet their deadline.
+# Below 1, since some calls are faster than the smoothed latency.
 MIN_REMAINING_LATENCY_RATIO = 0.9
 
 Refuse = Callable[[Context], Refusal | None]
 
 
 class Waiter:
-    """A call that waits, and the future that lets it go."""
+    """A queued call, and the future that completes when it gets a slot."""
 
     __slots__ = ("arrived_at", "context", "shed_order", "slot")
 
@@ -36,32 +38,32 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether it was neither let go nor refused."""
+        """Whether the call has neither been admitted nor refused."""
         return not self.slot.done()
 
 
 def hash_root(root: str) -> int:
-    """Return a root call's place in the order in which calls are shed.
+    """Return a root call's position in the shedding order.
 
-    Every hop sheds the calls with the highest value first. With an order of its own
-    at each hop, a call of five hops that each shed one in five would be served one
-    time in three, and the other two would have used slots for nothing.
+    Every hop sheds the calls with the highest value first. If each hop had an order of
+    its own, a call over five hops that each shed one in five would be served one time
+    in three, and the other two would have used slots for nothing.
     """
     return int(root[-8:], 16)
 
 
 class AdmissionQueue:
-    """Lets calls through up to the limit; more wait a short time or are refused.
+    """Admits calls up to the concurrency limit; others are queued briefly or refused.
 
-    Higher classes go first. Inside a class workspaces take turns, so that one with
-    many calls cannot push out one with few. Inside a workspace the oldest call goes
-    first while the queue empties now and then; once it stands, the call that the
-    other hops favour too.
+    Higher importance classes go first. Within a class, workspaces are served round
+    robin, so that one with many calls cannot starve one with few. Within a workspace
+    the oldest call goes first as long as the queue drains from time to time. In a
+    standing queue the call that the other hops would shed last goes first.
 
     Args:
-        limit: How many calls go at once.
-        capacity: How many may wait.
-        longest_wait: Seconds after which a waiting call is refused.
+        limit: Limits the calls in flight.
+        capacity: Maximum number of queued calls.
+        max_wait_seconds: Time in the queue after which a call is refused.
     """
 
     def __init__(self, limit: ConcurrencyLimit, capacity: int, max_wait_seconds: float):
@@ -77,32 +79,32 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls that were let through and are not done."""
+        """Number of admitted calls that have not completed."""
         return self._in_flight
 
     @property
     def size(self) -> int:
-        """Calls that wait."""
+        """Number of queued calls."""
         return self._size
 
     @property
     def limit(self) -> ConcurrencyLimit:
-        """The limit."""
+        """The concurrency limit."""
         return self._limit
 
     def replace_limit(self, limit: ConcurrencyLimit) -> None:
-        """Go on with another limit, for another backend server."""
+        """Use another limit, as for another backend server."""
         self._limit = limit
         self._admit_waiters()
 
     async def acquire(self, context: Context) -> float:
-        """Wait for a turn.
+        """Wait for a slot.
 
         Returns:
-            Seconds waited.
+            Seconds in the queue.
 
         Raises:
-            Refusal: ``not run``: overloaded, or nobody waits for the call any more.
+            Refusal: ``not run``: overloaded, or the deadline cannot be met.
         """
         if context.remaining <= 0:
             raise not_run(Reason.DEADLINE_EXCEEDED, "the deadline had passed")
@@ -114,12 +116,12 @@
         return await self._wait(context)
 
     def release(self) -> None:
-        """Give a turn back."""
+        """Release a slot."""
         self._in_flight -= 1
         self._admit_waiters()
 
     def refuse_where(self, refuse: Refuse) -> None:
-        """Refuse waiting calls at once, by what ``refuse`` returns for each."""
+        """Refuse the queued calls for which ``refuse`` returns a refusal."""
         for waiter in list(self._iterate_waiters()):
             refusal = refuse(waiter.context)
             if refusal is not None and waiter.is_waiting:
@@ -127,7 +129,7 @@
                 waiter.slot.set_exception(refusal)
 
     def estimate_retry_after(self) -> float:
-        """Return seconds after which a turn may be free, spread over callers."""
+        """Return seconds until a slot may be free, with jitter to spread callers."""
         seconds_per_call = self._limit.latency / self._limit.value
         drain_seconds = self._size * seconds_per_call
         base = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, drain_seconds))
@@ -150,23 +152,22 @@
         return time.monotonic() - now
 
     def _get_max_wait(self, context: Context) -> float:
-        """Return how long a call may wait.
+        """Return the maximum wait of a call in seconds.
 
-        Most are better told at once to come back than kept. Two kinds wait as long as
-        they can still be answered in time. Before the critical class stand only the
-        few of its own kind. And a workspace's only waiting call is the next to go when
-        its turn comes round: refused by the clock, a workspace with few calls would
-        lose them to the turns of those with many.
+        Most callers do better with an early refusal and a retry. Two kinds of calls
+        wait as long as they can still meet their deadline. Critical calls are few and
+        queue only behind each other. A workspace's only queued call goes next when the
+        round robin reaches the workspace; with a shorter wait, a workspace with few
+        calls would lose them while those with many are served.
         """
         alone = context.workspace not in self._classes[context.importance]
         if alone or context.importance is Importance.CRITICAL:
             return max(0.0, context.remaining - self._limit.latency)
-        # A queue of which no call lives to see its turn would be of no use.
         min_wait = MAX_WAIT_LATENCY_RATIO * self._limit.latency
         return min(max(self._max_wait_seconds, min_wait), context.remaining)
 
     def _handle_cancellation(self, waiter: Waiter) -> None:
-        """Take out a call whose caller went away, or give its turn to the next."""
+        """Remove a call whose caller disconnected, or pass on its slot."""
         if waiter.slot.done() and not waiter.slot.cancelled():
             if waiter.slot.exception() is None:
                 self.release()
@@ -183,11 +184,11 @@
             return not_run(Reason.DEADLINE_EXCEEDED, "the deadline passed in the queue")
         if self._is_doomed(context):
             return not_run(Reason.DEADLINE_EXCEEDED, "too little time was left")
-        detail = f"{self._in_flight} calls at work, {self._size} waiting"
+        detail = f"{self._in_flight} calls in flight, {self._size} queued"
         return not_run(Reason.OVERLOADED, detail, self.estimate_retry_after())
 
     def _shed_one(self, context: Context) -> None:
-        """Refuse the waiting call that matters least, or the new one if that is it."""
+        """Refuse the least important call, either a queued one or the new one."""
         victim = self._find_victim(context)
         if victim is None:
             raise self._build_refusal(context)
@@ -243,11 +244,11 @@
             waiter.slot.set_result(None)
 
     def _is_doomed(self, context: Context) -> bool:
-        """Whether the deadline will pass before a call as usual is done.
+        """Whether a call of usual latency would miss its deadline.
 
-        Only asked while others wait: the slot is better used by one of them. With
-        free slots any call is let try, or a service that has become fast again
-        would never be seen to be.
+        Applies only while others are queued, which can make better use of the slot.
+        While there are free slots every call is tried: otherwise a service that became
+        fast again would never be noticed.
         """
         needed = (
             MIN_REMAINING_LATENCY_RATIO * self._limit.latency if self._size else 0.0
@@ -270,7 +271,7 @@
         return waiter
 
     def _is_standing(self) -> bool:
-        """Whether the queue has not been empty for as long as a call waits."""
+        """Whether the queue has not been empty for the maximum wait."""
         since = self._standing_since
         return since is not None and time.monotonic() - since > self._max_wait_seconds
 
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -1,27 +1,28 @@
-"""How many calls a backend server gets at once."""
+"""Adaptive limit on the concurrent calls to a backend server."""
 
-# A shed means that the limit is too high; a tenth less, as in TCP's gentler variants.
+# Applied when calls are shed: the limit is too high. A tenth less, as in TCP's gentler
+# variants.
 DECREASE_FACTOR = 0.9
-# Of one overload many calls return at once; it lowers the limit once in this time.
+# Many calls of one overload fail together; they lower the limit once within this time.
 MIN_DECREASE_INTERVAL_SECONDS = 0.1
 MIN_LIMIT = 1.0
-# Where no slots are announced: latency this many times the best known says that
-# calls wait inside the backend server.
+# Without announced slots, a latency above this multiple of the baseline shows that
+# calls queue inside the backend server.
 MAX_LATENCY_RATIO = 2.0
-# The best known latency is measured anew after so many calls, at half the limit: a
-# lasting change has to become normal, but not the calls' own waiting at the limit.
+# The baseline latency is measured again after this many calls, at a fraction of the
+# limit: it must follow lasting changes, but not include queueing at the limit.
 CALLS_PER_BASELINE = 1000
 BASELINE_LIMIT_RATIO = 0.5
 LATENCY_SMOOTHING_FACTOR = 0.1
 
 
 class ConcurrencyLimit:
-    """An adaptive limit: it grows while it is used up, and shrinks on signs of load.
+    """Concurrency limit that grows while it is used up and shrinks on overload.
 
     Args:
-        start: First limit, in calls.
-        ceiling: Slots that the backend server announced, or None. An announcement
-            is an upper bound only: what the backend server does weighs more.
+        initial: Initial limit, in calls.
+        max_limit: Slots that the backend server announced, or None. They are only an
+            upper bound: shed calls lower the limit below it.
     """
 
     def __init__(self, initial: float, max_limit: int | None = None):
@@ -36,21 +37,21 @@
 
     @property
     def value(self) -> int:
-        """Calls at once, at least one."""
+        """Maximum number of calls in flight, at least 1."""
         return int(self._limit)
 
     @property
     def latency(self) -> float:
-        """Smoothed time of a call in seconds, 0 before the first."""
+        """Smoothed latency of a call in seconds, 0 before the first."""
         return self._latency
 
     def note_served(self, seconds: float, in_flight: int, now: float) -> None:
-        """Learn from a call that was served.
+        """Record a call that was served, and adapt the limit.
 
         Args:
-            seconds: How long it took.
-            in_flight: How many there were with it.
-            now: Monotonic time.
+            seconds: Latency of the call.
+            in_flight: Number of calls in flight, including this one.
+            now: Monotonic time in seconds.
         """
         if not self._latency:
             self._latency = self._baseline = seconds
@@ -69,11 +70,11 @@
             self._increase()
 
     def note_shed(self, now: float) -> None:
-        """Learn from a call that the backend server refused."""
+        """Record a call that the backend server shed, and lower the limit."""
         self._decrease(now)
 
     def _update_baseline(self, seconds: float) -> None:
-        """Lower the limit now and then and take the shortest call for the baseline."""
+        """Lower the limit periodically, and take the lowest latency as baseline."""
         if self._baseline_calls_left:
             self._lowest_latency = min(self._lowest_latency, seconds)
             self._baseline_calls_left -= 1
@@ -85,7 +86,7 @@
         if self._calls_until_baseline <= 0:
             self._calls_until_baseline = CALLS_PER_BASELINE
             self._limit = max(MIN_LIMIT, self._limit * BASELINE_LIMIT_RATIO)
-            # Calls that began before are still among the first of these.
+            # Includes calls that began before the limit was lowered.
             self._baseline_calls_left = 4 * self.value
             self._lowest_latency = float("inf")
 
--- a/primroseglade/limits/importance.py
+++ b/primroseglade/limits/importance.py
@@ -4,7 +4,7 @@
 
 
 class Importance(enum.IntEnum):
-    """Higher classes are served first and shed last."""
+    """Importance class of a call; higher classes are served first and shed last."""
 
     LOW = 0
     NORMAL = 1
@@ -13,7 +13,7 @@
 
     @classmethod
     def from_name(cls, name: str) -> "Importance":
-        """Return the class that the document calls by this name.
+        """Return the class with this name in the configuration document.
 
         >>> Importance.from_name("critical")
         <Importance.CRITICAL: 3>
--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -1,12 +1,13 @@
-"""Refuses calls early which a place further on would shed.
-
-A call that is shed four hops down has used a slot at three. Each node therefore keeps,
-for each service, workspace and class, how many of its calls were shed lately, and lets
-only so many go that some are still shed: enough to see when the overload ends, and few
-enough that little work is wasted. This is the adaptive throttling of Google's "Site
-Reliability Engineering" (2016), chapter 21, with two changes: which calls are refused
-is decided by the order in which all hops shed, not by chance; and since classes and
-workspaces are counted apart, it follows the shares that the queue further on gives.
+"""Adaptive throttling: refuses calls early that a later hop would shed.
+
+A call that is shed four hops down has used a slot at three. Each node therefore counts,
+per service, workspace and importance class, how many of its calls were shed recently,
+and limits the calls it admits to a multiple of the accepted ones. Enough calls are
+still shed to detect the end of the overload, and few enough that little work is wasted.
+This is the adaptive throttling of Google's "Site Reliability Engineering" (2016),
+chapter 21, with two changes. Calls are refused by the shedding order of all hops, not
+at random. And as classes and workspaces are counted separately, throttling follows the
+shares that the queue at the later hop gives them.
 """
 
 import collections
@@ -18,13 +19,13 @@
 from .admission import hash_root
 from .importance import Importance
 
-# Calls are let go up to this multiple of those that were accepted.
+# Calls are admitted up to this multiple of the accepted ones.
 ACCEPTED_CALLS_MULTIPLE = 2.0
 WINDOW_SECONDS = 0.5
-# Beyond that, so many a window: a workspace none of whose calls was accepted for a
-# while would otherwise never be let go again.
+# Admitted in addition: without probes, a workspace that had no call accepted for some
+# time would be refused for good.
 PROBES_PER_WINDOW = 1.0
-# Under this many calls in the window chance would decide.
+# With fewer calls in the window, the fraction would be noise.
 MIN_CALLS = 5.0
 HASH_COUNT = 1 << 32
 MAX_WINDOWS = 4096
@@ -33,7 +34,7 @@
 
 
 class Window:
-    """Calls asked for and accepted lately, forgetting exponentially."""
+    """Recently requested and accepted calls, with exponential decay."""
 
     __slots__ = ("accepted", "requested", "updated_at")
 
@@ -44,13 +45,13 @@
 
     @property
     def admitted_fraction(self) -> float:
-        """The share of calls to let go."""
+        """The fraction of calls to admit, which may exceed 1."""
         return (
             ACCEPTED_CALLS_MULTIPLE * self.accepted + PROBES_PER_WINDOW
         ) / self.requested
 
     def decay(self, now: float) -> None:
-        """Let what lies back count less."""
+        """Decay the counts to the given time."""
         factor = math.exp((self.updated_at - now) / WINDOW_SECONDS)
         self.requested *= factor
         self.accepted *= factor
@@ -58,10 +59,10 @@
 
 
 class Throttle:
-    """What was shed lately, by service, workspace and class.
+    """Throttles calls by how many of their service, workspace and class were shed.
 
     Args:
-        clock: Seconds.
+        clock: Returns the time in seconds.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
@@ -69,10 +70,11 @@
         self._windows: collections.OrderedDict[Key, Window] = collections.OrderedDict()
 
     def admits(self, service: str, context: Context) -> bool:
-        """Decide whether a call goes on.
+        """Return whether to admit a call.
 
-        Only calls whose end is known are counted. Those on their way would look like
-        shed ones, and a service that is slow but sheds nothing would be throttled.
+        Of admitted calls only completed ones are counted. If those in flight counted
+        too, they would look shed, and a slow service that sheds nothing would be
+        throttled.
         """
         window = self._get_window(service, context)
         if window.requested < MIN_CALLS or hash_root(
@@ -83,19 +85,19 @@
         return False
 
     def note_accepted(self, service: str, context: Context) -> None:
-        """Note that a call was not shed, whatever else became of it."""
+        """Record a call that was not shed, whatever its result."""
         window = self._get_window(service, context)
         window.requested += 1
         window.accepted += 1
 
     def note_shed(self, service: str, context: Context) -> None:
-        """Note that a call was shed, here or further on."""
+        """Record a call that was shed, here or at a later hop."""
         self._get_window(service, context).requested += 1
 
     def get_admitted_fraction(
         self, service: str, workspace: str, importance: Importance
     ) -> float:
-        """Return the share of calls that would be let go now."""
+        """Return the fraction of calls that would be admitted now, at most 1."""
         window = self._windows.get((service, workspace, importance))
         if window is None:
             return 1.0
@@ -105,7 +107,7 @@
         return min(1.0, window.admitted_fraction)
 
     def describe(self) -> dict[str, float]:
-        """Return the shares under one, for the operator address."""
+        """Return the admitted fractions below 1, for the operator listener."""
         fractions = {}
         for service, workspace, importance in list(self._windows):
             admitted_fraction = self.get_admitted_fraction(
@@ -117,7 +119,7 @@
         return fractions
 
     def _get_hash_bound(self, window: Window) -> float:
-        """Return the hash under which calls go on."""
+        """Return the bound below which hashes of calls are admitted."""
         return window.admitted_fraction * HASH_COUNT
 
     def _get_window(self, service: str, context: Context) -> Window:
