--- a/bench/rates.py
+++ b/bench/rates.py
@@ -64,7 +64,7 @@
                 ideally += 1
                 grant = ideal.grant(1.0, 1e-9, now)
                 assert grant is not None
-                ideal.settle(grant.id, now)
+                ideal.record_spent(grant.id, now)
         granted_in_all = sum(at is not None for _, at in self.asked)
         return max(0, ideally - granted_in_all)
 
@@ -128,7 +128,7 @@
         grant = bucket.grant(1.0, 1e-9, now) if bucket.level >= 1 else None
         if grant is None:
             raise Refusal.__new__(Refusal)
-        bucket.settle(grant.id, now)
+        bucket.record_spent(grant.id, now)
 
     return charge
 
@@ -196,7 +196,7 @@
     workspace = f"w{number}"
 
     async def charge(node: Node, patience: float) -> None:
-        await node.rates.charger.charge(workspace, patience)
+        await node.rates.limiter.charge(workspace, patience)
 
     chosen = split_statically(nodes, case[0], case[1]) if statically else charge
     seconds = options.seconds or SECONDS
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -35,7 +35,7 @@
 from .operations.recorder import Recorder
 from .operator_pages import build_operator_application
 from .platform.log import LogClient, LogUnavailableError
-from .rates.keeper import RateKeeper
+from .rates.coordinator import RateCoordinator
 from .settings.node import NodeSettings
 from .supervisor import Supervisor
 
@@ -106,7 +106,7 @@
         return self._tracer
 
     @property
-    def rates(self) -> RateKeeper:
+    def rates(self) -> RateCoordinator:
         """Its part in keeping rates."""
         return self._rates
 
@@ -184,7 +184,7 @@
             await asyncio.wait_for(self._tools.in_flight.wait_idle(), grace)
         except TimeoutError:
             pass
-        await self._rates.give_up()
+        await self._rates.release_leases()
         await self._gossip.say_goodbye(state=State.LEFT)
         for listener in self._listeners.values():
             listener.stop(grace)
@@ -303,7 +303,7 @@
         self._members.watch(self._forget_gone)
 
     def _build_rates(self) -> None:
-        self._rates = RateKeeper(
+        self._rates = RateCoordinator(
             self._settings,
             self._members,
             self._configuration,
@@ -353,7 +353,7 @@
             self._metrics,
         )
         self._callers_entry = CallersEntry(
-            self._tools, dispatcher, self._router, self._rates.charger, self._recorder
+            self._tools, dispatcher, self._router, self._rates.limiter, self._recorder
         )
         self._relay_entry = RelayEntry(self._tools, self._backend, seal)
         self._nested_entry = NestedEntry(self._tools, dispatcher, handles)
--- a/primroseglade/rates/bucket.py
+++ b/primroseglade/rates/bucket.py
@@ -39,7 +39,7 @@
         self._level = 0.0
         self._updated_at = now
         self._blocked_until = blocked_until
-        self._out: dict[int, Grant] = {}
+        self._outstanding: dict[int, Grant] = {}
 
     @property
     def level(self) -> float:
@@ -47,74 +47,76 @@
         return self._level
 
     @property
-    def out(self) -> float:
+    def outstanding(self) -> float:
         """Tokens that were granted and may yet be spent."""
-        return sum(grant.tokens for grant in self._out.values())
+        return sum(grant.tokens for grant in self._outstanding.values())
 
     @property
     def rate(self) -> float:
         """Tokens a second."""
         return self._rate
 
-    def is_open(self, now: float) -> bool:
+    def is_unblocked(self, now: float) -> bool:
         """Whether a predecessor's grants have all ended."""
         return now > self._blocked_until
 
-    def change(self, rate: float, burst: float, now: float) -> None:
+    def update(self, rate: float, burst: float, now: float) -> None:
         """Go on with another rate and burst from now on."""
         self.accrue(now)
         self._rate = rate
         self._burst = burst
-        self._level = max(0.0, min(self._level, burst - self.out))
+        self._level = max(0.0, min(self._level, burst - self.outstanding))
 
     def accrue(self, now: float) -> None:
         """Bring the level up to date."""
-        expired = [g.id for g in self._out.values() if g.expires_at <= now]
+        expired = [g.id for g in self._outstanding.values() if g.expires_at <= now]
         for grant in expired:
-            del self._out[grant]
+            del self._outstanding[grant]
         start = max(self._updated_at, self._blocked_until)
         self._updated_at = max(self._updated_at, now)
         if now <= start:
             return
-        room = max(0.0, self._burst - self.out)
-        self._level = min(room, self._level + self._rate * (now - start))
+        free_capacity = max(0.0, self._burst - self.outstanding)
+        self._level = min(free_capacity, self._level + self._rate * (now - start))
 
-    def grant(self, wanted: float, life: float, now: float) -> Grant | None:
+    def grant(self, requested: float, lifetime: float, now: float) -> Grant | None:
         """Take up to ``wanted`` tokens out, for ``life`` seconds.
 
         Returns:
             The grant, or None where there is nothing to grant.
         """
         self.accrue(now)
-        tokens = min(wanted, self._level)
+        tokens = min(requested, self._level)
         if tokens <= 0 or not math.isfinite(tokens):
             return None
         self._level -= tokens
-        grant = Grant(self.make_id(), tokens, now + life)
-        self._out[grant.id] = grant
+        grant = Grant(self.make_id(), tokens, now + lifetime)
+        self._outstanding[grant.id] = grant
         return grant
 
-    def settle(self, grant_id: int, now: float, tokens: float = math.inf) -> None:
+    def record_spent(self, grant_id: int, now: float, tokens: float = math.inf) -> None:
         """Note that tokens of a grant are spent, or all that it had.
 
         Without this a spent token would count as out until its grant's end, and a
         burst smaller than what is spent in a grant's life would throttle the rate.
         """
         self.accrue(now)
-        grant = self._out.get(grant_id)
+        grant = self._outstanding.get(grant_id)
         if grant is None:
             return
         grant.tokens -= tokens
         if grant.tokens <= 0:
-            del self._out[grant_id]
+            del self._outstanding[grant_id]
 
     @classmethod
     def make_id(cls) -> int:
         """Return a number that no grant of any bucket in this process has."""
         return next(cls._ids)
 
-    def get_wait(self, tokens: float) -> float:
+    def get_wait_seconds(self, tokens: float) -> float:
         """Return seconds until that many tokens have accrued."""
         missing = tokens - self._level
-        blocked = max(0.0, self._blocked_until - self._updated_at)
-        return blocked + max(0.0, missing) / self._rate if self._rate else math.inf
+        blocked_seconds = max(0.0, self._blocked_until - self._updated_at)
+        return (
+            blocked_seconds + max(0.0, missing) / self._rate if self._rate else math.inf
+        )
--- a/primroseglade/rates/keeper.py
+++ b/primroseglade/rates/coordinator.py
@@ -8,14 +8,14 @@
 from ..observe.metrics import Metrics
 from ..settings.node import NodeSettings
 from ..supervisor import Supervisor
-from .account import Entitlement
-from .charger import Charger
 from .holder import Holder
 from .lease import Candidate, Elector, get_partition, Partitions
-from .shares import ShareGate
+from .limiter import RateLimiter
+from .quota import Entitlement
+from .shares import ZoneShare
 
 
-class RateKeeper:
+class RateCoordinator:
     """Puts the parts of rates together and keeps them to the document.
 
     Args:
@@ -42,7 +42,7 @@
         self._members = members
         self._configuration = configuration
         partitions = Partitions(members)
-        self._shares = ShareGate(
+        self._zone_share = ZoneShare(
             settings.zone, configuration, confirmer, self._apply_shares
         )
         self._elector = Elector(members, partitions, settings.fleet.lease)
@@ -65,7 +65,7 @@
             self._get_entitlement,
             settings.fleet.grant,
         )
-        self._charger = Charger(
+        self._limiter = RateLimiter(
             members,
             partitions,
             self._holder,
@@ -80,9 +80,9 @@
         return self._holder
 
     @property
-    def charger(self) -> Charger:
+    def limiter(self) -> RateLimiter:
         """Charges root calls that enter here."""
-        return self._charger
+        return self._limiter
 
     def register(self, server: ControlServer) -> None:
         """Answer candidates, nodes and other holders."""
@@ -91,25 +91,25 @@
 
     def start(self, supervisor: Supervisor) -> None:
         """Begin with the configuration and the members that are known by now."""
-        self._shares.activate(self._get_shares_told())
+        self._zone_share.activate(self._get_reported_shares())
         supervisor.start("leases", self._candidate.run)
-        supervisor.start("shares", self._shares.run)
+        supervisor.start("shares", self._zone_share.run)
 
     def apply_document(self) -> None:
         """Take rates and shares over from the document."""
-        self._shares.note_change()
+        self._zone_share.apply_document()
         self._holder.apply_entitlements()
 
-    async def give_up(self) -> None:
+    async def release_leases(self) -> None:
         """Give leases up before a planned stop."""
-        await self._candidate.give_up()
+        await self._candidate.release_leases()
 
     def _apply_shares(self) -> None:
         self._holder.apply_entitlements()
-        if self._members.own.share != self._shares.share:
-            self._members.change_own(share=self._shares.share)
+        if self._members.own.share != self._zone_share.share:
+            self._members.change_own(share=self._zone_share.share)
 
-    def _get_shares_told(self) -> list[float]:
+    def _get_reported_shares(self) -> list[float]:
         return [
             member.share
             for member in self._members.get_reachable(self._settings.zone)
@@ -124,5 +124,5 @@
         rate = self._configuration.document.rates.get(workspace)
         if rate is None:
             return None
-        share = self._shares.share
+        share = self._zone_share.share
         return Entitlement(rate.per_second * share, rate.burst * share, rate.per_second)
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -19,15 +19,15 @@
 from ..proto import control_pb2 as pb
 from .clock import read_clock
 
-PARTITIONS = 64
-ELECTORS = 5
+PARTITION_COUNT = 64
+ELECTORS_PER_PARTITION = 5
 VOTE_TIMEOUT_SECONDS = 0.5
-RENEWALS_A_LEASE = 3
+RENEWALS_PER_LEASE = 3
 
 
 def get_partition(workspace: str) -> int:
     """Return the partition that a workspace's tokens are in."""
-    return zlib.crc32(workspace.encode()) % PARTITIONS
+    return zlib.crc32(workspace.encode()) % PARTITION_COUNT
 
 
 def count_quorum(electors: int) -> int:
@@ -36,7 +36,11 @@
     >>> [count_quorum(electors) for electors in (1, 2, 3, 4, 5)]
     [1, 2, 2, 3, 4]
     """
-    return electors // 2 + 1 if electors < ELECTORS else ELECTORS - 1
+    return (
+        electors // 2 + 1
+        if electors < ELECTORS_PER_PARTITION
+        else ELECTORS_PER_PARTITION - 1
+    )
 
 
 class Partitions:
@@ -51,7 +55,7 @@
 
     def rank(self, zone: str, partition: int) -> list[str]:
         """Return the zone's electors, the one that should hold the partition first."""
-        return self._ranking.get(zone, f"rates/{partition}", ELECTORS)
+        return self._ranking.get(zone, f"rates/{partition}", ELECTORS_PER_PARTITION)
 
 
 def hash_electors(electors: list[str]) -> int:
@@ -62,16 +66,18 @@
 class Lease:
     """A partition held until a time on this instance's clock."""
 
-    __slots__ = ("epoch", "expires_at", "partition", "taken_at")
+    __slots__ = ("acquired_at", "epoch", "expires_at", "partition")
 
-    def __init__(self, partition: int, epoch: int, taken_at: float, expires_at: float):
+    def __init__(
+        self, partition: int, epoch: int, acquired_at: float, expires_at: float
+    ):
         self.partition = partition
         self.epoch = epoch
-        self.taken_at = taken_at
+        self.acquired_at = acquired_at
         self.expires_at = expires_at
 
 
-class GivenVote:
+class CastVote:
     """Whom an elector has voted for, and until when."""
 
     __slots__ = ("candidate", "epoch", "expires_at")
@@ -96,60 +102,60 @@
         self,
         members: Members,
         partitions: Partitions,
-        lease: float,
+        lease_seconds: float,
         clock: Callable[[], float] = read_clock,
     ):
         self._members = members
         self._partitions = partitions
-        self._lease = lease
+        self._lease_seconds = lease_seconds
         self._clock = clock
         # A process that has just started may be an elector that voted, died and
         # forgot: until that vote is surely over it gives none.
-        self._abstains_until = clock() + lease
-        self._votes: dict[int, GivenVote] = {}
+        self._abstains_until = clock() + lease_seconds
+        self._votes: dict[int, CastVote] = {}
 
     def register(self, server: ControlServer) -> None:
         """Answer candidates."""
-        server.register("Vote", self._answer)
+        server.register("Vote", self._handle_vote)
 
     def vote(self, zone: str, ballot: pb.Ballot, candidate: str) -> pb.Vote:
         """Vote on one partition."""
-        known = self._votes.get(ballot.partition)
-        epoch = max(ballot.epoch, known.epoch if known else 0)
-        granted = self._may_vote(zone, ballot, candidate, known)
+        last_vote = self._votes.get(ballot.partition)
+        epoch = max(ballot.epoch, last_vote.epoch if last_vote else 0)
+        granted = self._may_vote(zone, ballot, candidate, last_vote)
         if granted:
-            expires_at = self._clock() + self._lease
-            self._votes[ballot.partition] = GivenVote(candidate, epoch, expires_at)
+            expires_at = self._clock() + self._lease_seconds
+            self._votes[ballot.partition] = CastVote(candidate, epoch, expires_at)
         return pb.Vote(partition=ballot.partition, granted=granted, epoch=epoch)
 
     def release(self, partition: int, candidate: str) -> None:
         """End a vote early: the candidate gave its lease up."""
-        known = self._votes.get(partition)
-        if known is not None and known.candidate == candidate:
-            known.expires_at = self._clock()
+        last_vote = self._votes.get(partition)
+        if last_vote is not None and last_vote.candidate == candidate:
+            last_vote.expires_at = self._clock()
 
     def _may_vote(
-        self, zone: str, ballot: pb.Ballot, candidate: str, known: GivenVote | None
+        self, zone: str, ballot: pb.Ballot, candidate: str, last_vote: CastVote | None
     ) -> bool:
         now = self._clock()
         own = self._members.own
         if now < self._abstains_until or zone != own.zone:
             return False
-        if known is not None:
-            bound = known.candidate != candidate and known.expires_at > now
-            if bound or ballot.epoch < known.epoch:
+        if last_vote is not None:
+            is_bound = last_vote.candidate != candidate and last_vote.expires_at > now
+            if is_bound or ballot.epoch < last_vote.epoch:
                 return False
         # A part of the zone that is cut off from the rest counts the others as dead
         # and would name electors among its own members: only the larger part votes.
-        reachable, whole = self._members.count_electorate(zone)
-        if 2 * reachable <= whole and whole > 1:
+        reachable, total = self._members.count_electorate(zone)
+        if 2 * reachable <= total and total > 1:
             return False
         electors = self._partitions.rank(zone, ballot.partition)
         if own.instance not in electors:
             return False
         return hash_electors(electors) == ballot.electors
 
-    async def _answer(self, request: pb.VoteRequest, sender: str) -> pb.VoteReply:
+    async def _handle_vote(self, request: pb.VoteRequest, sender: str) -> pb.VoteReply:
         for partition in request.released:
             self.release(partition, sender)
         votes = [self.vote(request.zone, ballot, sender) for ballot in request.ballots]
@@ -178,8 +184,8 @@
         elector: Elector,
         client: ControlClient,
         get_partitions: Callable[[], set[int]],
-        on_taken: Callable[[Lease], None],
-        lease: float,
+        on_acquired: Callable[[Lease], None],
+        lease_seconds: float,
         journal: Journal,
         metrics: Metrics,
     ):
@@ -188,13 +194,13 @@
         self._elector = elector
         self._client = client
         self._get_partitions = get_partitions
-        self._on_taken = on_taken
-        self._lease = lease
+        self._on_acquired = on_acquired
+        self._lease_seconds = lease_seconds
         self._journal = journal
         self._metrics = metrics
         self._leases: dict[int, Lease] = {}
         self._epochs: dict[int, int] = {}
-        self._given_up = False
+        self._is_stopping = False
 
     @property
     def leases(self) -> dict[int, Lease]:
@@ -216,12 +222,12 @@
         """Renew leases, and take those that fall to this instance."""
         while True:
             await self._campaign()
-            pause = self._lease / RENEWALS_A_LEASE
+            pause = self._lease_seconds / RENEWALS_PER_LEASE
             await asyncio.sleep(pause * random.uniform(0.7, 1.0))
 
-    async def give_up(self) -> None:
+    async def release_leases(self) -> None:
         """Give every lease up, so that successors need not wait for its end."""
-        self._given_up = True
+        self._is_stopping = True
         await self._release(list(self._leases))
 
     async def _release(self, partitions: list[int]) -> None:
@@ -239,17 +245,17 @@
         await asyncio.gather(*(self._send(name, request) for name in electors))
 
     async def _campaign(self) -> None:
-        self._drop_lapsed()
-        if self._given_up:
+        self._drop_expired()
+        if self._is_stopping:
             return
         zone = self._members.own.zone
-        others_turn = [
+        reassigned = [
             partition
             for partition in self._leases
             if self._partitions.rank(zone, partition)[:1]
             != [self._members.own.instance]
         ]
-        await self._release(others_turn)
+        await self._release(reassigned)
         ballots: dict[int, tuple[pb.Ballot, list[str]]] = {}
         for partition in self._get_partitions():
             electors = self._partitions.rank(zone, partition)
@@ -262,13 +268,13 @@
             )
             ballots[partition] = (ballot, electors)
         sent_at = read_clock()
-        granted = await self._collect(zone, ballots)
+        granted = await self._collect_votes(zone, ballots)
         for partition, (ballot, electors) in ballots.items():
             if granted.get(partition, 0) >= count_quorum(len(electors)):
-                self._hold(partition, ballot.epoch, sent_at)
+                self._store_lease(partition, ballot.epoch, sent_at)
         self._metrics.leases.set(len(self._leases))
 
-    async def _collect(
+    async def _collect_votes(
         self, zone: str, ballots: dict[int, tuple[pb.Ballot, list[str]]]
     ) -> dict[int, int]:
         """Ask every elector once, for all partitions, and count the votes."""
@@ -277,7 +283,10 @@
             for name in electors:
                 by_elector.setdefault(name, []).append(ballot)
         replies = await asyncio.gather(
-            *(self._ask(zone, name, asked) for name, asked in by_elector.items())
+            *(
+                self._request_votes(zone, name, elector_ballots)
+                for name, elector_ballots in by_elector.items()
+            )
         )
         granted: dict[int, int] = {}
         for votes in replies:
@@ -288,7 +297,7 @@
                     granted[vote.partition] = granted.get(vote.partition, 0) + 1
         return granted
 
-    async def _ask(
+    async def _request_votes(
         self, zone: str, elector: str, ballots: list[pb.Ballot]
     ) -> list[pb.Vote]:
         own = self._members.own.instance
@@ -308,10 +317,10 @@
             return []
         return list(reply.votes)
 
-    def _hold(self, partition: int, epoch: int, sent_at: float) -> None:
+    def _store_lease(self, partition: int, epoch: int, sent_at: float) -> None:
         # Counted from before the question, so that it ends here before it ends at
         # any elector.
-        expires_at = sent_at + self._lease
+        expires_at = sent_at + self._lease_seconds
         if expires_at <= read_clock():
             return
         lease = self._leases.get(partition)
@@ -321,9 +330,9 @@
         lease = Lease(partition, epoch, read_clock(), expires_at)
         self._leases[partition] = lease
         self._journal.emit(LEASE_TAKEN, partition=partition, epoch=epoch)
-        self._on_taken(lease)
+        self._on_acquired(lease)
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         now = read_clock()
         for partition, lease in list(self._leases.items()):
             if lease.expires_at <= now:
--- a/primroseglade/rates/charger.py
+++ b/primroseglade/rates/limiter.py
@@ -11,25 +11,25 @@
 from ..observe.metrics import Metrics
 from ..proto import control_pb2 as pb
 from ..verdicts import not_run, Reason
-from .account import Demand
 from .clock import read_clock
-from .holder import Holder, OVER_FACTOR
+from .holder import Holder, OVER_RATE_FACTOR
 from .lease import get_partition, Partitions
-from .purse import Lot, Purse
+from .quota import DemandEstimator
+from .token_reserve import TokenBatch, TokenReserve
 
 GRANT_TIMEOUT_SECONDS = 0.6
 # Tokens for this long are asked for at once; more would lie idle at one node while
 # another refuses.
-AHEAD_SECONDS = 0.1
-DEMAND_SECONDS = 0.5
-LOCAL_CANDIDATES = 2
-NO_HOLDER_RETRY_SECONDS = 1.0
+PREFETCH_SECONDS = 0.1
+DEMAND_SMOOTHING_SECONDS = 0.5
+MAX_LOCAL_HOLDERS = 2
+NO_HOLDER_RETRY_AFTER_SECONDS = 1.0
 # A holder that was lost is replaced within a lease; calls within their rate wait a
 # part of that time rather than be refused for it.
-HAND_OVER_SECONDS = 1.0
-ASK_AGAIN_SECONDS = 0.1
+MAX_HANDOVER_WAIT_SECONDS = 1.0
+HOLDER_RETRY_SECONDS = 0.1
 # A holder's denial stands for the node's other calls for this long.
-DENIAL_SECONDS = 0.02
+DENIAL_CACHE_SECONDS = 0.02
 
 
 class Denial:
@@ -41,21 +41,28 @@
         self.retry_after = retry_after
 
 
-class Wallet:
+class WorkspaceState:
     """What a node has of one workspace's tokens."""
 
-    __slots__ = ("demand", "denial", "denied_until", "purse", "refill", "waiting")
+    __slots__ = (
+        "demand",
+        "denial",
+        "denied_until",
+        "refill",
+        "reserve",
+        "waiting_calls",
+    )
 
     def __init__(self) -> None:
-        self.purse = Purse()
-        self.demand = Demand(DEMAND_SECONDS)
-        self.waiting = 0
+        self.reserve = TokenReserve()
+        self.demand = DemandEstimator(DEMAND_SMOOTHING_SECONDS)
+        self.waiting_calls = 0
         self.denial: Denial | None = None
         self.denied_until = -math.inf
         self.refill: asyncio.Task[None] | None = None
 
 
-class Charger:
+class RateLimiter:
     """Spends a token a root call.
 
     Args:
@@ -82,9 +89,9 @@
         self._client = client
         self._get_rate = get_rate
         self._metrics = metrics
-        self._wallets: dict[str, Wallet] = {}
+        self._states: dict[str, WorkspaceState] = {}
 
-    async def charge(self, workspace: str, patience: float) -> None:
+    async def charge(self, workspace: str, max_wait: float) -> None:
         """Spend a token.
 
         Args:
@@ -97,106 +104,116 @@
         rate = self._get_rate(workspace)
         if rate is None:
             return
-        wallet = self._wallets.get(workspace)
-        if wallet is None:
-            wallet = self._wallets[workspace] = Wallet()
-        wallet.demand.note(1.0)
-        if wallet.purse.spend(1.0, read_clock()):
+        state = self._states.get(workspace)
+        if state is None:
+            state = self._states[workspace] = WorkspaceState()
+        state.demand.record(1.0)
+        if state.reserve.spend(1.0, read_clock()):
             self._metrics.tokens.labels("spent").inc()
-            self._refill_early(workspace, wallet)
+            self._prefetch(workspace, state)
             return
-        over = wallet.demand.read() > OVER_FACTOR * rate.per_second
-        if over and wallet.denial and read_clock() < wallet.denied_until:
+        is_over_rate = state.demand.estimate() > OVER_RATE_FACTOR * rate.per_second
+        if is_over_rate and state.denial and read_clock() < state.denied_until:
             # Said a moment ago: a workspace far over its rate must not cost a message
             # for each of its calls.
-            self._raise_denial(wallet)
-        await self._wait_for_token(workspace, wallet, patience)
+            self._raise_denial(state)
+        await self._wait_for_token(workspace, state, max_wait)
         self._metrics.tokens.labels("spent").inc()
 
     async def _wait_for_token(
-        self, workspace: str, wallet: Wallet, patience: float
+        self, workspace: str, state: WorkspaceState, max_wait: float
     ) -> None:
-        wallet.waiting += 1
-        gives_up_at = read_clock() + HAND_OVER_SECONDS
+        state.waiting_calls += 1
+        handover_deadline = read_clock() + MAX_HANDOVER_WAIT_SECONDS
         try:
-            async with asyncio.timeout(patience):
-                while not wallet.purse.spend(1.0, read_clock()):
-                    wallet.denial = None
-                    self._start_refill(workspace, wallet)
-                    assert wallet.refill is not None
-                    await asyncio.shield(wallet.refill)
-                    if wallet.purse.spend(1.0, read_clock()):
+            async with asyncio.timeout(max_wait):
+                while not state.reserve.spend(1.0, read_clock()):
+                    state.denial = None
+                    self._start_refill(workspace, state)
+                    assert state.refill is not None
+                    await asyncio.shield(state.refill)
+                    if state.reserve.spend(1.0, read_clock()):
                         return
-                    if self._awaits_holder(wallet) and read_clock() < gives_up_at:
-                        await asyncio.sleep(ASK_AGAIN_SECONDS)
+                    if (
+                        self._is_holder_unreachable(state)
+                        and read_clock() < handover_deadline
+                    ):
+                        await asyncio.sleep(HOLDER_RETRY_SECONDS)
                         continue
-                    self._raise_denial(wallet)
+                    self._raise_denial(state)
         except TimeoutError as error:
             raise not_run(
                 Reason.DEADLINE_EXCEEDED, "no rate token before the deadline"
             ) from error
         finally:
-            wallet.waiting -= 1
+            state.waiting_calls -= 1
 
-    def _awaits_holder(self, wallet: Wallet) -> bool:
+    def _is_holder_unreachable(self, state: WorkspaceState) -> bool:
         """Whether nobody who holds the tokens was reached, as while one is replaced."""
-        return wallet.denial is not None and wallet.denial.retry_after < 0
+        return state.denial is not None and state.denial.retry_after < 0
 
-    def _raise_denial(self, wallet: Wallet) -> None:
+    def _raise_denial(self, state: WorkspaceState) -> None:
         """Refuse, unless tokens came and others were quicker."""
-        denial = wallet.denial
+        denial = state.denial
         if denial is None:
             return
         self._metrics.tokens.labels("denied").inc()
         if denial.retry_after < 0:
             detail = "no node that holds the workspace's rate can be reached"
-            raise not_run(Reason.RATE_UNAVAILABLE, detail, NO_HOLDER_RETRY_SECONDS)
+            raise not_run(
+                Reason.RATE_UNAVAILABLE, detail, NO_HOLDER_RETRY_AFTER_SECONDS
+            )
         retry_after = denial.retry_after * random.uniform(1.0, 1.5)
         raise not_run(
             Reason.RATE_EXCEEDED, "the workspace is over its rate", retry_after
         )
 
-    def _refill_early(self, workspace: str, wallet: Wallet) -> None:
+    def _prefetch(self, workspace: str, state: WorkspaceState) -> None:
         """Ask for more before the last token goes, where calls keep coming."""
-        ahead = wallet.demand.read() * AHEAD_SECONDS
-        if ahead > 2 and wallet.purse.count(read_clock()) < ahead / 2:
-            self._start_refill(workspace, wallet)
-
-    def _start_refill(self, workspace: str, wallet: Wallet) -> None:
-        if wallet.refill is None or wallet.refill.done():
-            wallet.refill = asyncio.create_task(self._refill(workspace, wallet))
-
-    async def _refill(self, workspace: str, wallet: Wallet) -> None:
-        wanted = max(1.0, wallet.waiting, wallet.demand.read() * AHEAD_SECONDS)
+        prefetch_tokens = state.demand.estimate() * PREFETCH_SECONDS
+        if (
+            prefetch_tokens > 2
+            and state.reserve.count_tokens(read_clock()) < prefetch_tokens / 2
+        ):
+            self._start_refill(workspace, state)
+
+    def _start_refill(self, workspace: str, state: WorkspaceState) -> None:
+        if state.refill is None or state.refill.done():
+            state.refill = asyncio.create_task(self._refill(workspace, state))
+
+    async def _refill(self, workspace: str, state: WorkspaceState) -> None:
+        wanted = max(
+            1.0, state.waiting_calls, state.demand.estimate() * PREFETCH_SECONDS
+        )
         reached = False
         for address, instance in self._list_holders(workspace):
-            reply, sent_at = await self._ask(
-                workspace, wallet, wanted, address, instance
+            reply, sent_at = await self._request_grant(
+                workspace, state, wanted, address, instance
             )
             if reply is None or not reply.holder:
                 continue
             reached = True
             if reply.tokens > 0:
                 expires_at = sent_at + reply.life_ms / 1000
-                lot = Lot(reply.grant, reply.tokens, expires_at, address)
-                wallet.purse.add(lot)
+                batch = TokenBatch(reply.grant, reply.tokens, expires_at, address)
+                state.reserve.add(batch)
                 self._metrics.tokens.labels("granted").inc(reply.tokens)
                 return
-            wallet.denial = Denial(reply.retry_after_ms / 1000)
-            wallet.denied_until = read_clock() + DENIAL_SECONDS
+            state.denial = Denial(reply.retry_after_ms / 1000)
+            state.denied_until = read_clock() + DENIAL_CACHE_SECONDS
             return
         if not reached:
-            wallet.denial = Denial(-1.0)
+            state.denial = Denial(-1.0)
 
-    async def _ask(
+    async def _request_grant(
         self,
         workspace: str,
-        wallet: Wallet,
+        state: WorkspaceState,
         wanted: float,
         address: str,
         instance: str,
     ) -> tuple[pb.GrantReply | None, float]:
-        spent = wallet.purse.take_spent(address)
+        spent = state.reserve.take_spent(address)
         request = pb.GrantRequest(workspace=workspace, wanted=wanted, spent=spent)
         sent_at = read_clock()
         if instance == self._members.own.instance:
@@ -211,10 +228,10 @@
 
     def _list_holders(self, workspace: str) -> list[tuple[str, str]]:
         """Return who may hold the workspace's tokens, this zone's first."""
-        own = self._members.own.zone
+        own_zone = self._members.own.zone
         partition = get_partition(workspace)
-        names = self._partitions.rank(own, partition)[:LOCAL_CANDIDATES]
-        zones = sorted(set(self._members.zones) - {own})
+        names = self._partitions.rank(own_zone, partition)[:MAX_LOCAL_HOLDERS]
+        zones = sorted(set(self._members.zones) - {own_zone})
         random.shuffle(zones)
         for zone in zones:
             names += self._partitions.rank(zone, partition)[:1]
--- a/primroseglade/rates/account.py
+++ b/primroseglade/rates/quota.py
@@ -6,13 +6,13 @@
 
 from .bucket import Bucket
 from .clock import read_clock
-from .purse import Purse
+from .token_reserve import TokenReserve
 
 # Long enough that one call by itself is no demand.
-DEMAND_SECONDS = 2.0
+DEMAND_SMOOTHING_SECONDS = 2.0
 
 
-class Demand:
+class DemandEstimator:
     """How many tokens a second are asked for, forgetting slowly.
 
     Args:
@@ -26,11 +26,11 @@
         self._rate = 0.0
         self._at = read_clock()
 
-    def note(self, tokens: float) -> None:
+    def record(self, tokens: float) -> None:
         """Count tokens asked for now."""
-        self._rate = self.read() + tokens / self._seconds
+        self._rate = self.estimate() + tokens / self._seconds
 
-    def read(self) -> float:
+    def estimate(self) -> float:
         """Return tokens a second as of now."""
         now = read_clock()
         self._rate *= math.exp((self._at - now) / self._seconds)
@@ -55,33 +55,33 @@
         self.tokens = tokens
 
 
-class Account:
+class WorkspaceQuota:
     """One workspace's tokens in this zone: the bucket, and what others lent."""
 
     __slots__ = (
+        "borrow_task",
         "borrowed",
-        "borrowing",
+        "borrowing_paused_until",
         "bucket",
         "demand",
-        "dry_until",
         "fleet_rate",
-        "passed",
-        "spent",
+        "loans_by_grant",
+        "spent_loans",
     )
 
     def __init__(self, bucket: Bucket, fleet_rate: float):
         self.bucket = bucket
         self.fleet_rate = fleet_rate
-        self.borrowed = Purse()
-        self.demand = Demand(DEMAND_SECONDS)
+        self.borrowed = TokenReserve()
+        self.demand = DemandEstimator(DEMAND_SMOOTHING_SECONDS)
         # Loans that went into a grant, until a node has spent it.
-        self.passed: collections.OrderedDict[int, list[LoanPart]] = (
+        self.loans_by_grant: collections.OrderedDict[int, list[LoanPart]] = (
             collections.OrderedDict()
         )
         # Spent parts of loans, until their lender is told.
-        self.spent: dict[str, list[LoanPart]] = {}
-        self.borrowing: asyncio.Task[bool] | None = None
-        self.dry_until = -math.inf
+        self.spent_loans: dict[str, list[LoanPart]] = {}
+        self.borrow_task: asyncio.Task[bool] | None = None
+        self.borrowing_paused_until = -math.inf
 
 
 class Entitlement:
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -6,11 +6,11 @@
 from ..fleet.configuration import Configuration
 from ..fleet.confirm import Confirmer
 
-ASK_SECONDS = 1.0
-ANSWER_SECONDS = 2.0
+CONFIRMATION_INTERVAL_SECONDS = 1.0
+CONFIRMATION_TIMEOUT_SECONDS = 2.0
 
 
-class ShareGate:
+class ZoneShare:
     """Lets a smaller share through at once, a larger one after every confirmation.
 
     When a share moves from one zone to another, both would spend it for as long as
@@ -37,7 +37,7 @@
         self._confirmer = confirmer
         self._on_change = on_change
         self._share: float | None = None
-        self._awaited: int | None = None
+        self._awaited_offset: int | None = None
         self._changed = asyncio.Event()
 
     @property
@@ -46,33 +46,33 @@
         return self._share or 0.0
 
     @property
-    def awaited(self) -> int | None:
+    def awaited_offset(self) -> int | None:
         """The offset that has to be confirmed for a larger share, or None."""
-        return self._awaited
+        return self._awaited_offset
 
-    def activate(self, shares_told: list[float]) -> None:
+    def activate(self, reported_shares: list[float]) -> None:
         """Begin, with the configuration that this instance started from.
 
         Args:
             shares_told: Shares in force at other instances of the zone. One of them
                 may know of a share that others still have to confirm.
         """
-        wanted = self._get_wanted()
-        self._share = min([wanted, *shares_told])
-        self.note_change()
+        configured_share = self._get_configured_share()
+        self._share = min([configured_share, *reported_shares])
+        self.apply_document()
 
-    def note_change(self) -> None:
+    def apply_document(self) -> None:
         """Look at what the document says now."""
         if self._share is None:
             return
-        wanted = self._get_wanted()
-        if wanted > self._share:
-            self._awaited = self._configuration.next_offset
+        configured_share = self._get_configured_share()
+        if configured_share > self._share:
+            self._awaited_offset = self._configuration.next_offset
             self._changed.set()
             return
-        self._awaited = None
-        if wanted < self._share:
-            self._share = wanted
+        self._awaited_offset = None
+        if configured_share < self._share:
+            self._share = configured_share
         self._on_change()
 
     async def run(self) -> None:
@@ -80,17 +80,17 @@
         while True:
             await self._changed.wait()
             self._changed.clear()
-            while self._awaited is not None:
-                await self._try_to_grow(self._awaited)
-                await asyncio.sleep(ASK_SECONDS)
+            while self._awaited_offset is not None:
+                await self._try_to_raise(self._awaited_offset)
+                await asyncio.sleep(CONFIRMATION_INTERVAL_SECONDS)
 
-    def _get_wanted(self) -> float:
+    def _get_configured_share(self) -> float:
         return self._configuration.document.shares.get(self._zone, 0.0)
 
-    async def _try_to_grow(self, next_offset: int) -> None:
-        status = await self._confirmer.ask(ANSWER_SECONDS)
-        if self._awaited != next_offset or not status.is_everywhere(next_offset):
+    async def _try_to_raise(self, next_offset: int) -> None:
+        status = await self._confirmer.ask(CONFIRMATION_TIMEOUT_SECONDS)
+        if self._awaited_offset != next_offset or not status.is_everywhere(next_offset):
             return
-        self._share = self._get_wanted()
-        self._awaited = None
+        self._share = self._get_configured_share()
+        self._awaited_offset = None
         self._on_change()
--- a/primroseglade/rates/purse.py
+++ b/primroseglade/rates/token_reserve.py
@@ -3,11 +3,11 @@
 import collections
 
 # Sums of fractions miss whole numbers by rounding; this much is no token.
-SMALLEST = 1e-6
-SPENT_KEPT = 256
+ROUNDING_TOLERANCE = 1e-6
+MAX_SPENT_BATCHES = 256
 
 
-class Lot:
+class TokenBatch:
     """Tokens of one grant.
 
     Args:
@@ -26,48 +26,54 @@
         self.source = source
 
 
-class Purse:
+class TokenReserve:
     """Lots, spent in the order in which they came."""
 
     def __init__(self) -> None:
-        self._lots: collections.deque[Lot] = collections.deque()
-        self._spent: collections.deque[Lot] = collections.deque(maxlen=SPENT_KEPT)
+        self._batches: collections.deque[TokenBatch] = collections.deque()
+        self._spent_batches: collections.deque[TokenBatch] = collections.deque(
+            maxlen=MAX_SPENT_BATCHES
+        )
 
-    def add(self, lot: Lot) -> None:
+    def add(self, batch: TokenBatch) -> None:
         """Put tokens in."""
-        self._lots.append(lot)
+        self._batches.append(batch)
 
-    def count(self, now: float) -> float:
+    def count_tokens(self, now: float) -> float:
         """Return how many tokens can be spent."""
         self._drop_expired(now)
-        return sum(lot.tokens for lot in self._lots)
+        return sum(batch.tokens for batch in self._batches)
 
     def spend(self, tokens: float, now: float) -> bool:
         """Spend tokens, all or none; fractions of several lots add up."""
-        if self.count(now) + SMALLEST < tokens:
+        if self.count_tokens(now) + ROUNDING_TOLERANCE < tokens:
             return False
-        while tokens > SMALLEST:
-            lot = self._lots[0]
-            part = min(lot.tokens, tokens)
-            lot.tokens -= part
+        while tokens > ROUNDING_TOLERANCE:
+            batch = self._batches[0]
+            part = min(batch.tokens, tokens)
+            batch.tokens -= part
             tokens -= part
-            if lot.tokens <= SMALLEST:
-                self._spent.append(self._lots.popleft())
+            if batch.tokens <= ROUNDING_TOLERANCE:
+                self._spent_batches.append(self._batches.popleft())
         return True
 
     def take_spent(self, source: str) -> list[int]:
         """Return once the grants from a source of which nothing is left."""
-        ids = [lot.grant for lot in self._spent if lot.source == source and lot.grant]
-        kept = (lot for lot in self._spent if lot.source != source)
-        self._spent = collections.deque(kept, maxlen=SPENT_KEPT)
+        ids = [
+            batch.grant
+            for batch in self._spent_batches
+            if batch.source == source and batch.grant
+        ]
+        kept = (batch for batch in self._spent_batches if batch.source != source)
+        self._spent_batches = collections.deque(kept, maxlen=MAX_SPENT_BATCHES)
         return ids
 
-    def take_oldest(self, now: float) -> Lot | None:
+    def take_oldest(self, now: float) -> TokenBatch | None:
         """Take out the oldest lot whole, to settle its grant or to pass it on."""
         self._drop_expired(now)
-        return self._lots.popleft() if self._lots else None
+        return self._batches.popleft() if self._batches else None
 
     def _drop_expired(self, now: float) -> None:
-        self._lots = collections.deque(
-            lot for lot in self._lots if lot.expires_at > now
+        self._batches = collections.deque(
+            batch for batch in self._batches if batch.expires_at > now
         )
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -13,7 +13,7 @@
 from primroseglade.rates.lease import Candidate, Elector, hash_electors, Partitions
 
 PARTITION = 7
-LEASE = 3.0
+LEASE_SECONDS = 3.0
 NAMES = ("n1", "n2", "n3", "n4", "n5", "n6")
 
 
@@ -41,8 +41,8 @@
 
 def build_elector(own: str, clock: Clock, names=NAMES) -> Elector:
     members = build_members(own, names)
-    elector = Elector(members, Partitions(members), LEASE, clock)
-    clock.now += LEASE + 1
+    elector = Elector(members, Partitions(members), LEASE_SECONDS, clock)
+    clock.now += LEASE_SECONDS + 1
     return elector
 
 
@@ -62,7 +62,7 @@
     assert elector.vote("z", ballot, "one").granted
     assert not elector.vote("z", ballot, "two").granted
     assert elector.vote("z", ballot, "one").granted
-    clock.now += LEASE + 0.1
+    clock.now += LEASE_SECONDS + 0.1
     assert elector.vote("z", build_ballot(build_members(name), 2), "two").granted
     assert not elector.vote("z", ballot, "one").granted
 
@@ -71,10 +71,10 @@
     """An elector votes for one holder, dies, comes back, and is asked by another."""
     name = find_elector_name()
     members = build_members(name)
-    elector = Elector(members, Partitions(members), LEASE, clock)
+    elector = Elector(members, Partitions(members), LEASE_SECONDS, clock)
     ballot = build_ballot(members)
     assert not elector.vote("z", ballot, "two").granted
-    clock.now += LEASE - 0.1
+    clock.now += LEASE_SECONDS - 0.1
     assert not elector.vote("z", ballot, "two").granted
     clock.now += 0.2
     assert elector.vote("z", ballot, "two").granted
@@ -133,7 +133,7 @@
         client,
         lambda: {PARTITION},
         lambda _: None,
-        LEASE,
+        LEASE_SECONDS,
         Journal(own, "error"),
         Metrics(),
     )
@@ -145,8 +145,8 @@
     electors = {}
     for name in NAMES:
         members = build_members(name)
-        electors[name] = Elector(members, Partitions(members), LEASE, clock)
-    clock.now += LEASE + 1
+        electors[name] = Elector(members, Partitions(members), LEASE_SECONDS, clock)
+    clock.now += LEASE_SECONDS + 1
     ranked = Partitions(build_members("n1")).rank("z", PARTITION)
     return ranked, electors
 
@@ -168,7 +168,7 @@
     first = build_candidate(ranked[0], electors)
     await first._campaign()
     assert first.find_lease(PARTITION) is not None
-    clock.now += LEASE + 0.1
+    clock.now += LEASE_SECONDS + 0.1
     assert first.find_lease(PARTITION) is None
     second = build_candidate(ranked[1], electors)
     for elector in (*electors.values(), second):
@@ -186,7 +186,7 @@
     ranked, electors = build_zone(clock)
     first = build_candidate(ranked[0], electors)
     await first._campaign()
-    await first.give_up()
+    await first.release_leases()
     assert first.find_lease(PARTITION) is None
     second = build_candidate(ranked[1], electors)
     for elector in (*electors.values(), second):
@@ -214,4 +214,4 @@
     await candidate._campaign()
     lease = candidate.find_lease(PARTITION)
     assert lease is not None
-    assert lease.expires_at <= started + LEASE
+    assert lease.expires_at <= started + LEASE_SECONDS
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -7,11 +7,11 @@
 
 from primroseglade.rates.bucket import Bucket
 from primroseglade.rates.lease import count_quorum
-from primroseglade.rates.purse import Lot, Purse
+from primroseglade.rates.token_reserve import TokenBatch, TokenReserve
 
 RATE = 10.0
 BURST = 5.0
-LIFE = 1.0
+LIFETIME_SECONDS = 1.0
 
 
 class TokenLedger(RuleBasedStateMachine):
@@ -25,7 +25,7 @@
     def start(self):
         self.now = 100.0
         self.buckets = [self.build_bucket(self.now) for _ in range(2)]
-        self.purses = [Purse(), Purse()]
+        self.reserves = [TokenReserve(), TokenReserve()]
         self.grants: list[int] = []
         self.spent: list[float] = []
 
@@ -44,48 +44,50 @@
         lost=st.booleans(),
         delay=st.floats(0.0, 1.5),
     )
-    def ask(self, wanted, zone, node, lost, delay):
+    def request_grant(self, wanted, zone, node, lost, delay):
         """Ask a zone for tokens; the answer may be lost, or come after a pause.
 
         A loan is the same to the ledger: tokens that are out until they lapse.
         """
         sent_at = self.now
         self.now += delay / 2
-        grant = self.buckets[zone].grant(wanted, LIFE, self.now)
+        grant = self.buckets[zone].grant(wanted, LIFETIME_SECONDS, self.now)
         self.now += delay / 2
         if grant is not None and not lost:
-            self.purses[node].add(
-                Lot(grant.id, grant.tokens, sent_at + LIFE, str(zone))
+            self.reserves[node].add(
+                TokenBatch(
+                    grant.id, grant.tokens, sent_at + LIFETIME_SECONDS, str(zone)
+                )
             )
 
     @rule(node=st.integers(0, 1))
     def spend(self, node):
-        if self.purses[node].spend(1.0, self.now):
+        if self.reserves[node].spend(1.0, self.now):
             self.spent.append(self.now)
 
     @rule(zone=st.integers(0, 1), node=st.integers(0, 1), repeated=st.booleans())
-    def settle(self, zone, node, repeated):
-        for grant in self.purses[node].take_spent(str(zone)):
-            self.buckets[zone].settle(grant, self.now)
+    def record_spent(self, zone, node, repeated):
+        for grant in self.reserves[node].take_spent(str(zone)):
+            self.buckets[zone].record_spent(grant, self.now)
             if repeated:
-                self.buckets[zone].settle(grant, self.now)
+                self.buckets[zone].record_spent(grant, self.now)
 
     @rule(zone=st.integers(0, 1), gap=st.floats(0.0, 1.0))
     def replace_holder(self, zone, gap):
         """The holder is lost and forgets everything; another takes the lease."""
         self.now += gap
-        self.buckets[zone] = self.build_bucket(self.now + LIFE)
+        self.buckets[zone] = self.build_bucket(self.now + LIFETIME_SECONDS)
 
     @rule(
         zone=st.integers(0, 1),
         rate=st.floats(1.0, RATE / 2),
         burst=st.floats(1.0, BURST / 2),
     )
-    def lower(self, zone, rate, burst):
-        self.buckets[zone].change(rate, burst, self.now)
+    def lower_rate(self, zone, rate, burst):
+        self.buckets[zone].update(rate, burst, self.now)
 
     @invariant()
-    def never_over(self):
+    def never_exceeds_rate_and_burst(self):
         for first, last in itertools.combinations(range(len(self.spent)), 2):
             window = self.spent[last] - self.spent[first]
             assert last - first + 1 <= BURST + RATE * window + 1e-6
@@ -109,9 +111,9 @@
     """
     bucket = Bucket(RATE, BURST, 0.0, 0.0)
     bucket.accrue(10.0)
-    assert bucket.grant(BURST, LIFE, 10.0).tokens == BURST
-    assert bucket.grant(BURST, LIFE, 10.9) is None
-    assert bucket.grant(BURST, LIFE, 11.1) is not None
+    assert bucket.grant(BURST, LIFETIME_SECONDS, 10.0).tokens == BURST
+    assert bucket.grant(BURST, LIFETIME_SECONDS, 10.9) is None
+    assert bucket.grant(BURST, LIFETIME_SECONDS, 11.1) is not None
 
 
 def test_spent_part_of_a_loan_makes_room_for_as_much():
@@ -122,9 +124,9 @@
     """
     bucket = Bucket(RATE, BURST, 0.0, 0.0)
     bucket.accrue(10.0)
-    loan = bucket.grant(BURST, LIFE, 10.0)
-    bucket.settle(loan.id, 10.0, 2.0)
-    assert bucket.out == BURST - 2.0
+    loan = bucket.grant(BURST, LIFETIME_SECONDS, 10.0)
+    bucket.record_spent(loan.id, 10.0, 2.0)
+    assert bucket.outstanding == BURST - 2.0
     bucket.accrue(10.9)
     assert bucket.level == 2.0
 
@@ -135,16 +137,16 @@
     Were its successor to grant at once, both bursts would be spent together.
     """
     bucket = Bucket(RATE, BURST, now=10.0, blocked_until=11.0)
-    assert bucket.grant(1.0, LIFE, 10.9) is None
-    assert not bucket.is_open(10.9)
-    assert bucket.grant(1.0, LIFE, 11.2) is not None
+    assert bucket.grant(1.0, LIFETIME_SECONDS, 10.9) is None
+    assert not bucket.is_unblocked(10.9)
+    assert bucket.grant(1.0, LIFETIME_SECONDS, 11.2) is not None
 
 
 def test_paused_node_does_not_spend_tokens_that_have_lapsed():
-    purse = Purse()
-    purse.add(Lot(1, 5.0, expires_at=2.0, source="h"))
-    assert purse.spend(1.0, 1.9)
-    assert not purse.spend(1.0, 2.0)
+    reserve = TokenReserve()
+    reserve.add(TokenBatch(1, 5.0, expires_at=2.0, source="h"))
+    assert reserve.spend(1.0, 1.9)
+    assert not reserve.spend(1.0, 2.0)
 
 
 @given(st.integers(1, 5), st.data())
