--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -107,7 +107,7 @@
         return min(1.0, window.admitted_fraction)
 
     def describe(self) -> dict[str, float]:
-        """Return the admitted fractions below 1, for the operator listener."""
+        """Return the admitted fractions below 1, for the operator address."""
         fractions = {}
         for service, workspace, importance in list(self._windows):
             admitted_fraction = self.get_admitted_fraction(
--- a/primroseglade/rates/__init__.py
+++ b/primroseglade/rates/__init__.py
@@ -1,1 +1,1 @@
-"""Rates and bursts of workspaces, kept over the whole fleet without agreement."""
+"""Rates and bursts of workspaces, enforced over the whole fleet without consensus."""
--- a/primroseglade/rates/bucket.py
+++ b/primroseglade/rates/bucket.py
@@ -1,8 +1,9 @@
-"""A zone's token bucket for one workspace, which never makes a token twice.
+"""A zone's token bucket for one workspace, which never grants a token twice.
 
-The sum of what stands in the bucket and of what was granted and may yet be spent is
-never over the burst. In any window, then, the tokens spent are at most those that
-stood or were out at its start, and those that accrued in it: burst + rate × time.
+The tokens in the bucket and the outstanding ones, which were granted and may still be
+spent, never exceed the burst together. So the tokens spent in any window are at most
+those that were in the bucket or outstanding at its start, plus those that accrued in
+it: burst + rate × time.
 """
 
 import itertools
@@ -10,7 +11,7 @@
 
 
 class Grant:
-    """Tokens that went out, and until when they may be spent."""
+    """Granted tokens, and the time until which they may be spent."""
 
     __slots__ = ("expires_at", "id", "tokens")
 
@@ -21,14 +22,14 @@
 
 
 class Bucket:
-    """Tokens that accrue with time, less what is out.
+    """Token bucket whose outstanding grants count against the burst.
 
     Args:
-        rate: Tokens a second.
-        burst: Most tokens that stand or are out together.
+        rate: Tokens per second.
+        burst: Maximum number of tokens, in the bucket and outstanding.
         now: Seconds on the caller's clock.
-        blocked_until: Up to this time a predecessor's grants may be spent; they
-            count as if they were the whole burst.
+        blocked_until: Time until which a previous holder's grants may be spent. Until
+            then they are assumed to be the whole burst.
     """
 
     _ids = itertools.count(1)
@@ -43,32 +44,32 @@
 
     @property
     def level(self) -> float:
-        """Tokens that may be granted, as of the last accrual."""
+        """Tokens available to grant, as of the last accrual."""
         return self._level
 
     @property
     def outstanding(self) -> float:
-        """Tokens that were granted and may yet be spent."""
+        """Tokens that were granted and may still be spent."""
         return sum(grant.tokens for grant in self._outstanding.values())
 
     @property
     def rate(self) -> float:
-        """Tokens a second."""
+        """Tokens per second."""
         return self._rate
 
     def is_unblocked(self, now: float) -> bool:
-        """Whether a predecessor's grants have all ended."""
+        """Whether all grants of a previous holder have expired."""
         return now > self._blocked_until
 
     def update(self, rate: float, burst: float, now: float) -> None:
-        """Go on with another rate and burst from now on."""
+        """Update the rate and burst from now on."""
         self.accrue(now)
         self._rate = rate
         self._burst = burst
         self._level = max(0.0, min(self._level, burst - self.outstanding))
 
     def accrue(self, now: float) -> None:
-        """Bring the level up to date."""
+        """Add the tokens that accrued up to now, and drop expired grants."""
         expired = [g.id for g in self._outstanding.values() if g.expires_at <= now]
         for grant in expired:
             del self._outstanding[grant]
@@ -80,10 +81,10 @@
         self._level = min(free_capacity, self._level + self._rate * (now - start))
 
     def grant(self, requested: float, lifetime: float, now: float) -> Grant | None:
-        """Take up to ``wanted`` tokens out, for ``life`` seconds.
+        """Grant up to ``requested`` tokens for ``lifetime`` seconds.
 
         Returns:
-            The grant, or None where there is nothing to grant.
+            The grant, or None if there is nothing to grant.
         """
         self.accrue(now)
         tokens = min(requested, self._level)
@@ -95,10 +96,10 @@
         return grant
 
     def record_spent(self, grant_id: int, now: float, tokens: float = math.inf) -> None:
-        """Note that tokens of a grant are spent, or all that it had.
+        """Record that some or all tokens of a grant were spent.
 
-        Without this a spent token would count as out until its grant's end, and a
-        burst smaller than what is spent in a grant's life would throttle the rate.
+        If spent tokens stayed outstanding until their grant expires, a burst smaller
+        than the tokens spent in that time would limit the rate.
         """
         self.accrue(now)
         grant = self._outstanding.get(grant_id)
@@ -110,11 +111,11 @@
 
     @classmethod
     def make_id(cls) -> int:
-        """Return a number that no grant of any bucket in this process has."""
+        """Return a grant id that is unique in this process."""
         return next(cls._ids)
 
     def get_wait_seconds(self, tokens: float) -> float:
-        """Return seconds until that many tokens have accrued."""
+        """Return seconds until this many tokens are available."""
         missing = tokens - self._level
         blocked_seconds = max(0.0, self._blocked_until - self._updated_at)
         return (
--- a/primroseglade/rates/clock.py
+++ b/primroseglade/rates/clock.py
@@ -4,9 +4,9 @@
 
 
 def read_clock() -> float:
-    """Return seconds that go on counting while the machine is suspended.
+    """Return monotonic seconds, including time in which the machine is suspended.
 
-    ``time.monotonic`` stands still then: a holder that was suspended would take its
-    lease for young, and grant beside its successor.
+    ``time.monotonic`` stops during a suspend: a holder that resumes would believe that
+    its lease is still valid, and grant tokens at the same time as its successor.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/primroseglade/rates/coordinator.py
+++ b/primroseglade/rates/coordinator.py
@@ -1,4 +1,4 @@
-"""All that one node does for rates: leases, buckets, shares, and charging."""
+"""A node's rate limiting: leases, buckets, shares and the limiter."""
 
 from ..fleet.configuration import Configuration
 from ..fleet.confirm import Confirmer
@@ -16,16 +16,16 @@
 
 
 class RateCoordinator:
-    """Puts the parts of rates together and keeps them to the document.
+    """Wires the components of rate limiting and applies the document to them.
 
     Args:
-        settings: Of the node.
-        members: The fleet.
-        configuration: The document.
-        confirmer: Asks the fleet how far it is.
-        client: Asks other nodes.
-        journal: Told of leases.
-        metrics: Counts tokens.
+        settings: Settings of the node.
+        members: Members of the fleet.
+        configuration: Holds the configuration document.
+        confirmer: Collects which configuration the instances have.
+        client: Sends control messages to other nodes.
+        journal: Logs acquired and lost leases.
+        metrics: Counts tokens and leases.
     """
 
     def __init__(
@@ -76,32 +76,32 @@
 
     @property
     def holder(self) -> Holder:
-        """The rate tokens that this instance holds."""
+        """Grants the rate tokens for which this instance holds the lease."""
         return self._holder
 
     @property
     def limiter(self) -> RateLimiter:
-        """Charges root calls that enter here."""
+        """Limits root calls that enter at this node."""
         return self._limiter
 
     def register(self, server: ControlServer) -> None:
-        """Answer candidates, nodes and other holders."""
+        """Register handlers of votes, grants and loans."""
         self._elector.register(server)
         self._holder.register(server)
 
     def start(self, supervisor: Supervisor) -> None:
-        """Begin with the configuration and the members that are known by now."""
+        """Start with the current configuration and members."""
         self._zone_share.activate(self._get_reported_shares())
         supervisor.start("leases", self._candidate.run)
         supervisor.start("shares", self._zone_share.run)
 
     def apply_document(self) -> None:
-        """Take rates and shares over from the document."""
+        """Apply the rates and shares in the document."""
         self._zone_share.apply_document()
         self._holder.apply_entitlements()
 
     async def release_leases(self) -> None:
-        """Give leases up before a planned stop."""
+        """Release all leases before a planned stop."""
         await self._candidate.release_leases()
 
     def _apply_shares(self) -> None:
--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -1,4 +1,4 @@
-"""Holds the buckets of the partitions leased to this instance."""
+"""Holds the token buckets of the partitions leased to this instance."""
 
 import asyncio
 import math
@@ -15,20 +15,21 @@
 from .token_reserve import ROUNDING_TOLERANCE, TokenBatch
 
 LOAN_TIMEOUT_SECONDS = 0.25
-# What a zone's demand exceeds its own rate by is borrowed for this long ahead.
+# Demand over the zone's own rate is borrowed for this time ahead.
 BORROW_AHEAD_SECONDS = 0.3
-# Of what stands, one node gets at most this share at once, so that the next finds some.
+# Maximum fraction of the bucket's level in one grant, so that some remains for the
+# next node.
 MAX_GRANT_RATIO = 0.5
 MAX_RETRY_AFTER_SECONDS = 5.0
-# When enough was lent but another was quicker, the next loan is asked for at once.
+# If enough was lent but other requests took it, another loan is requested immediately.
 MAX_LOAN_ROUNDS = 3
-# After a round that brought less than a token to a workspace that asks for more than
-# this multiple of its rate, calls are refused without another round.
+# If a round of loans brings less than a token for a workspace whose demand is over this
+# multiple of its rate, calls are refused without another round for a short time.
 OVER_RATE_FACTOR = 1.1
 BORROWING_PAUSE_SECONDS = 0.05
-# A workspace within its rate waits so long for a token that is about to accrue.
+# Requests of a workspace within its rate wait at most this long for a token to accrue.
 MAX_ACCRUAL_WAIT_SECONDS = 0.1
-# Grants made of loans that no node has reported spent; older ones have lapsed.
+# Grants made of loans that no node has reported spent yet; older ones have expired.
 MAX_TRACKED_GRANTS = 1024
 MIN_RETRY_AFTER_SECONDS = 0.05
 
@@ -37,12 +38,12 @@
     """Grants tokens to the zone's nodes and lends them to other zones' holders.
 
     Args:
-        members: Where holders are.
-        partitions: Which instances they should be.
-        candidate: Knows which leases are held.
-        client: Asks other zones' holders.
-        get_entitlement: Returns a workspace's rate here, None where it has none.
-        life: Seconds that granted tokens may be spent in.
+        members: Members of the fleet, with the addresses of holders.
+        partitions: Ranks the instances that should hold each partition.
+        candidate: Keeps the leases of this instance.
+        client: Sends requests to other zones' holders.
+        get_entitlement: Returns a workspace's rate in this zone, None if it has none.
+        grant_lifetime: Seconds in which granted tokens may be spent.
     """
 
     def __init__(
@@ -63,18 +64,18 @@
         self._quotas: dict[str, WorkspaceQuota] = {}
 
     def register(self, server: ControlServer) -> None:
-        """Answer nodes and other holders."""
+        """Register handlers of grants and loans."""
         server.register("Grant", self._handle_grant)
         server.register("Loan", self._handle_loan)
 
     def start_lease(self, lease: Lease) -> None:
-        """Begin a partition anew: nothing stands, and a predecessor's may be out."""
+        """Reset the buckets of a partition whose lease was just acquired."""
         for workspace in list(self._quotas):
             if get_partition(workspace) == lease.partition:
                 del self._quotas[workspace]
 
     def apply_entitlements(self) -> None:
-        """Take the document's rates over into the buckets."""
+        """Apply the document's rates to the buckets."""
         now = read_clock()
         for workspace, quota in list(self._quotas.items()):
             entitlement = self._get_entitlement(workspace)
@@ -85,7 +86,7 @@
                 quota.fleet_rate = entitlement.fleet_rate
 
     async def grant(self, request: pb.GrantRequest) -> pb.GrantReply:
-        """Grant tokens, own ones first and then lent ones."""
+        """Grant tokens of this zone and tokens borrowed from other zones."""
         quota = self._find_quota(request.workspace)
         if quota is None:
             return pb.GrantReply(holder=False)
@@ -106,29 +107,28 @@
         ):
             rounds += 1
             enough = await self._borrow(request.workspace, quota, request.wanted)
-            # The wait may have outlived the lease.
+            # The lease may have ended during the wait.
             if self._find_quota(request.workspace) is not quota:
                 return pb.GrantReply(holder=False)
             reply = self._grant_tokens(quota, request.wanted)
             if reply is None and not enough and self._is_over_rate(quota):
-                # Less than a whole token was lent. Asking on and on would only move
-                # fractions to and fro between zones, and the caller would wait for
-                # what it can be told at once.
+                # Less than a whole token was lent. Further requests would only move
+                # fractions back and forth between zones, and delay the denial.
                 quota.borrowing_paused_until = read_clock() + BORROWING_PAUSE_SECONDS
         if reply is None and not quota.bucket.is_unblocked(read_clock()):
-            # Not a workspace over its rate, but a holder that may not grant yet.
+            # The workspace is not over its rate; this holder may not grant yet.
             return pb.GrantReply(holder=False)
         if reply is None and not self._is_over_rate(quota):
             reply = await self._wait_for_accrual(request, quota)
         return reply or self._build_denial(quota)
 
     def holds(self, workspace: str) -> bool:
-        """Whether the workspace's tokens in this zone are granted here now."""
+        """Whether this instance now grants the workspace's tokens in this zone."""
         quota = self._find_quota(workspace)
         return quota is not None and quota.bucket.is_unblocked(read_clock())
 
     def describe(self) -> dict[str, dict[str, float]]:
-        """Return the accounts for the operator address."""
+        """Return the state of each workspace's tokens, for the operator address."""
         now = read_clock()
         described = {}
         for workspace, quota in self._quotas.items():
@@ -163,12 +163,12 @@
     def _grant_tokens(
         self, quota: WorkspaceQuota, wanted: float
     ) -> pb.GrantReply | None:
-        """Return a grant of whole tokens, or None where there is not one."""
+        """Return a grant of whole tokens, or None if less than one is available."""
         now = read_clock()
         bucket = quota.bucket
         bucket.accrue(now)
         max_tokens = math.floor(min(wanted, max(1.0, bucket.level * MAX_GRANT_RATIO)))
-        # Lent tokens first: they lapse, and the own ones do not.
+        # Borrowed tokens first: they expire, the zone's own tokens do not.
         if bucket.level >= 1 and quota.borrowed.count_tokens(now) < 1:
             grant = bucket.grant(max_tokens, self._grant_lifetime, now)
             assert grant is not None
@@ -183,7 +183,7 @@
     def _grant_borrowed(
         self, quota: WorkspaceQuota, wanted: float, now: float
     ) -> pb.GrantReply | None:
-        """Pass lent tokens on, with fractions of the own bucket to make them whole."""
+        """Grant borrowed tokens, completed from the own bucket to whole tokens."""
         bucket = quota.bucket
         available = quota.borrowed.count_tokens(now) + bucket.level
         whole_tokens = math.floor(min(wanted, available) + ROUNDING_TOLERANCE)
@@ -218,10 +218,10 @@
         )
 
     def _borrow_ahead(self, workspace: str, quota: WorkspaceQuota) -> None:
-        """Borrow before the own tokens are gone, where demand is over the own rate.
+        """Borrow before the own bucket is empty, if demand is over the own rate.
 
-        Otherwise this zone's bucket empties while those of the others are full, and
-        what would accrue there is lost.
+        Otherwise this zone's bucket would empty while those of other zones are full
+        and can accrue no more tokens.
         """
         borrow_tokens = (
             quota.demand.estimate() - quota.bucket.rate
@@ -235,10 +235,10 @@
     async def _wait_for_accrual(
         self, request: pb.GrantRequest, quota: WorkspaceQuota
     ) -> pb.GrantReply | None:
-        """Wait for the next token where it comes soon, as after a hand-over.
+        """Wait for the next token if it accrues soon, as after a handover.
 
-        A new holder starts empty; refusing for that what is within the rate would be
-        wrong, and a few milliseconds are no matter.
+        A new holder's bucket is empty. Without the wait of some milliseconds, calls
+        within the rate would be refused.
         """
         wait_seconds = quota.bucket.get_wait_seconds(1.0)
         if wait_seconds > MAX_ACCRUAL_WAIT_SECONDS:
@@ -249,7 +249,7 @@
         return self._grant_tokens(quota, request.wanted)
 
     def _is_over_rate(self, quota: WorkspaceQuota) -> bool:
-        """Whether this zone alone is asked for more than the whole fleet may grant."""
+        """Whether this zone's demand alone exceeds the rate of the whole fleet."""
         return quota.demand.estimate() > OVER_RATE_FACTOR * quota.fleet_rate
 
     def _build_denial(self, quota: WorkspaceQuota) -> pb.GrantReply:
@@ -262,7 +262,11 @@
     async def _borrow(
         self, workspace: str, quota: WorkspaceQuota, wanted: float
     ) -> bool:
-        """Ask other zones, once for all who wait; whether they lent enough."""
+        """Borrow from other zones, in one task for all waiting requests.
+
+        Returns:
+            Whether enough was lent.
+        """
         if quota.borrow_task is None or quota.borrow_task.done():
             missing = max(1.0, wanted) - quota.bucket.level
             quota.borrow_task = asyncio.create_task(
@@ -273,7 +277,7 @@
     async def _request_loans(
         self, workspace: str, quota: WorkspaceQuota, missing: float
     ) -> bool:
-        """Ask every zone for its part, and then one after another for the rest."""
+        """Request equal loans from all zones, then the rest from one after another."""
         own_zone = self._members.own.zone
         zones = _shuffle(set(self._members.zones) - {own_zone})
         if not zones:
@@ -316,25 +320,25 @@
                 member.control, "Loan", request, LOAN_TIMEOUT_SECONDS, member.instance
             )
         except PeerError:
-            # Tokens in a lost answer are gone; the lender wrote them off.
+            # Tokens in a lost reply cannot be spent; they expire at the lender.
             return None
-        # Counted from before the question: they end here before the lender takes
-        # them for ended.
+        # Counted from before the request was sent, so that they expire here before
+        # they expire at the lender.
         expires_at = sent_at + reply.life_ms / 1000
         if reply.tokens <= 0:
             return None
         return TokenBatch(reply.loan, reply.tokens, expires_at, zone)
 
     def _find_quota(self, workspace: str) -> WorkspaceQuota | None:
-        """Return the account, if its partition is held here at this moment."""
+        """Return the workspace's tokens if this instance now holds their lease."""
         lease = self._candidate.find_lease(get_partition(workspace))
         entitlement = self._get_entitlement(workspace)
         if lease is None or entitlement is None:
             return None
         quota = self._quotas.get(workspace)
         if quota is None:
-            # A predecessor's tokens may be spent until its last grant's end, which
-            # is not later than one life after this lease began.
+            # A previous holder's tokens may be spent until its last grant expires, at
+            # most one grant lifetime after this lease was acquired.
             blocked_until = lease.acquired_at + self._grant_lifetime
             bucket = Bucket(
                 entitlement.rate, entitlement.burst, lease.acquired_at, blocked_until
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -1,9 +1,9 @@
-"""Leases on partitions of workspaces: at most one holder a zone, without the log.
+"""Leases on partitions of workspaces: at most one holder per zone, without the log.
 
-Five electors a partition, named by rendezvous hashing, each vote for one candidate at
-a time and for a lease's length. A holder needs four of them (fewer in a small zone),
-so two sets of electors that differ by up to two members, as nodes with different
-views may see them, still share a voter.
+Each partition has five electors, selected by rendezvous hashing. An elector votes for
+one candidate at a time, for the duration of a lease. A holder needs four votes (fewer
+in a small zone): even if nodes with different views of the members see sets of electors
+that differ by up to two, any two majorities share a voter.
 """
 
 import asyncio
@@ -26,12 +26,12 @@
 
 
 def get_partition(workspace: str) -> int:
-    """Return the partition that a workspace's tokens are in."""
+    """Return the partition of a workspace's tokens."""
     return zlib.crc32(workspace.encode()) % PARTITION_COUNT
 
 
 def count_quorum(electors: int) -> int:
-    """Return how many electors' votes make a holder.
+    """Return the number of votes that a holder needs.
 
     >>> [count_quorum(electors) for electors in (1, 2, 3, 4, 5)]
     [1, 2, 2, 3, 4]
@@ -44,27 +44,27 @@
 
 
 class Partitions:
-    """Which instances of a zone should hold, and vote on, each partition.
+    """Ranks the instances of a zone that should hold, and vote on, each partition.
 
     Args:
-        members: Who is in which zone.
+        members: Members of the fleet and their zones.
     """
 
     def __init__(self, members: Members):
         self._ranking = ZoneRanking(members)
 
     def rank(self, zone: str, partition: int) -> list[str]:
-        """Return the zone's electors, the one that should hold the partition first."""
+        """Return the partition's electors, the one that should hold it first."""
         return self._ranking.get(zone, f"rates/{partition}", ELECTORS_PER_PARTITION)
 
 
 def hash_electors(electors: list[str]) -> int:
-    """Return a hash of the electors' names, in any order."""
+    """Return a hash of the electors' names, regardless of their order."""
     return zlib.crc32("|".join(sorted(electors)).encode())
 
 
 class Lease:
-    """A partition held until a time on this instance's clock."""
+    """Lease on a partition, until a time on this instance's clock."""
 
     __slots__ = ("acquired_at", "epoch", "expires_at", "partition")
 
@@ -78,7 +78,7 @@
 
 
 class CastVote:
-    """Whom an elector has voted for, and until when."""
+    """An elector's vote for a candidate, until a time on the elector's clock."""
 
     __slots__ = ("candidate", "epoch", "expires_at")
 
@@ -89,13 +89,13 @@
 
 
 class Elector:
-    """Votes, for one candidate a partition at a time.
+    """Votes for one candidate per partition at a time.
 
     Args:
-        members: Whom there is to vote for, and who else votes.
-        partitions: Who the electors are.
-        lease: Seconds that a vote lasts.
-        clock: Seconds.
+        members: Members of the zone.
+        partitions: Ranks the electors of each partition.
+        lease_seconds: Duration of a vote.
+        clock: Returns the time in seconds.
     """
 
     def __init__(
@@ -109,17 +109,17 @@
         self._partitions = partitions
         self._lease_seconds = lease_seconds
         self._clock = clock
-        # A process that has just started may be an elector that voted, died and
-        # forgot: until that vote is surely over it gives none.
+        # A restarted elector has lost the votes of its previous process, and abstains
+        # until these have certainly expired.
         self._abstains_until = clock() + lease_seconds
         self._votes: dict[int, CastVote] = {}
 
     def register(self, server: ControlServer) -> None:
-        """Answer candidates."""
+        """Register the handler of vote requests."""
         server.register("Vote", self._handle_vote)
 
     def vote(self, zone: str, ballot: pb.Ballot, candidate: str) -> pb.Vote:
-        """Vote on one partition."""
+        """Return the vote on a candidate's ballot for one partition."""
         last_vote = self._votes.get(ballot.partition)
         epoch = max(ballot.epoch, last_vote.epoch if last_vote else 0)
         granted = self._may_vote(zone, ballot, candidate, last_vote)
@@ -129,7 +129,7 @@
         return pb.Vote(partition=ballot.partition, granted=granted, epoch=epoch)
 
     def release(self, partition: int, candidate: str) -> None:
-        """End a vote early: the candidate gave its lease up."""
+        """End a vote for a candidate that released its lease."""
         last_vote = self._votes.get(partition)
         if last_vote is not None and last_vote.candidate == candidate:
             last_vote.expires_at = self._clock()
@@ -145,8 +145,8 @@
             is_bound = last_vote.candidate != candidate and last_vote.expires_at > now
             if is_bound or ballot.epoch < last_vote.epoch:
                 return False
-        # A part of the zone that is cut off from the rest counts the others as dead
-        # and would name electors among its own members: only the larger part votes.
+        # Members in the smaller part of a partitioned zone see the others as dead, and
+        # would select electors among themselves: only the larger part votes.
         reachable, total = self._members.count_electorate(zone)
         if 2 * reachable <= total and total > 1:
             return False
@@ -163,18 +163,18 @@
 
 
 class Candidate:
-    """Takes and keeps leases on the partitions that are this instance's to hold.
+    """Acquires and renews leases on the partitions that this instance should hold.
 
     Args:
-        members: The zone's nodes.
-        partitions: Who the electors are.
-        elector: This instance's own vote.
-        client: Asks other electors.
-        get_partitions: Returns the partitions that any workspace is in.
-        on_taken: Called with a lease when it was taken anew.
-        lease: Seconds that a lease lasts.
-        journal: Told of leases.
-        metrics: Counts them.
+        members: Members of the zone.
+        partitions: Ranks the electors of each partition.
+        elector: This instance's own elector.
+        client: Sends vote requests to other electors.
+        get_partitions: Returns the partitions that contain a workspace.
+        on_acquired: Called with each new lease, but not on renewals.
+        lease_seconds: Duration of a lease.
+        journal: Logs acquired and lost leases.
+        metrics: Counts leases.
     """
 
     def __init__(
@@ -204,14 +204,14 @@
 
     @property
     def leases(self) -> dict[int, Lease]:
-        """Leases by partition, lapsed ones too until they are renewed or dropped."""
+        """Leases by partition, including expired ones not yet renewed or dropped."""
         return self._leases
 
     def find_lease(self, partition: int) -> Lease | None:
-        """Return the lease, if it is held at this moment.
+        """Return the lease if it is valid now, else None.
 
-        To be asked before every grant and after every wait: the process may have
-        been paused for longer than the lease in between.
+        To be called before every grant and after every wait, as the process may have
+        been paused for longer than the lease.
         """
         lease = self._leases.get(partition)
         if lease is None or lease.expires_at <= read_clock():
@@ -219,19 +219,19 @@
         return lease
 
     async def run(self) -> None:
-        """Renew leases, and take those that fall to this instance."""
+        """Renew leases, and acquire those that this instance should hold."""
         while True:
             await self._campaign()
             pause = self._lease_seconds / RENEWALS_PER_LEASE
             await asyncio.sleep(pause * random.uniform(0.7, 1.0))
 
     async def release_leases(self) -> None:
-        """Give every lease up, so that successors need not wait for its end."""
+        """Release all leases, so that successors need not wait for them to expire."""
         self._is_stopping = True
         await self._release(list(self._leases))
 
     async def _release(self, partitions: list[int]) -> None:
-        """Drop leases first, and only then let electors vote for another."""
+        """Drop leases, and only then allow electors to vote for other candidates."""
         if not partitions:
             return
         zone = self._members.own.zone
@@ -277,7 +277,7 @@
     async def _collect_votes(
         self, zone: str, ballots: dict[int, tuple[pb.Ballot, list[str]]]
     ) -> dict[int, int]:
-        """Ask every elector once, for all partitions, and count the votes."""
+        """Request the votes on all partitions from each elector, and count them."""
         by_elector: dict[str, list[pb.Ballot]] = {}
         for ballot, electors in ballots.values():
             for name in electors:
@@ -318,8 +318,8 @@
         return list(reply.votes)
 
     def _store_lease(self, partition: int, epoch: int, sent_at: float) -> None:
-        # Counted from before the question, so that it ends here before it ends at
-        # any elector.
+        # Counted from before the request was sent, so that the lease expires here
+        # before the vote expires at any elector.
         expires_at = sent_at + self._lease_seconds
         if expires_at <= read_clock():
             return
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -1,4 +1,4 @@
-"""Charges a node's root calls, with tokens asked for a little ahead."""
+"""Limits the rate of a node's root calls, with tokens requested slightly ahead."""
 
 import asyncio
 import math
@@ -18,22 +18,22 @@
 from .token_reserve import TokenBatch, TokenReserve
 
 GRANT_TIMEOUT_SECONDS = 0.6
-# Tokens for this long are asked for at once; more would lie idle at one node while
-# another refuses.
+# Each request asks for the tokens of this time; more would be unused at one node while
+# another one refuses calls.
 PREFETCH_SECONDS = 0.1
 DEMAND_SMOOTHING_SECONDS = 0.5
 MAX_LOCAL_HOLDERS = 2
 NO_HOLDER_RETRY_AFTER_SECONDS = 1.0
-# A holder that was lost is replaced within a lease; calls within their rate wait a
-# part of that time rather than be refused for it.
+# A lost holder is replaced within the duration of a lease. Calls wait part of that time
+# before they are refused.
 MAX_HANDOVER_WAIT_SECONDS = 1.0
 HOLDER_RETRY_SECONDS = 0.1
-# A holder's denial stands for the node's other calls for this long.
+# Time for which a holder's denial also applies to the node's other calls.
 DENIAL_CACHE_SECONDS = 0.02
 
 
 class Denial:
-    """A holder's answer that there is no token, and when there may be one."""
+    """Denial of a token; ``retry_after`` is negative if no holder was reached."""
 
     __slots__ = ("retry_after",)
 
@@ -42,7 +42,7 @@
 
 
 class WorkspaceState:
-    """What a node has of one workspace's tokens."""
+    """A node's tokens of one workspace, and its requests for more."""
 
     __slots__ = (
         "demand",
@@ -63,14 +63,14 @@
 
 
 class RateLimiter:
-    """Spends a token a root call.
+    """Spends one token per root call.
 
     Args:
-        members: Where holders are.
-        partitions: Which instances they should be.
-        holder: This instance's own, asked without a message.
-        client: Asks others.
-        get_rate: Returns a workspace's rate, None where it is not limited.
+        members: Members of the fleet, with the addresses of holders.
+        partitions: Ranks the instances that should hold each partition.
+        holder: This instance's own holder, called directly.
+        client: Sends requests to other holders.
+        get_rate: Returns a workspace's rate, None if it is not limited.
         metrics: Counts tokens.
     """
 
@@ -92,11 +92,11 @@
         self._states: dict[str, WorkspaceState] = {}
 
     async def charge(self, workspace: str, max_wait: float) -> None:
-        """Spend a token.
+        """Spend a token of the workspace.
 
         Args:
-            workspace: Whose.
-            patience: Seconds to wait for a holder's answer at the most.
+            workspace: Workspace of the root call.
+            max_wait: Maximum time to wait for a token, in seconds.
 
         Raises:
             Refusal: ``not run``: no token, or no holder can be reached.
@@ -114,8 +114,8 @@
             return
         is_over_rate = state.demand.estimate() > OVER_RATE_FACTOR * rate.per_second
         if is_over_rate and state.denial and read_clock() < state.denied_until:
-            # Said a moment ago: a workspace far over its rate must not cost a message
-            # for each of its calls.
+            # Reuses a recent denial: a workspace far over its rate must not cause a
+            # message per call.
             self._raise_denial(state)
         await self._wait_for_token(workspace, state, max_wait)
         self._metrics.tokens.labels("spent").inc()
@@ -149,11 +149,11 @@
             state.waiting_calls -= 1
 
     def _is_holder_unreachable(self, state: WorkspaceState) -> bool:
-        """Whether nobody who holds the tokens was reached, as while one is replaced."""
+        """Whether no holder was reached, as while one is being replaced."""
         return state.denial is not None and state.denial.retry_after < 0
 
     def _raise_denial(self, state: WorkspaceState) -> None:
-        """Refuse, unless tokens came and others were quicker."""
+        """Refuse the call, unless tokens arrived but other calls spent them."""
         denial = state.denial
         if denial is None:
             return
@@ -169,7 +169,7 @@
         )
 
     def _prefetch(self, workspace: str, state: WorkspaceState) -> None:
-        """Ask for more before the last token goes, where calls keep coming."""
+        """Request tokens before the last one is spent, if the demand is high enough."""
         prefetch_tokens = state.demand.estimate() * PREFETCH_SECONDS
         if (
             prefetch_tokens > 2
@@ -227,7 +227,7 @@
         return reply, sent_at
 
     def _list_holders(self, workspace: str) -> list[tuple[str, str]]:
-        """Return who may hold the workspace's tokens, this zone's first."""
+        """Return addresses and names of possible holders, this zone's first."""
         own_zone = self._members.own.zone
         partition = get_partition(workspace)
         names = self._partitions.rank(own_zone, partition)[:MAX_LOCAL_HOLDERS]
--- a/primroseglade/rates/quota.py
+++ b/primroseglade/rates/quota.py
@@ -1,4 +1,4 @@
-"""One workspace's tokens in one zone, and how much they are asked for."""
+"""A workspace's tokens in one zone, and the demand for them."""
 
 import asyncio
 import collections
@@ -8,15 +8,15 @@
 from .clock import read_clock
 from .token_reserve import TokenReserve
 
-# Long enough that one call by itself is no demand.
+# Long enough that a single call does not count as demand.
 DEMAND_SMOOTHING_SECONDS = 2.0
 
 
 class DemandEstimator:
-    """How many tokens a second are asked for, forgetting slowly.
+    """Estimates the requested tokens per second, with exponential decay.
 
     Args:
-        seconds: Over which it is smoothed.
+        seconds: Time constant of the decay.
     """
 
     __slots__ = ("_at", "_rate", "_seconds")
@@ -27,11 +27,11 @@
         self._at = read_clock()
 
     def record(self, tokens: float) -> None:
-        """Count tokens asked for now."""
+        """Record tokens requested now."""
         self._rate = self.estimate() + tokens / self._seconds
 
     def estimate(self) -> float:
-        """Return tokens a second as of now."""
+        """Return the current demand in tokens per second."""
         now = read_clock()
         self._rate *= math.exp((self._at - now) / self._seconds)
         self._at = now
@@ -39,12 +39,12 @@
 
 
 class LoanPart:
-    """Tokens of a loan.
+    """A number of tokens of one loan.
 
     Args:
-        zone: Whose holder lent them.
-        loan: The loan's number there.
-        tokens: How many.
+        zone: Zone of the holder that lent them.
+        loan: The loan's number at that holder.
+        tokens: Number of tokens.
     """
 
     __slots__ = ("loan", "tokens", "zone")
@@ -56,7 +56,7 @@
 
 
 class WorkspaceQuota:
-    """One workspace's tokens in this zone: the bucket, and what others lent."""
+    """A workspace's tokens in this zone: its bucket and tokens lent by other zones."""
 
     __slots__ = (
         "borrow_task",
@@ -74,18 +74,18 @@
         self.fleet_rate = fleet_rate
         self.borrowed = TokenReserve()
         self.demand = DemandEstimator(DEMAND_SMOOTHING_SECONDS)
-        # Loans that went into a grant, until a node has spent it.
+        # Loans that a grant was made of, by grant, until a node reports it spent.
         self.loans_by_grant: collections.OrderedDict[int, list[LoanPart]] = (
             collections.OrderedDict()
         )
-        # Spent parts of loans, until their lender is told.
+        # Spent parts of loans by zone, until they are reported to the lender.
         self.spent_loans: dict[str, list[LoanPart]] = {}
         self.borrow_task: asyncio.Task[bool] | None = None
         self.borrowing_paused_until = -math.inf
 
 
 class Entitlement:
-    """A workspace's rate and burst in one zone, and its rate over the whole fleet."""
+    """A workspace's rate and burst in one zone, and its rate in the whole fleet."""
 
     __slots__ = ("burst", "fleet_rate", "rate")
 
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -1,4 +1,4 @@
-"""This zone's share of every rate, which grows only when all others know."""
+"""This zone's share of every rate, raised only once all instances know the change."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,18 +11,18 @@
 
 
 class ZoneShare:
-    """Lets a smaller share through at once, a larger one after every confirmation.
+    """Applies a smaller share at once, a larger one when every instance confirmed it.
 
-    When a share moves from one zone to another, both would spend it for as long as
-    the loser has not heard of the edit. So the winner waits until every instance has
-    confirmed it. A zone that is cut off does not confirm: the share that moved lies
-    idle until it is back, or until its instances are forgotten.
+    When share moves from one zone to another, both would spend it until the first has
+    received the change. So the second waits until every instance has confirmed the
+    change. A zone that is partitioned off does not confirm: the moved share remains
+    unused until the zone is back, or until its instances are removed from the members.
 
     Args:
-        zone: The availability zone of this instance.
-        configuration: The document.
-        confirmer: Asks the fleet.
-        on_change: Called when another share came into force.
+        zone: Availability zone of this instance.
+        configuration: Holds the configuration document.
+        confirmer: Collects confirmations from the fleet.
+        on_change: Called when another share is in force.
     """
 
     def __init__(
@@ -47,22 +47,22 @@
 
     @property
     def awaited_offset(self) -> int | None:
-        """The offset that has to be confirmed for a larger share, or None."""
+        """Offset to be confirmed before the share is raised, or None."""
         return self._awaited_offset
 
     def activate(self, reported_shares: list[float]) -> None:
-        """Begin, with the configuration that this instance started from.
+        """Initialize the share from the configuration that this instance loaded.
 
         Args:
-            shares_told: Shares in force at other instances of the zone. One of them
-                may know of a share that others still have to confirm.
+            reported_shares: Shares in force at other instances of the zone. A larger
+                configured share may still await confirmations.
         """
         configured_share = self._get_configured_share()
         self._share = min([configured_share, *reported_shares])
         self.apply_document()
 
     def apply_document(self) -> None:
-        """Look at what the document says now."""
+        """Apply the document's share, or await confirmations of a larger one."""
         if self._share is None:
             return
         configured_share = self._get_configured_share()
@@ -76,7 +76,7 @@
         self._on_change()
 
     async def run(self) -> None:
-        """Ask for confirmations while a larger share waits for them."""
+        """Collect confirmations while a larger share awaits them."""
         while True:
             await self._changed.wait()
             self._changed.clear()
--- a/primroseglade/rates/token_reserve.py
+++ b/primroseglade/rates/token_reserve.py
@@ -1,20 +1,20 @@
-"""Tokens that a node or a holder has been given, each with its own end."""
+"""Tokens that were granted to a node or lent to a holder, until they expire."""
 
 import collections
 
-# Sums of fractions miss whole numbers by rounding; this much is no token.
+# Sums of fractional tokens are off by rounding errors of up to this many tokens.
 ROUNDING_TOLERANCE = 1e-6
 MAX_SPENT_BATCHES = 256
 
 
 class TokenBatch:
-    """Tokens of one grant.
+    """Tokens of one grant or loan.
 
     Args:
-        grant: Its id, to give back what is left.
-        tokens: How many are left.
-        expires_at: When they lapse.
-        source: Control address of who granted them.
+        grant: Id of the grant or loan, to report it spent.
+        tokens: Number of remaining tokens.
+        expires_at: Time at which they expire.
+        source: Control address of the granting holder, or the zone that lent them.
     """
 
     __slots__ = ("expires_at", "grant", "source", "tokens")
@@ -27,7 +27,7 @@
 
 
 class TokenReserve:
-    """Lots, spent in the order in which they came."""
+    """Batches of tokens, spent first in, first out."""
 
     def __init__(self) -> None:
         self._batches: collections.deque[TokenBatch] = collections.deque()
@@ -36,16 +36,16 @@
         )
 
     def add(self, batch: TokenBatch) -> None:
-        """Put tokens in."""
+        """Add tokens."""
         self._batches.append(batch)
 
     def count_tokens(self, now: float) -> float:
-        """Return how many tokens can be spent."""
+        """Return the number of tokens that have not expired."""
         self._drop_expired(now)
         return sum(batch.tokens for batch in self._batches)
 
     def spend(self, tokens: float, now: float) -> bool:
-        """Spend tokens, all or none; fractions of several lots add up."""
+        """Spend all the tokens or none, from several batches if needed."""
         if self.count_tokens(now) + ROUNDING_TOLERANCE < tokens:
             return False
         while tokens > ROUNDING_TOLERANCE:
@@ -58,7 +58,7 @@
         return True
 
     def take_spent(self, source: str) -> list[int]:
-        """Return once the grants from a source of which nothing is left."""
+        """Return the used-up grants of a source, each only once."""
         ids = [
             batch.grant
             for batch in self._spent_batches
@@ -69,7 +69,7 @@
         return ids
 
     def take_oldest(self, now: float) -> TokenBatch | None:
-        """Take out the oldest lot whole, to settle its grant or to pass it on."""
+        """Remove and return the oldest batch, or None."""
         self._drop_expired(now)
         return self._batches.popleft() if self._batches else None
 
