--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -138,7 +138,7 @@
             described[workspace] = {
                 "level": round(quota.bucket.level, 3),
                 "out": round(quota.bucket.outstanding, 3),
-                "borrowed": round(quota.borrowed.count_tokens(now), 3),
+                "borrowed": round(quota.borrowed.count(now), 3),
                 "rate": quota.bucket.rate,
                 "demand": round(quota.demand.estimate(), 3),
             }
@@ -169,7 +169,7 @@
         bucket.accrue(now)
         max_tokens = math.floor(min(wanted, max(1.0, bucket.level * MAX_GRANT_RATIO)))
         # Borrowed tokens first: they expire, the zone's own tokens do not.
-        if bucket.level >= 1 and quota.borrowed.count_tokens(now) < 1:
+        if bucket.level >= 1 and quota.borrowed.count(now) < 1:
             grant = bucket.grant(max_tokens, self._grant_lifetime, now)
             assert grant is not None
             return pb.GrantReply(
@@ -185,7 +185,7 @@
     ) -> pb.GrantReply | None:
         """Grant borrowed tokens, completed from the own bucket to whole tokens."""
         bucket = quota.bucket
-        available = quota.borrowed.count_tokens(now) + bucket.level
+        available = quota.borrowed.count(now) + bucket.level
         whole_tokens = math.floor(min(wanted, available) + ROUNDING_TOLERANCE)
         if whole_tokens < 1:
             return None
@@ -226,7 +226,7 @@
         borrow_tokens = (
             quota.demand.estimate() - quota.bucket.rate
         ) * BORROW_AHEAD_SECONDS
-        if borrow_tokens > quota.borrowed.count_tokens(read_clock()):
+        if borrow_tokens > quota.borrowed.count(read_clock()):
             if quota.borrow_task is None or quota.borrow_task.done():
                 quota.borrow_task = asyncio.create_task(
                     self._request_loans(workspace, quota, borrow_tokens)
@@ -282,7 +282,7 @@
         zones = _shuffle(set(self._members.zones) - {own_zone})
         if not zones:
             return False
-        missing -= quota.borrowed.count_tokens(read_clock())
+        missing -= quota.borrowed.count(read_clock())
         part = max(ROUNDING_TOLERANCE, missing / len(zones))
         batches = await asyncio.gather(
             *(self._request_loan(zone, workspace, quota, part) for zone in zones)
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -173,7 +173,7 @@
         prefetch_tokens = state.demand.estimate() * PREFETCH_SECONDS
         if (
             prefetch_tokens > 2
-            and state.reserve.count_tokens(read_clock()) < prefetch_tokens / 2
+            and state.reserve.count(read_clock()) < prefetch_tokens / 2
         ):
             self._start_refill(workspace, state)
 
--- a/primroseglade/rates/token_reserve.py
+++ b/primroseglade/rates/token_reserve.py
@@ -1,20 +1,20 @@
-"""Tokens that were granted to a node or lent to a holder, until they expire."""
+"""Tokens that a node was granted or a holder borrowed, until they expire."""
 
 import collections
 
-# Sums of fractional tokens are off by rounding errors of up to this many tokens.
+# Sums of fractions have rounding errors up to this many tokens.
 ROUNDING_TOLERANCE = 1e-6
 MAX_SPENT_BATCHES = 256
 
 
 class TokenBatch:
-    """Tokens of one grant or loan.
+    """Tokens of one grant.
 
     Args:
-        grant: Id of the grant or loan, to report it spent.
-        tokens: Number of remaining tokens.
-        expires_at: Time at which they expire.
-        source: Control address of the granting holder, or the zone that lent them.
+        grant: Its id, to report it spent; a loan is a grant of the lender.
+        tokens: How many are left.
+        expires_at: When they expire.
+        source: Control address of who granted them, or the lending zone.
     """
 
     __slots__ = ("expires_at", "grant", "source", "tokens")
@@ -31,7 +31,7 @@
 
     def __init__(self) -> None:
         self._batches: collections.deque[TokenBatch] = collections.deque()
-        self._spent_batches: collections.deque[TokenBatch] = collections.deque(
+        self._spent: collections.deque[TokenBatch] = collections.deque(
             maxlen=MAX_SPENT_BATCHES
         )
 
@@ -39,14 +39,14 @@
         """Add tokens."""
         self._batches.append(batch)
 
-    def count_tokens(self, now: float) -> float:
-        """Return the number of tokens that have not expired."""
+    def count(self, now: float) -> float:
+        """Return how many tokens can be spent."""
         self._drop_expired(now)
         return sum(batch.tokens for batch in self._batches)
 
     def spend(self, tokens: float, now: float) -> bool:
         """Spend all the tokens or none, from several batches if needed."""
-        if self.count_tokens(now) + ROUNDING_TOLERANCE < tokens:
+        if self.count(now) + ROUNDING_TOLERANCE < tokens:
             return False
         while tokens > ROUNDING_TOLERANCE:
             batch = self._batches[0]
@@ -54,18 +54,14 @@
             batch.tokens -= part
             tokens -= part
             if batch.tokens <= ROUNDING_TOLERANCE:
-                self._spent_batches.append(self._batches.popleft())
+                self._spent.append(self._batches.popleft())
         return True
 
     def take_spent(self, source: str) -> list[int]:
         """Return the used-up grants of a source, each only once."""
-        ids = [
-            batch.grant
-            for batch in self._spent_batches
-            if batch.source == source and batch.grant
-        ]
-        kept = (batch for batch in self._spent_batches if batch.source != source)
-        self._spent_batches = collections.deque(kept, maxlen=MAX_SPENT_BATCHES)
+        ids = [b.grant for b in self._spent if b.source == source and b.grant]
+        kept = (batch for batch in self._spent if batch.source != source)
+        self._spent = collections.deque(kept, maxlen=MAX_SPENT_BATCHES)
         return ids
 
     def take_oldest(self, now: float) -> TokenBatch | None:
