--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -118,7 +118,9 @@
     @property
     def listeners(self) -> dict[str, str]:
         """Address of each listener."""
-        addresses = {name: item.address for name, item in self._listeners.items()}
+        addresses = {
+            name: listener.address for name, listener in self._listeners.items()
+        }
         return addresses | {"control": self._server.address}
 
     async def start(self) -> None:
@@ -132,7 +134,7 @@
         self._supervisor.start("control", self._server.run)
         for listener in self._listeners.values():
             await listener.wait_started()
-        await self._take_state()
+        await self._load_state()
         self._supervisor.start("gossip", self._gossip.run)
         self._supervisor.start("puller", self._puller.run)
         self._supervisor.start("log reader", self._reader.run)
@@ -153,11 +155,11 @@
             ExceptionGroup: A part failed too often.
         """
         await self.start()
-        waits = [
+        tasks = [
             asyncio.create_task(stopping.wait()),
             asyncio.create_task(self._supervisor.wait_failed()),
         ]
-        done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+        done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         await self.stop()
@@ -179,15 +181,15 @@
         await self._gossip.say_goodbye(serving=False)
         await self._stream.leave(self._members.own)
         await asyncio.sleep(self._settings.timeouts.lame_duck)
-        grace = self._settings.timeouts.drain
+        drain_timeout = self._settings.timeouts.drain
         try:
-            await asyncio.wait_for(self._tools.in_flight.wait_idle(), grace)
+            await asyncio.wait_for(self._tools.in_flight.wait_idle(), drain_timeout)
         except TimeoutError:
             pass
         await self._rates.release_leases()
         await self._gossip.say_goodbye(state=State.LEFT)
         for listener in self._listeners.values():
-            listener.stop(grace)
+            listener.stop(drain_timeout)
         await self._close()
         self._journal.emit(NODE_STOPPED)
 
@@ -227,7 +229,7 @@
         await self._client.close()
         await self._log.close()
 
-    async def _take_state(self) -> None:
+    async def _load_state(self) -> None:
         """Take configuration and members from the log, and from peers without it."""
         contacts = list(self._settings.seeds)
         try:
@@ -297,10 +299,10 @@
         )
         self._confirmer = Confirmer(self._configuration, self._members, self._client)
         self._recorder = Recorder(self._members, self._client, OperationTable())
-        for part in (self._puller, self._gossip, self._confirmer, self._recorder):
-            part.register(self._server)
+        for component in (self._puller, self._gossip, self._confirmer, self._recorder):
+            component.register(self._server)
         self._configuration.watch(self._apply_outcome)
-        self._members.watch(self._forget_gone)
+        self._members.watch(self._forget_unreachable)
 
     def _build_rates(self) -> None:
         self._rates = RateCoordinator(
@@ -334,7 +336,7 @@
             lambda workspace, key: self._configuration.document.is_key_valid(
                 workspace, key
             ),
-            self._tell_of_backend,
+            self._announce_backend,
             handles,
             self._journal,
             self._metrics,
@@ -362,12 +364,12 @@
     def _build_listeners(self) -> None:
         listen = self._settings.listen
         header = self._settings.limits.header
-        announcing = build_announcement_application(self._backend)
+        announcements = build_announcement_application(self._backend)
         nested = self._nested_entry
 
         async def serve_backend(scope: Any, receive: Any, send: Any) -> None:
-            own = scope["raw_path"].startswith(ANNOUNCEMENT_PATH_PREFIX)
-            await (announcing if own else nested)(scope, receive, send)
+            is_announcement = scope["raw_path"].startswith(ANNOUNCEMENT_PATH_PREFIX)
+            await (announcements if is_announcement else nested)(scope, receive, send)
 
         operator = build_operator_application(self)
         self._listeners = {
@@ -382,19 +384,19 @@
             operator=self._listeners["operator"].address,
         )
 
-    def _tell_of_backend(self) -> None:
+    def _announce_backend(self) -> None:
         announced = self._backend.announcement
         serving = self._backend.serving
         own = self._members.own
-        since = own.serving_since_ms
+        serving_since_ms = own.serving_since_ms
         if serving and not own.serving:
-            since = int(time.time() * 1000)
+            serving_since_ms = int(time.time() * 1000)
         self._members.change_own(
             service=announced.service if announced else "",
             backend_server=announced.address if announced else "",
             slots=(announced.slots or 0) if announced else 0,
             serving=serving,
-            serving_since_ms=since,
+            serving_since_ms=serving_since_ms,
         )
 
     def _apply_outcome(self, outcome: Outcome) -> None:
@@ -404,7 +406,7 @@
         self._rates.apply_document()
         self._gossip.spread()
 
-    def _forget_gone(self, member: Member, _: Member | None) -> None:
+    def _forget_unreachable(self, member: Member, _: Member | None) -> None:
         if not member.reachable:
             self._router.forget(member.instance)
             self._relay.forget(member.relay)
