--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -1,4 +1,4 @@
-"""One node: every part put together, started, and stopped without cutting a call."""
+"""A node: wires its components, starts them and shuts down gracefully."""
 
 import asyncio
 import time
@@ -43,11 +43,11 @@
 
 
 class Node:
-    """A node process's parts.
+    """The components of a node process.
 
     Args:
-        settings: Of this process.
-        network: What can be reached; tests cut links in theirs.
+        settings: Settings of this process.
+        network: Reachability of addresses; tests inject partitions.
     """
 
     def __init__(self, settings: NodeSettings, network: Network | None = None):
@@ -67,67 +67,67 @@
 
     @property
     def settings(self) -> NodeSettings:
-        """What it was told."""
+        """Settings of the process."""
         return self._settings
 
     @property
     def members(self) -> Members:
-        """The fleet as it sees it."""
+        """Members of the fleet, as known to this node."""
         return self._members
 
     @property
     def configuration(self) -> Configuration:
-        """The document as it has it."""
+        """The configuration that this node has."""
         return self._configuration
 
     @property
     def confirmer(self) -> Confirmer:
-        """Asks the fleet how far it is."""
+        """Collects which configuration the instances have."""
         return self._confirmer
 
     @property
     def metrics(self) -> Metrics:
-        """Its metrics."""
+        """Metrics of the node."""
         return self._metrics
 
     @property
     def journal(self) -> Journal:
-        """Its events."""
+        """Log of the node's events."""
         return self._journal
 
     @property
     def decisions(self) -> Decisions:
-        """What it decided on refused and slow calls."""
+        """Recorded decisions on refused and slow calls."""
         return self._decisions
 
     @property
     def tracer(self) -> Tracer:
-        """Its spans."""
+        """Recorder of the node's spans."""
         return self._tracer
 
     @property
     def rates(self) -> RateCoordinator:
-        """Its part in keeping rates."""
+        """The node's rate limiting."""
         return self._rates
 
     @property
     def backend(self) -> BackendServer:
-        """The backend server beside it."""
+        """The backend server beside this node."""
         return self._backend
 
     @property
     def listeners(self) -> dict[str, str]:
-        """Address of each listener."""
+        """Addresses by listener name."""
         addresses = {
             name: listener.address for name, listener in self._listeners.items()
         }
         return addresses | {"control": self._server.address}
 
     async def start(self) -> None:
-        """Open the listeners and take the configuration from wherever it is had.
+        """Open the listeners, and load the configuration from the log or from peers.
 
         Returns when calls are accepted, with or without a configuration: an instance
-        that has none refuses every call as not run, and says why.
+        without one refuses every call as not run, with the reason.
         """
         for name, listener in self._listeners.items():
             self._supervisor.start(name, listener.run)
@@ -149,10 +149,10 @@
         self._journal.emit(NODE_STARTED, **self.listeners)
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Start, serve until told to stop, and stop.
+        """Start, serve until ``stopping`` is set, and stop.
 
         Raises:
-            ExceptionGroup: A part failed too often.
+            ExceptionGroup: A component failed too often.
         """
         await self.start()
         tasks = [
@@ -167,12 +167,12 @@
             task.result()
 
     async def stop(self) -> None:
-        """Stop without cutting off a call.
+        """Shut down gracefully, without interrupting calls in flight.
 
-        The order matters. First the fleet is told, and new work is refused here as
-        not run. Callers who do not know yet are served through other nodes for a
-        while, and are asked to open no more calls on their connections. Only then
-        do the listeners close, and calls in flight are waited for.
+        The order matters. First the node refuses new work as not run, and announces
+        the stop to the fleet. Callers that are not yet aware of it are served through
+        other nodes for some time, and are asked to open no more calls on their
+        connections. Only then are calls in flight drained and the listeners closed.
         """
         self._journal.emit(NODE_STOPPING, in_flight=self._tools.in_flight.count)
         self._backend.leave()
@@ -194,13 +194,13 @@
         self._journal.emit(NODE_STOPPED)
 
     async def kill(self) -> None:
-        """Go without a word, as a killed process does; for tests and the demo."""
+        """Stop without notice, as a killed process does; for tests and the demo."""
         for listener in self._listeners.values():
             listener.abort()
         await self._close()
 
     def describe(self) -> dict[str, Any]:
-        """Return the node's view of itself and the fleet."""
+        """Return the state of the node and of the fleet as known to it."""
         configuration = self._configuration
         return {
             "instance": self._settings.instance,
@@ -230,7 +230,7 @@
         await self._log.close()
 
     async def _load_state(self) -> None:
-        """Take configuration and members from the log, and from peers without it."""
+        """Load configuration and members from the log, or from peers without it."""
         contacts = list(self._settings.seeds)
         try:
             async with asyncio.timeout(START_TIMEOUT_SECONDS):
