--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -29,7 +29,7 @@
     return AdmissionQueue(ConcurrencyLimit(slots, slots), capacity, wait)
 
 
-async def line_up(queue: AdmissionQueue, contexts: list[Context]) -> list[asyncio.Task]:
+async def enqueue(queue: AdmissionQueue, contexts: list[Context]) -> list[asyncio.Task]:
     """Take the only slot, and let the others wait in this order."""
     await queue.acquire(make_context("first"))
     tasks = []
@@ -50,46 +50,48 @@
     return order
 
 
-async def test_important_calls_go_first_whatever_stands_before_them():
+async def test_critical_call_is_admitted_before_calls_queued_earlier():
     """Emergency dispatch is called while a hundred look-ups wait."""
     queue = build_queue()
     contexts = [make_context() for _ in range(5)]
     contexts.append(make_context("dispatch", Importance.CRITICAL))
-    tasks = await line_up(queue, contexts)
+    tasks = await enqueue(queue, contexts)
     assert (await serve_all(queue, tasks))[0] == 5
 
 
-async def test_full_queue_gives_up_the_least_important_call():
+async def test_full_queue_sheds_the_least_important_call():
     queue = build_queue(capacity=2)
     contexts = [make_context(importance=Importance.LOW, root=n) for n in (1, 2)]
-    tasks = await line_up(queue, contexts)
-    vip = asyncio.create_task(queue.acquire(make_context("x", Importance.CRITICAL)))
+    tasks = await enqueue(queue, contexts)
+    critical = asyncio.create_task(
+        queue.acquire(make_context("x", Importance.CRITICAL))
+    )
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     refused = [task for task in tasks if task.done()]
     assert len(refused) == 1
     assert refused[0].exception().reason is Reason.OVERLOADED
     assert refused[0].exception().verdict is Verdict.NOT_RUN
-    assert not vip.done()
+    assert not critical.done()
     with pytest.raises(Refusal):
         await queue.acquire(make_context("y", Importance.LOW, root=9))
     queue.release()
-    await vip
+    await critical
 
 
-async def test_workspaces_take_turns():
+async def test_workspaces_are_served_round_robin():
     """One tenant sends several times its part; the others' calls keep their share."""
     queue = build_queue()
     names = ["greedy"] * 6 + ["one", "two"]
-    tasks = await line_up(queue, [make_context(name) for name in names])
+    tasks = await enqueue(queue, [make_context(name) for name in names])
     order = [names[n] for n in await serve_all(queue, tasks)]
     assert set(order[:3]) == {"greedy", "one", "two"}
 
 
-async def test_full_queue_gives_up_a_call_of_the_workspace_with_most():
+async def test_full_queue_sheds_a_call_of_the_workspace_with_most_calls():
     queue = build_queue(capacity=4)
     names = ["greedy"] * 3 + ["one"]
-    tasks = await line_up(queue, [make_context(name) for name in names])
+    tasks = await enqueue(queue, [make_context(name) for name in names])
     other = asyncio.create_task(queue.acquire(make_context("two")))
     await asyncio.sleep(0)
     await asyncio.sleep(0)
@@ -100,20 +102,20 @@
         task.cancel()
 
 
-async def test_standing_queue_favours_the_calls_that_other_hops_favour():
+async def test_standing_queue_admits_calls_in_the_shedding_order_of_all_hops():
     """Each hop of a chain sheds some calls; shed by chance, few get through all."""
     queue = build_queue(wait=0.0)
     queue._max_wait_seconds = 0.0
     contexts = [make_context(root=root) for root in (50, 10, 40, 20)]
     queue._get_max_wait = lambda _: 30.0
-    tasks = await line_up(queue, contexts)
+    tasks = await enqueue(queue, contexts)
     await asyncio.sleep(0.01)
     assert await serve_all(queue, tasks) == [1, 3, 2, 0]
 
 
-async def test_call_whose_deadline_passed_is_dropped_and_not_sent():
+async def test_call_past_its_deadline_is_refused_as_not_run():
     queue = build_queue()
-    tasks = await line_up(queue, [make_context(seconds=0.05)])
+    tasks = await enqueue(queue, [make_context(seconds=0.05)])
     with pytest.raises(Refusal) as caught:
         await tasks[0]
     assert caught.value.verdict is Verdict.NOT_RUN
@@ -122,17 +124,17 @@
         await queue.acquire(make_context(seconds=-1))
 
 
-async def test_refusal_tells_when_to_come_back():
+async def test_refusal_of_a_full_queue_has_retry_after():
     queue = build_queue(capacity=1)
-    await line_up(queue, [make_context("a")])
+    await enqueue(queue, [make_context("a")])
     with pytest.raises(Refusal) as caught:
         await queue.acquire(make_context("a", root=99))
     assert 0.1 <= caught.value.retry_after <= 10
 
 
-async def test_caller_that_leaves_the_line_gives_its_turn_to_the_next():
+async def test_slot_goes_to_the_next_call_if_a_queued_caller_disconnects():
     queue = build_queue()
-    tasks = await line_up(queue, [make_context(), make_context()])
+    tasks = await enqueue(queue, [make_context(), make_context()])
     tasks[0].cancel()
     await asyncio.sleep(0)
     queue.release()
@@ -140,10 +142,10 @@
     assert queue.in_flight == 1
 
 
-async def test_turn_given_to_a_caller_that_leaves_at_that_moment_is_not_lost():
+async def test_slot_assigned_to_a_disconnecting_caller_is_released():
     """The slot was handed over, and before the call goes on its caller is gone."""
     queue = build_queue()
-    tasks = await line_up(queue, [make_context(), make_context()])
+    tasks = await enqueue(queue, [make_context(), make_context()])
     queue.release()
     tasks[0].cancel()
     await asyncio.gather(tasks[0], return_exceptions=True)
@@ -151,7 +153,7 @@
     assert queue.in_flight == 1
 
 
-def test_limit_falls_on_sheds_and_never_grows_over_what_was_announced():
+def test_limit_drops_on_shed_calls_and_never_exceeds_announced_slots():
     limit = ConcurrencyLimit(20, max_limit=10)
     for moment in range(100):
         limit.note_served(0.01, in_flight=limit.value, now=float(moment))
@@ -164,7 +166,7 @@
     assert limit.value == 1
 
 
-def test_limit_that_nobody_announced_is_learnt_from_latency():
+def test_limit_without_announced_slots_follows_latency():
     """A backend server of 5 slots says nothing; over them calls wait inside it."""
     limit = ConcurrencyLimit(4)
     for step in range(2000):
@@ -174,18 +176,18 @@
     assert 4 <= limit.value <= 14
 
 
-def test_throttle_lets_probes_go_however_long_nothing_was_accepted():
+def test_throttle_admits_probes_while_no_call_is_accepted():
     """Everything is shed for a minute; when it ends, calls must be let go again."""
     now = 0.0
     throttle = Throttle(lambda: now)
-    passed = 0
+    admitted = 0
     for step in range(6000):
         now = step * 0.01
         context = make_context(root=step * 2654435761 % 2**32)
         if throttle.admits("s", context):
-            passed += 1
+            admitted += 1
             throttle.note_shed("s", context)
-    assert 50 < passed < 600
+    assert 50 < admitted < 600
     for step in range(6000, 6300):
         now = step * 0.01
         context = make_context(root=step * 2654435761 % 2**32)
@@ -194,7 +196,7 @@
     assert throttle.get_admitted_fraction("s", "north", Importance.NORMAL) == 1.0
 
 
-def test_calls_that_take_long_are_not_taken_for_shed():
+def test_calls_in_flight_do_not_count_as_shed():
     """A deep service is slow; twenty calls are on their way, and none is shed."""
     throttle = Throttle(lambda: 0.0)
     contexts = [make_context(root=(1 << 32) - 1 - n) for n in range(20)]
@@ -203,7 +205,7 @@
     assert all(throttle.admits("s", context) for context in contexts * 5)
 
 
-def test_throttled_calls_are_those_that_every_hop_would_shed():
+def test_throttle_refuses_calls_in_the_shedding_order_of_all_hops():
     throttle = Throttle(lambda: 0.0)
     for _ in range(75):
         throttle.note_shed("s", make_context())
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -55,7 +55,7 @@
     return Partitions(build_members("n1")).rank("z", PARTITION)[0]
 
 
-def test_elector_votes_for_one_candidate_until_the_vote_has_lapsed(clock):
+def test_elector_votes_for_one_candidate_until_the_vote_expires(clock):
     name = find_elector_name()
     elector = build_elector(name, clock)
     ballot = build_ballot(build_members(name))
@@ -67,7 +67,7 @@
     assert not elector.vote("z", ballot, "one").granted
 
 
-def test_restarted_elector_abstains_until_its_forgotten_vote_has_lapsed(clock):
+def test_restarted_elector_abstains_until_its_lost_vote_has_expired(clock):
     """An elector votes for one holder, dies, comes back, and is asked by another."""
     name = find_elector_name()
     members = build_members(name)
@@ -162,7 +162,7 @@
     assert candidate.find_lease(PARTITION) is not None
 
 
-async def test_holder_paused_past_its_lease_finds_that_it_has_none(clock):
+async def test_holder_paused_past_its_lease_no_longer_holds_it(clock):
     """A holder's machine is suspended; another takes over; the first wakes up."""
     ranked, electors = build_zone(clock)
     first = build_candidate(ranked[0], electors)
@@ -182,7 +182,7 @@
     assert first.find_lease(PARTITION) is None
 
 
-async def test_lease_that_is_given_up_can_be_taken_at_once(clock):
+async def test_released_lease_can_be_acquired_immediately(clock):
     ranked, electors = build_zone(clock)
     first = build_candidate(ranked[0], electors)
     await first._campaign()
@@ -197,7 +197,7 @@
     assert second.find_lease(PARTITION) is not None
 
 
-async def test_slow_votes_do_not_lengthen_a_lease(clock):
+async def test_slow_votes_do_not_extend_a_lease(clock):
     """The answers of electors take long; their votes lapse counted from theirs."""
     ranked, electors = build_zone(clock)
     candidate = build_candidate(ranked[0], electors)
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -97,13 +97,13 @@
 TestTokenLedger.settings = settings(max_examples=60, stateful_step_count=40)
 
 
-def test_idle_bucket_fills_to_its_burst_and_no_further():
+def test_idle_bucket_fills_only_to_its_burst():
     bucket = Bucket(RATE, BURST, 0.0, 0.0)
     bucket.accrue(1000.0)
     assert bucket.level == BURST
 
 
-def test_tokens_that_are_out_leave_no_room_for_new_ones():
+def test_outstanding_tokens_count_against_the_burst():
     """A node holds the whole burst unspent while the bucket fills up again behind it.
 
     It spends its tokens just before they lapse, and another node those that have
@@ -116,7 +116,7 @@
     assert bucket.grant(BURST, LIFETIME_SECONDS, 11.1) is not None
 
 
-def test_spent_part_of_a_loan_makes_room_for_as_much():
+def test_spent_tokens_of_a_loan_no_longer_count_against_the_burst():
     """All of a tenant's calls come in at one zone, which borrows the others' tokens.
 
     Were spent tokens to count as out until their loan lapses, a lender with a small
@@ -131,7 +131,7 @@
     assert bucket.level == 2.0
 
 
-def test_new_holder_grants_nothing_before_old_grants_have_ended():
+def test_new_holder_grants_nothing_before_old_grants_have_expired():
     """A holder dies just after it granted its whole burst to a node that was paused.
 
     Were its successor to grant at once, both bursts would be spent together.
@@ -142,7 +142,7 @@
     assert bucket.grant(1.0, LIFETIME_SECONDS, 11.2) is not None
 
 
-def test_paused_node_does_not_spend_tokens_that_have_lapsed():
+def test_paused_node_does_not_spend_expired_tokens():
     reserve = TokenReserve()
     reserve.add(TokenBatch(1, 5.0, expires_at=2.0, source="h"))
     assert reserve.spend(1.0, 1.9)
