--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission beside a backend server: who goes, who waits, who is refused."""
+"""Admission to a backend server: admitted, queued and refused calls, and throttling."""
 
 import asyncio
 import time
@@ -30,7 +30,7 @@
 
 
 async def enqueue(queue: AdmissionQueue, contexts: list[Context]) -> list[asyncio.Task]:
-    """Take the only slot, and let the others wait in this order."""
+    """Acquire the only slot, and queue the calls in this order."""
     await queue.acquire(make_context("first"))
     tasks = []
     for context in contexts:
@@ -40,7 +40,7 @@
 
 
 async def serve_all(queue: AdmissionQueue, tasks: list[asyncio.Task]) -> list[int]:
-    """Give the slot back again and again; return the order in which calls went."""
+    """Release the slot until the queue is empty; return the order of admission."""
     order = []
     while queue.size:
         queue.release()
@@ -51,7 +51,7 @@
 
 
 async def test_critical_call_is_admitted_before_calls_queued_earlier():
-    """Emergency dispatch is called while a hundred look-ups wait."""
+    """An emergency dispatch must not wait behind less important calls."""
     queue = build_queue()
     contexts = [make_context() for _ in range(5)]
     contexts.append(make_context("dispatch", Importance.CRITICAL))
@@ -80,7 +80,7 @@
 
 
 async def test_workspaces_are_served_round_robin():
-    """One tenant sends several times its part; the others' calls keep their share."""
+    """Guards against a workspace that sends many calls starving the others."""
     queue = build_queue()
     names = ["greedy"] * 6 + ["one", "two"]
     tasks = await enqueue(queue, [make_context(name) for name in names])
@@ -103,7 +103,7 @@
 
 
 async def test_standing_queue_admits_calls_in_the_shedding_order_of_all_hops():
-    """Each hop of a chain sheds some calls; shed by chance, few get through all."""
+    """If each hop of a chain shed calls at random, few would pass all hops."""
     queue = build_queue(wait=0.0)
     queue._max_wait_seconds = 0.0
     contexts = [make_context(root=root) for root in (50, 10, 40, 20)]
@@ -143,7 +143,7 @@
 
 
 async def test_slot_assigned_to_a_disconnecting_caller_is_released():
-    """The slot was handed over, and before the call goes on its caller is gone."""
+    """The caller disconnects after its call got the slot, but before it continues."""
     queue = build_queue()
     tasks = await enqueue(queue, [make_context(), make_context()])
     queue.release()
@@ -167,7 +167,7 @@
 
 
 def test_limit_without_announced_slots_follows_latency():
-    """A backend server of 5 slots says nothing; over them calls wait inside it."""
+    """A backend server with 5 slots announces none; more calls queue inside it."""
     limit = ConcurrencyLimit(4)
     for step in range(2000):
         in_flight = limit.value
@@ -177,7 +177,7 @@
 
 
 def test_throttle_admits_probes_while_no_call_is_accepted():
-    """Everything is shed for a minute; when it ends, calls must be let go again."""
+    """All calls are shed for a minute; after that, calls must be admitted again."""
     now = 0.0
     throttle = Throttle(lambda: now)
     admitted = 0
@@ -197,7 +197,7 @@
 
 
 def test_calls_in_flight_do_not_count_as_shed():
-    """A deep service is slow; twenty calls are on their way, and none is shed."""
+    """A slow service has twenty calls in flight and sheds none."""
     throttle = Throttle(lambda: 0.0)
     contexts = [make_context(root=(1 << 32) - 1 - n) for n in range(20)]
     for context in contexts:
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases on rates: never two holders at once, whatever is lost or paused."""
+"""Leases on rates: never two holders at once, despite lost messages and pauses."""
 
 import asyncio
 
@@ -68,7 +68,7 @@
 
 
 def test_restarted_elector_abstains_until_its_lost_vote_has_expired(clock):
-    """An elector votes for one holder, dies, comes back, and is asked by another."""
+    """An elector votes, restarts, and receives a vote request of another candidate."""
     name = find_elector_name()
     members = build_members(name)
     elector = Elector(members, Partitions(members), LEASE_SECONDS, clock)
@@ -81,7 +81,7 @@
 
 
 def test_elector_in_the_smaller_part_of_a_zone_does_not_vote(clock):
-    """Inside a zone a switch fails; both parts would make a holder of their own."""
+    """A network partition divides a zone; both parts would elect a holder."""
     name = find_elector_name()
     elector = build_elector(name, clock)
     others = [other for other in NAMES if other != name]
@@ -103,7 +103,7 @@
 
 
 class FakeClient:
-    """Delivers ballots to electors at once; some are cut off."""
+    """Delivers ballots to electors immediately, except to unreachable ones."""
 
     def __init__(self, electors: dict[str, Elector], sender: str):
         self.electors = electors
@@ -163,7 +163,7 @@
 
 
 async def test_holder_paused_past_its_lease_no_longer_holds_it(clock):
-    """A holder's machine is suspended; another takes over; the first wakes up."""
+    """A holder's machine is suspended, another takes over, and the first resumes."""
     ranked, electors = build_zone(clock)
     first = build_candidate(ranked[0], electors)
     await first._campaign()
@@ -198,7 +198,7 @@
 
 
 async def test_slow_votes_do_not_extend_a_lease(clock):
-    """The answers of electors take long; their votes lapse counted from theirs."""
+    """Electors reply slowly, but votes expire counted from when they are cast."""
     ranked, electors = build_zone(clock)
     candidate = build_candidate(ranked[0], electors)
     original = candidate.client.call
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -1,4 +1,4 @@
-"""Rate tokens: never more than rate and burst, in any window."""
+"""Rate tokens: never more than rate and burst are spent in any window."""
 
 import itertools
 
@@ -15,10 +15,10 @@
 
 
 class TokenLedger(RuleBasedStateMachine):
-    """A holder, nodes that spend, lost answers, pauses, and a holder replaced.
+    """Holders, nodes that spend, lost replies, pauses, and holders replaced.
 
-    A successor opens when its predecessor's lease has surely ended, and counts what
-    that may have granted as out for one more life.
+    A new holder starts when its predecessor's lease has certainly ended, and counts
+    what that may have granted as outstanding for one more grant lifetime.
     """
 
     @initialize()
@@ -45,9 +45,9 @@
         delay=st.floats(0.0, 1.5),
     )
     def request_grant(self, wanted, zone, node, lost, delay):
-        """Ask a zone for tokens; the answer may be lost, or come after a pause.
+        """Request tokens of a zone; the reply may be lost or delayed.
 
-        A loan is the same to the ledger: tokens that are out until they lapse.
+        Loans need no rule of their own: they too are outstanding until they expire.
         """
         sent_at = self.now
         self.now += delay / 2
@@ -74,7 +74,7 @@
 
     @rule(zone=st.integers(0, 1), gap=st.floats(0.0, 1.0))
     def replace_holder(self, zone, gap):
-        """The holder is lost and forgets everything; another takes the lease."""
+        """The holder is lost with its state, and another acquires the lease."""
         self.now += gap
         self.buckets[zone] = self.build_bucket(self.now + LIFETIME_SECONDS)
 
@@ -104,10 +104,10 @@
 
 
 def test_outstanding_tokens_count_against_the_burst():
-    """A node holds the whole burst unspent while the bucket fills up again behind it.
+    """Guards against spending twice the burst at once.
 
-    It spends its tokens just before they lapse, and another node those that have
-    accrued meanwhile: twice the burst at one moment.
+    A node holds the whole burst unspent and spends it just before it expires, together
+    with another node that got the tokens accrued meanwhile.
     """
     bucket = Bucket(RATE, BURST, 0.0, 0.0)
     bucket.accrue(10.0)
@@ -117,10 +117,10 @@
 
 
 def test_spent_tokens_of_a_loan_no_longer_count_against_the_burst():
-    """All of a tenant's calls come in at one zone, which borrows the others' tokens.
+    """All calls of a workspace enter at one zone, which borrows the others' tokens.
 
-    Were spent tokens to count as out until their loan lapses, a lender with a small
-    burst would stop to accrue, and the tenant be refused within its rate.
+    If spent tokens stayed outstanding until their loan expires, a lender with a small
+    burst would stop accruing, and the workspace would be refused within its rate.
     """
     bucket = Bucket(RATE, BURST, 0.0, 0.0)
     bucket.accrue(10.0)
@@ -132,9 +132,9 @@
 
 
 def test_new_holder_grants_nothing_before_old_grants_have_expired():
-    """A holder dies just after it granted its whole burst to a node that was paused.
+    """A holder fails just after it granted its whole burst to a paused node.
 
-    Were its successor to grant at once, both bursts would be spent together.
+    If its successor granted immediately, both bursts would be spent together.
     """
     bucket = Bucket(RATE, BURST, now=10.0, blocked_until=11.0)
     assert bucket.grant(1.0, LIFETIME_SECONDS, 10.9) is None
