--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -155,14 +155,14 @@
 
 def test_limit_drops_on_shed_calls_and_never_exceeds_announced_slots():
     limit = ConcurrencyLimit(20, max_limit=10)
-    for moment in range(100):
-        limit.note_served(0.01, in_flight=limit.value, now=float(moment))
+    for second in range(100):
+        limit.note_served(0.01, in_flight=limit.value, now=float(second))
     assert limit.value == 10
     limit.note_shed(now=200.0)
     limit.note_shed(now=200.01)
     assert limit.value == 9
-    for moment in range(1000):
-        limit.note_shed(now=300.0 + moment)
+    for second in range(1000):
+        limit.note_shed(now=300.0 + second)
     assert limit.value == 1
 
 
