--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -94,7 +94,7 @@
         for grant_id in request.spent:
             quota.bucket.record_spent(grant_id, now)
             for part in quota.loans_by_grant.pop(grant_id, ()):
-                quota.spent.setdefault(part.zone, []).append(part)
+                quota.spent_loans.setdefault(part.zone, []).append(part)
         quota.demand.record(request.wanted)
         reply = self._grant_tokens(quota, request.wanted)
         if reply is not None:
@@ -307,7 +307,7 @@
     ) -> TokenBatch | None:
         spent = [
             pb.SpentLoan(loan=part.loan, tokens=part.tokens)
-            for part in quota.spent.pop(zone, ())
+            for part in quota.spent_loans.pop(zone, ())
         ]
         request = pb.LoanRequest(workspace=workspace, wanted=wanted, spent=spent)
         candidates = self._partitions.rank(zone, get_partition(workspace))
