--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -160,8 +160,8 @@
         round robin reaches the workspace; with a shorter wait, a workspace with few
         calls would lose them while those with many are served.
         """
-        alone = context.workspace not in self._classes[context.importance]
-        if alone or context.importance is Importance.CRITICAL:
+        is_only_call = context.workspace not in self._classes[context.importance]
+        if is_only_call or context.importance is Importance.CRITICAL:
             return max(0.0, context.remaining - self._limit.latency)
         min_wait = MAX_WAIT_LATENCY_RATIO * self._limit.latency
         return min(max(self._max_wait_seconds, min_wait), context.remaining)
@@ -250,10 +250,10 @@
         While there are free slots every call is tried: otherwise a service that became
         fast again would never be noticed.
         """
-        needed = (
+        needed_seconds = (
             MIN_REMAINING_LATENCY_RATIO * self._limit.latency if self._size else 0.0
         )
-        return context.remaining <= needed
+        return context.remaining <= needed_seconds
 
     def _pop_next(self) -> Waiter:
         queues = next(
@@ -272,8 +272,11 @@
 
     def _is_standing(self) -> bool:
         """Whether the queue has not been empty for the maximum wait."""
-        since = self._standing_since
-        return since is not None and time.monotonic() - since > self._max_wait_seconds
+        standing_since = self._standing_since
+        return (
+            standing_since is not None
+            and time.monotonic() - standing_since > self._max_wait_seconds
+        )
 
     def _iterate_waiters(self) -> Iterator[Waiter]:
         for queues in self._classes.values():
--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -106,12 +106,12 @@
             and now >= quota.borrowing_paused_until
         ):
             rounds += 1
-            enough = await self._borrow(request.workspace, quota, request.wanted)
+            has_enough = await self._borrow(request.workspace, quota, request.wanted)
             # The lease may have ended during the wait.
             if self._find_quota(request.workspace) is not quota:
                 return pb.GrantReply(holder=False)
             reply = self._grant_tokens(quota, request.wanted)
-            if reply is None and not enough and self._is_over_rate(quota):
+            if reply is None and not has_enough and self._is_over_rate(quota):
                 # Less than a whole token was lent. Further requests would only move
                 # fractions back and forth between zones, and delay the denial.
                 quota.borrowing_paused_until = read_clock() + BORROWING_PAUSE_SECONDS
@@ -196,16 +196,16 @@
             batch = quota.borrowed.take_oldest(now)
             if batch is None:
                 break
-            part = min(batch.tokens, whole_tokens - tokens)
-            tokens += part
-            parts.append(LoanPart(batch.source, batch.grant, part))
+            borrowed_tokens = min(batch.tokens, whole_tokens - tokens)
+            tokens += borrowed_tokens
+            parts.append(LoanPart(batch.source, batch.grant, borrowed_tokens))
             earliest_expiry = min(earliest_expiry, batch.expires_at)
-            if batch.tokens > part:
-                batch.tokens -= part
+            if batch.tokens > borrowed_tokens:
+                batch.tokens -= borrowed_tokens
                 quota.borrowed.add(batch)
         if tokens < whole_tokens - ROUNDING_TOLERANCE:
-            own = bucket.grant(whole_tokens - tokens, self._grant_lifetime, now)
-            tokens += own.tokens if own else 0.0
+            own_grant = bucket.grant(whole_tokens - tokens, self._grant_lifetime, now)
+            tokens += own_grant.tokens if own_grant else 0.0
         if tokens + ROUNDING_TOLERANCE < whole_tokens:
             return None
         grant_id = Bucket.make_id()
@@ -283,9 +283,12 @@
         if not zones:
             return False
         missing -= quota.borrowed.count(read_clock())
-        part = max(ROUNDING_TOLERANCE, missing / len(zones))
+        tokens_per_zone = max(ROUNDING_TOLERANCE, missing / len(zones))
         batches = await asyncio.gather(
-            *(self._request_loan(zone, workspace, quota, part) for zone in zones)
+            *(
+                self._request_loan(zone, workspace, quota, tokens_per_zone)
+                for zone in zones
+            )
         )
         lenders = []
         for zone, batch in zip(zones, batches, strict=True):
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -222,8 +222,8 @@
         """Renew leases, and acquire those that this instance should hold."""
         while True:
             await self._campaign()
-            pause = self._lease_seconds / RENEWALS_PER_LEASE
-            await asyncio.sleep(pause * random.uniform(0.7, 1.0))
+            interval_seconds = self._lease_seconds / RENEWALS_PER_LEASE
+            await asyncio.sleep(interval_seconds * random.uniform(0.7, 1.0))
 
     async def release_leases(self) -> None:
         """Release all leases, so that successors need not wait for them to expire."""
@@ -278,14 +278,14 @@
         self, zone: str, ballots: dict[int, tuple[pb.Ballot, list[str]]]
     ) -> dict[int, int]:
         """Request the votes on all partitions from each elector, and count them."""
-        by_elector: dict[str, list[pb.Ballot]] = {}
+        ballots_by_elector: dict[str, list[pb.Ballot]] = {}
         for ballot, electors in ballots.values():
             for name in electors:
-                by_elector.setdefault(name, []).append(ballot)
+                ballots_by_elector.setdefault(name, []).append(ballot)
         replies = await asyncio.gather(
             *(
                 self._request_votes(zone, name, elector_ballots)
-                for name, elector_ballots in by_elector.items()
+                for name, elector_ballots in ballots_by_elector.items()
             )
         )
         granted: dict[int, int] = {}
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -48,7 +48,7 @@
         "demand",
         "denial",
         "denied_until",
-        "refill",
+        "refill_task",
         "reserve",
         "waiting_calls",
     )
@@ -59,7 +59,7 @@
         self.waiting_calls = 0
         self.denial: Denial | None = None
         self.denied_until = -math.inf
-        self.refill: asyncio.Task[None] | None = None
+        self.refill_task: asyncio.Task[None] | None = None
 
 
 class RateLimiter:
@@ -130,8 +130,8 @@
                 while not state.reserve.spend(1.0, read_clock()):
                     state.denial = None
                     self._start_refill(workspace, state)
-                    assert state.refill is not None
-                    await asyncio.shield(state.refill)
+                    assert state.refill_task is not None
+                    await asyncio.shield(state.refill_task)
                     if state.reserve.spend(1.0, read_clock()):
                         return
                     if (
@@ -178,21 +178,21 @@
             self._start_refill(workspace, state)
 
     def _start_refill(self, workspace: str, state: WorkspaceState) -> None:
-        if state.refill is None or state.refill.done():
-            state.refill = asyncio.create_task(self._refill(workspace, state))
+        if state.refill_task is None or state.refill_task.done():
+            state.refill_task = asyncio.create_task(self._refill(workspace, state))
 
     async def _refill(self, workspace: str, state: WorkspaceState) -> None:
         wanted = max(
             1.0, state.waiting_calls, state.demand.estimate() * PREFETCH_SECONDS
         )
-        reached = False
+        is_holder_reached = False
         for address, instance in self._list_holders(workspace):
             reply, sent_at = await self._request_grant(
                 workspace, state, wanted, address, instance
             )
             if reply is None or not reply.holder:
                 continue
-            reached = True
+            is_holder_reached = True
             if reply.tokens > 0:
                 expires_at = sent_at + reply.life_ms / 1000
                 batch = TokenBatch(reply.grant, reply.tokens, expires_at, address)
@@ -202,7 +202,7 @@
             state.denial = Denial(reply.retry_after_ms / 1000)
             state.denied_until = read_clock() + DENIAL_CACHE_SECONDS
             return
-        if not reached:
+        if not is_holder_reached:
             state.denial = Denial(-1.0)
 
     async def _request_grant(
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -38,7 +38,7 @@
         self._on_change = on_change
         self._share: float | None = None
         self._awaited_offset: int | None = None
-        self._changed = asyncio.Event()
+        self._raise_pending = asyncio.Event()
 
     @property
     def share(self) -> float:
@@ -68,7 +68,7 @@
         configured_share = self._get_configured_share()
         if configured_share > self._share:
             self._awaited_offset = self._configuration.next_offset
-            self._changed.set()
+            self._raise_pending.set()
             return
         self._awaited_offset = None
         if configured_share < self._share:
@@ -78,8 +78,8 @@
     async def run(self) -> None:
         """Collect confirmations while a larger share awaits them."""
         while True:
-            await self._changed.wait()
-            self._changed.clear()
+            await self._raise_pending.wait()
+            self._raise_pending.clear()
             while self._awaited_offset is not None:
                 await self._try_to_raise(self._awaited_offset)
                 await asyncio.sleep(CONFIRMATION_INTERVAL_SECONDS)
