--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -16,8 +16,8 @@
 # The maximum wait is at least this multiple of the latency: a shorter one would expire
 # every call before a slot becomes free.
 MAX_WAIT_LATENCY_RATIO = 1.5
-# Calls with less than this fraction of the latency left cannot meet their deadline.
-# Below 1, since some calls are faster than the smoothed latency.
+# With less than this fraction of the smoothed latency left, a call cannot meet its
+# deadline. Below 1, since some calls are faster.
 MIN_REMAINING_LATENCY_RATIO = 0.9
 
 Refuse = Callable[[Context], Refusal | None]
@@ -57,8 +57,8 @@
 
     Higher importance classes go first. Within a class, workspaces are served round
     robin, so that one with many calls cannot starve one with few. Within a workspace
-    the oldest call goes first as long as the queue drains from time to time. In a
-    standing queue the call that the other hops would shed last goes first.
+    the oldest call goes first, unless the queue has not been empty for the maximum
+    wait: then the call goes first that other hops would shed last, too.
 
     Args:
         limit: Limits the calls in flight.
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -1,7 +1,7 @@
 """Adaptive limit on the concurrent calls to a backend server."""
 
-# Applied when calls are shed: the limit is too high. A tenth less, as in TCP's gentler
-# variants.
+# Applied when shed calls or the latency show that the limit is too high. A tenth less,
+# as in TCP's gentler variants.
 DECREASE_FACTOR = 0.9
 # Many calls of one overload fail together; they lower the limit once within this time.
 MIN_DECREASE_INTERVAL_SECONDS = 0.1
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -33,7 +33,7 @@
 
 
 class Denial:
-    """Denial of a token; ``retry_after`` is negative if no holder was reached."""
+    """A denied token; ``retry_after`` in seconds, negative if no holder was reached."""
 
     __slots__ = ("retry_after",)
 
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -13,8 +13,8 @@
 class ZoneShare:
     """Applies a smaller share at once, a larger one when every instance confirmed it.
 
-    When share moves from one zone to another, both would spend it until the first has
-    received the change. So the second waits until every instance has confirmed the
+    When a share moves from one zone to another, both would spend it until the first
+    has received the change. So the second waits until every instance has confirmed the
     change. A zone that is partitioned off does not confirm: the moved share remains
     unused until the zone is back, or until its instances are removed from the members.
 
