--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -57,7 +57,7 @@
     async with run_fleet("a", slots=1, work=1.5, spread=0) as fleet:
         place = fleet.places[0]
         queue = place.node.backend.queue
-        queue._longest_wait = 5.0
+        queue._max_wait_seconds = 5.0
         async with Client([place.callers], KEY, attempts=1) as client:
             calls = [
                 asyncio.create_task(client.call("archive", f"/{n}")) for n in range(4)
