--- a/bench/rates.py
+++ b/bench/rates.py
@@ -64,7 +64,7 @@
                 ideal_count += 1
                 grant = ideal_bucket.grant(1.0, 1e-9, now)
                 assert grant is not None
-                ideal_bucket.settle(grant.id, now)
+                ideal_bucket.record_spent(grant.id, now)
         granted_count = sum(granted_at is not None for _, granted_at in self.calls)
         return max(0, ideal_count - granted_count)
 
@@ -131,7 +131,7 @@
         grant = bucket.grant(1.0, 1e-9, now) if bucket.level >= 1 else None
         if grant is None:
             raise Refusal.__new__(Refusal)
-        bucket.settle(grant.id, now)
+        bucket.record_spent(grant.id, now)
 
     return take_token
 
@@ -202,7 +202,7 @@
     workspace = f"w{number}"
 
     async def take_fleet_token(node: Node, max_wait_seconds: float) -> None:
-        await node.rates.charger.charge(workspace, max_wait_seconds)
+        await node.rates.limiter.charge(workspace, max_wait_seconds)
 
     take_token = (
         split_statically(nodes, case[0], case[1]) if static_split else take_fleet_token
--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -1,12 +1,13 @@
-"""Refuses calls early which a place further on would shed.
-
-A call that is shed four hops down has used a slot at three. Each node therefore keeps,
-for each service, workspace and class, how many of its calls were shed lately, and lets
-only so many go that some are still shed: enough to see when the overload ends, and few
-enough that little work is wasted. This is the adaptive throttling of Google's "Site
-Reliability Engineering" (2016), chapter 21, with two changes: which calls are refused
-is decided by the order in which all hops shed, not by chance; and since classes and
-workspaces are counted apart, it follows the shares that the queue further on gives.
+"""Adaptive throttling: refuses calls early that a later hop would shed.
+
+A call that is shed four hops down has used a slot at three. Each node therefore counts,
+per service, workspace and importance class, how many of its calls were shed recently,
+and limits the calls it admits to a multiple of the accepted ones. Enough calls are
+still shed to detect the end of the overload, and few enough that little work is wasted.
+This is the adaptive throttling of Google's "Site Reliability Engineering" (2016),
+chapter 21, with two changes. Calls are refused by the shedding order of all hops, not
+at random. And as classes and workspaces are counted separately, throttling follows the
+shares that the queue at the later hop gives them.
 """
 
 import collections
@@ -18,48 +19,50 @@
 from .admission import hash_root
 from .importance import Importance
 
-# Calls are let go up to this multiple of those that were accepted.
-MULTIPLE = 2.0
+# Calls are admitted up to this multiple of the accepted ones.
+ACCEPTED_CALLS_MULTIPLE = 2.0
 WINDOW_SECONDS = 0.5
-# Beyond that, so many a window: a workspace none of whose calls was accepted for a
-# while would otherwise never be let go again.
-PROBES = 1.0
-# Under this many calls in the window chance would decide.
-FEWEST_CALLS = 5.0
-HASHES = 1 << 32
-KEPT = 4096
+# Admitted in addition: without probes, a workspace that had no call accepted for some
+# time would be refused for good.
+PROBES_PER_WINDOW = 1.0
+# With fewer calls in the window, the fraction would be noise.
+MIN_CALLS = 5.0
+HASH_COUNT = 1 << 32
+MAX_WINDOWS = 4096
 
 Key = tuple[str, str, Importance]
 
 
 class Window:
-    """Calls asked for and accepted lately, forgetting exponentially."""
+    """Recently requested and accepted calls, with exponential decay."""
 
-    __slots__ = ("accepted", "asked", "at")
+    __slots__ = ("accepted", "requested", "updated_at")
 
     def __init__(self, now: float):
-        self.asked = 0.0
+        self.requested = 0.0
         self.accepted = 0.0
-        self.at = now
+        self.updated_at = now
 
     @property
-    def share(self) -> float:
-        """The share of calls to let go."""
-        return (MULTIPLE * self.accepted + PROBES) / self.asked
-
-    def forget(self, now: float) -> None:
-        """Let what lies back count less."""
-        factor = math.exp((self.at - now) / WINDOW_SECONDS)
-        self.asked *= factor
+    def admitted_fraction(self) -> float:
+        """The fraction of calls to admit, which may exceed 1."""
+        return (
+            ACCEPTED_CALLS_MULTIPLE * self.accepted + PROBES_PER_WINDOW
+        ) / self.requested
+
+    def decay(self, now: float) -> None:
+        """Decay the counts to the given time."""
+        factor = math.exp((self.updated_at - now) / WINDOW_SECONDS)
+        self.requested *= factor
         self.accepted *= factor
-        self.at = now
+        self.updated_at = now
 
 
 class Throttle:
-    """What was shed lately, by service, workspace and class.
+    """Throttles calls by how many of their service, workspace and class were shed.
 
     Args:
-        clock: Seconds.
+        clock: Returns the time in seconds.
     """
 
     def __init__(self, clock: Callable[[], float] = time.monotonic):
@@ -67,50 +70,57 @@
         self._windows: collections.OrderedDict[Key, Window] = collections.OrderedDict()
 
     def admits(self, service: str, context: Context) -> bool:
-        """Decide whether a call goes on.
+        """Return whether to admit a call.
 
-        Only calls whose end is known are counted. Those on their way would look like
-        shed ones, and a service that is slow but sheds nothing would be throttled.
+        Of admitted calls only completed ones are counted. If those in flight counted
+        too, they would look shed, and a slow service that sheds nothing would be
+        throttled.
         """
         window = self._get_window(service, context)
-        if window.asked < FEWEST_CALLS or hash_root(context.root) < self._bound(window):
+        if window.requested < MIN_CALLS or hash_root(
+            context.root
+        ) < self._get_hash_bound(window):
             return True
-        window.asked += 1
+        window.requested += 1
         return False
 
     def note_accepted(self, service: str, context: Context) -> None:
-        """Note that a call was not shed, whatever else became of it."""
+        """Record a call that was not shed, whatever its result."""
         window = self._get_window(service, context)
-        window.asked += 1
+        window.requested += 1
         window.accepted += 1
 
     def note_shed(self, service: str, context: Context) -> None:
-        """Note that a call was shed, here or further on."""
-        self._get_window(service, context).asked += 1
+        """Record a call that was shed, here or at a later hop."""
+        self._get_window(service, context).requested += 1
 
-    def get_share(self, service: str, workspace: str, importance: Importance) -> float:
-        """Return the share of calls that would be let go now."""
+    def get_admitted_fraction(
+        self, service: str, workspace: str, importance: Importance
+    ) -> float:
+        """Return the fraction of calls that would be admitted now, at most 1."""
         window = self._windows.get((service, workspace, importance))
         if window is None:
             return 1.0
-        window.forget(self._clock())
-        if window.asked < FEWEST_CALLS:
+        window.decay(self._clock())
+        if window.requested < MIN_CALLS:
             return 1.0
-        return min(1.0, window.share)
+        return min(1.0, window.admitted_fraction)
 
     def describe(self) -> dict[str, float]:
-        """Return the shares under one, for the operator address."""
-        shares = {}
+        """Return the admitted fractions below 1, for the operator address."""
+        fractions = {}
         for service, workspace, importance in list(self._windows):
-            share = self.get_share(service, workspace, importance)
-            if share < 1:
+            admitted_fraction = self.get_admitted_fraction(
+                service, workspace, importance
+            )
+            if admitted_fraction < 1:
                 name = f"{service} {workspace} {importance.name.lower()}"
-                shares[name] = round(share, 3)
-        return shares
+                fractions[name] = round(admitted_fraction, 3)
+        return fractions
 
-    def _bound(self, window: Window) -> float:
-        """Return the hash under which calls go on."""
-        return window.share * HASHES
+    def _get_hash_bound(self, window: Window) -> float:
+        """Return the bound below which hashes of calls are admitted."""
+        return window.admitted_fraction * HASH_COUNT
 
     def _get_window(self, service: str, context: Context) -> Window:
         key = (service, context.workspace, context.importance)
@@ -118,7 +128,7 @@
         window = self._windows.get(key)
         if window is None:
             window = self._windows[key] = Window(now)
-            if len(self._windows) > KEPT:
+            if len(self._windows) > MAX_WINDOWS:
                 self._windows.popitem(last=False)
-        window.forget(now)
+        window.decay(now)
         return window
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -1,4 +1,4 @@
-"""One node: every part put together, started, and stopped without cutting a call."""
+"""A node: wires its components, starts them and shuts down gracefully."""
 
 import asyncio
 import time
@@ -35,7 +35,7 @@
 from .operations.recorder import Recorder
 from .operator_pages import build_operator_application
 from .platform.log import LogClient, LogUnavailableError
-from .rates.keeper import RateKeeper
+from .rates.coordinator import RateCoordinator
 from .settings.node import NodeSettings
 from .supervisor import Supervisor
 
@@ -43,11 +43,11 @@
 
 
 class Node:
-    """A node process's parts.
+    """The components of a node process.
 
     Args:
-        settings: Of this process.
-        network: What can be reached; tests cut links in theirs.
+        settings: Settings of this process.
+        network: Reachability of addresses; tests inject partitions.
     """
 
     def __init__(self, settings: NodeSettings, network: Network | None = None):
@@ -67,72 +67,74 @@
 
     @property
     def settings(self) -> NodeSettings:
-        """What it was told."""
+        """Settings of the process."""
         return self._settings
 
     @property
     def members(self) -> Members:
-        """The fleet as it sees it."""
+        """Members of the fleet, as known to this node."""
         return self._members
 
     @property
     def configuration(self) -> Configuration:
-        """The document as it has it."""
+        """The configuration that this node has."""
         return self._configuration
 
     @property
     def confirmer(self) -> Confirmer:
-        """Asks the fleet how far it is."""
+        """Collects which configuration the instances have."""
         return self._confirmer
 
     @property
     def metrics(self) -> Metrics:
-        """Its metrics."""
+        """Metrics of the node."""
         return self._metrics
 
     @property
     def journal(self) -> Journal:
-        """Its events."""
+        """Log of the node's events."""
         return self._journal
 
     @property
     def decisions(self) -> Decisions:
-        """What it decided on refused and slow calls."""
+        """Recorded decisions on refused and slow calls."""
         return self._decisions
 
     @property
     def tracer(self) -> Tracer:
-        """Its spans."""
+        """Recorder of the node's spans."""
         return self._tracer
 
     @property
-    def rates(self) -> RateKeeper:
-        """Its part in keeping rates."""
+    def rates(self) -> RateCoordinator:
+        """The node's rate limiting."""
         return self._rates
 
     @property
     def backend(self) -> BackendServer:
-        """The backend server beside it."""
+        """The backend server beside this node."""
         return self._backend
 
     @property
     def listeners(self) -> dict[str, str]:
-        """Address of each listener."""
-        addresses = {name: item.address for name, item in self._listeners.items()}
+        """Addresses by listener name."""
+        addresses = {
+            name: listener.address for name, listener in self._listeners.items()
+        }
         return addresses | {"control": self._server.address}
 
     async def start(self) -> None:
-        """Open the listeners and take the configuration from wherever it is had.
+        """Open the listeners, and load the configuration from the log or from peers.
 
         Returns when calls are accepted, with or without a configuration: an instance
-        that has none refuses every call as not run, and says why.
+        without one refuses every call as not run, with the reason.
         """
         for name, listener in self._listeners.items():
             self._supervisor.start(name, listener.run)
         self._supervisor.start("control", self._server.run)
         for listener in self._listeners.values():
             await listener.wait_started()
-        await self._take_state()
+        await self._load_state()
         self._supervisor.start("gossip", self._gossip.run)
         self._supervisor.start("puller", self._puller.run)
         self._supervisor.start("log reader", self._reader.run)
@@ -147,17 +149,17 @@
         self._journal.emit(NODE_STARTED, **self.listeners)
 
     async def run(self, stopping: asyncio.Event) -> None:
-        """Start, serve until told to stop, and stop.
+        """Start, serve until ``stopping`` is set, and stop.
 
         Raises:
-            ExceptionGroup: A part failed too often.
+            ExceptionGroup: A component failed too often.
         """
         await self.start()
-        waits = [
+        tasks = [
             asyncio.create_task(stopping.wait()),
             asyncio.create_task(self._supervisor.wait_failed()),
         ]
-        done, pending = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
+        done, pending = await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
         await self.stop()
@@ -165,12 +167,12 @@
             task.result()
 
     async def stop(self) -> None:
-        """Stop without cutting off a call.
+        """Shut down gracefully, without interrupting calls in flight.
 
-        The order matters. First the fleet is told, and new work is refused here as
-        not run. Callers who do not know yet are served through other nodes for a
-        while, and are asked to open no more calls on their connections. Only then
-        do the listeners close, and calls in flight are waited for.
+        The order matters. First the node refuses new work as not run, and announces
+        the stop to the fleet. Callers that are not yet aware of it are served through
+        other nodes for some time, and are asked to open no more calls on their
+        connections. Only then are calls in flight drained and the listeners closed.
         """
         self._journal.emit(NODE_STOPPING, in_flight=self._tools.in_flight.count)
         self._backend.leave()
@@ -179,26 +181,26 @@
         await self._gossip.say_goodbye(serving=False)
         await self._stream.leave(self._members.own)
         await asyncio.sleep(self._settings.timeouts.lame_duck)
-        grace = self._settings.timeouts.drain
+        drain_timeout = self._settings.timeouts.drain
         try:
-            await asyncio.wait_for(self._tools.in_flight.wait_idle(), grace)
+            await asyncio.wait_for(self._tools.in_flight.wait_idle(), drain_timeout)
         except TimeoutError:
             pass
-        await self._rates.give_up()
+        await self._rates.release_leases()
         await self._gossip.say_goodbye(state=State.LEFT)
         for listener in self._listeners.values():
-            listener.stop(grace)
+            listener.stop(drain_timeout)
         await self._close()
         self._journal.emit(NODE_STOPPED)
 
     async def kill(self) -> None:
-        """Go without a word, as a killed process does; for tests and the demo."""
+        """Stop without notice, as a killed process does; for tests and the demo."""
         for listener in self._listeners.values():
             listener.abort()
         await self._close()
 
     def describe(self) -> dict[str, Any]:
-        """Return the node's view of itself and the fleet."""
+        """Return the state of the node and of the fleet as known to it."""
         configuration = self._configuration
         return {
             "instance": self._settings.instance,
@@ -227,8 +229,8 @@
         await self._client.close()
         await self._log.close()
 
-    async def _take_state(self) -> None:
-        """Take configuration and members from the log, and from peers without it."""
+    async def _load_state(self) -> None:
+        """Load configuration and members from the log, or from peers without it."""
         contacts = list(self._settings.seeds)
         try:
             async with asyncio.timeout(START_TIMEOUT_SECONDS):
@@ -297,13 +299,13 @@
         )
         self._confirmer = Confirmer(self._configuration, self._members, self._client)
         self._recorder = Recorder(self._members, self._client, OperationTable())
-        for part in (self._puller, self._gossip, self._confirmer, self._recorder):
-            part.register(self._server)
+        for component in (self._puller, self._gossip, self._confirmer, self._recorder):
+            component.register(self._server)
         self._configuration.watch(self._apply_outcome)
-        self._members.watch(self._forget_gone)
+        self._members.watch(self._forget_unreachable)
 
     def _build_rates(self) -> None:
-        self._rates = RateKeeper(
+        self._rates = RateCoordinator(
             self._settings,
             self._members,
             self._configuration,
@@ -334,7 +336,7 @@
             lambda workspace, key: self._configuration.document.is_key_valid(
                 workspace, key
             ),
-            self._tell_of_backend,
+            self._announce_backend,
             handles,
             self._journal,
             self._metrics,
@@ -353,7 +355,7 @@
             self._metrics,
         )
         self._callers_entry = CallersEntry(
-            self._tools, dispatcher, self._router, self._rates.charger, self._recorder
+            self._tools, dispatcher, self._router, self._rates.limiter, self._recorder
         )
         self._relay_entry = RelayEntry(self._tools, self._backend, seal)
         self._nested_entry = NestedEntry(self._tools, dispatcher, handles)
@@ -362,12 +364,12 @@
     def _build_listeners(self) -> None:
         listen = self._settings.listen
         header = self._settings.limits.header
-        announcing = build_announcement_application(self._backend)
+        announcements = build_announcement_application(self._backend)
         nested = self._nested_entry
 
         async def serve_backend(scope: Any, receive: Any, send: Any) -> None:
-            own = scope["raw_path"].startswith(ANNOUNCEMENT_PATH_PREFIX)
-            await (announcing if own else nested)(scope, receive, send)
+            is_announcement = scope["raw_path"].startswith(ANNOUNCEMENT_PATH_PREFIX)
+            await (announcements if is_announcement else nested)(scope, receive, send)
 
         operator = build_operator_application(self)
         self._listeners = {
@@ -382,19 +384,19 @@
             operator=self._listeners["operator"].address,
         )
 
-    def _tell_of_backend(self) -> None:
+    def _announce_backend(self) -> None:
         announced = self._backend.announcement
         serving = self._backend.serving
         own = self._members.own
-        since = own.serving_since_ms
+        serving_since_ms = own.serving_since_ms
         if serving and not own.serving:
-            since = int(time.time() * 1000)
+            serving_since_ms = int(time.time() * 1000)
         self._members.change_own(
             service=announced.service if announced else "",
             backend_server=announced.address if announced else "",
             slots=(announced.slots or 0) if announced else 0,
             serving=serving,
-            serving_since_ms=since,
+            serving_since_ms=serving_since_ms,
         )
 
     def _apply_outcome(self, outcome: Outcome) -> None:
@@ -404,7 +406,7 @@
         self._rates.apply_document()
         self._gossip.spread()
 
-    def _forget_gone(self, member: Member, _: Member | None) -> None:
+    def _forget_unreachable(self, member: Member, _: Member | None) -> None:
         if not member.reachable:
             self._router.forget(member.instance)
             self._relay.forget(member.relay)
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -1,9 +1,9 @@
-"""Leases on partitions of workspaces: at most one holder a zone, without the log.
+"""Leases on partitions of workspaces: at most one holder per zone, without the log.
 
-Five electors a partition, named by rendezvous hashing, each vote for one candidate at
-a time and for a lease's length. A holder needs four of them (fewer in a small zone),
-so two sets of electors that differ by up to two members, as nodes with different
-views may see them, still share a voter.
+Each partition has five electors, selected by rendezvous hashing. An elector votes for
+one candidate at a time, for the duration of a lease. A holder needs four votes (fewer
+in a small zone): even if nodes with different views of the members see sets of electors
+that differ by up to two, any two majorities share a voter.
 """
 
 import asyncio
@@ -19,60 +19,66 @@
 from ..proto import control_pb2 as pb
 from .clock import read_clock
 
-PARTITIONS = 64
-ELECTORS = 5
+PARTITION_COUNT = 64
+ELECTORS_PER_PARTITION = 5
 VOTE_TIMEOUT_SECONDS = 0.5
-RENEWALS_A_LEASE = 3
+RENEWALS_PER_LEASE = 3
 
 
 def get_partition(workspace: str) -> int:
-    """Return the partition that a workspace's tokens are in."""
-    return zlib.crc32(workspace.encode()) % PARTITIONS
+    """Return the partition of a workspace's tokens."""
+    return zlib.crc32(workspace.encode()) % PARTITION_COUNT
 
 
 def count_quorum(electors: int) -> int:
-    """Return how many electors' votes make a holder.
+    """Return the number of votes that a holder needs.
 
     >>> [count_quorum(electors) for electors in (1, 2, 3, 4, 5)]
     [1, 2, 2, 3, 4]
     """
-    return electors // 2 + 1 if electors < ELECTORS else ELECTORS - 1
+    return (
+        electors // 2 + 1
+        if electors < ELECTORS_PER_PARTITION
+        else ELECTORS_PER_PARTITION - 1
+    )
 
 
 class Partitions:
-    """Which instances of a zone should hold, and vote on, each partition.
+    """Ranks the instances of a zone that should hold, and vote on, each partition.
 
     Args:
-        members: Who is in which zone.
+        members: Members of the fleet and their zones.
     """
 
     def __init__(self, members: Members):
         self._ranking = ZoneRanking(members)
 
     def rank(self, zone: str, partition: int) -> list[str]:
-        """Return the zone's electors, the one that should hold the partition first."""
-        return self._ranking.get(zone, f"rates/{partition}", ELECTORS)
+        """Return the partition's electors, the one that should hold it first."""
+        return self._ranking.get(zone, f"rates/{partition}", ELECTORS_PER_PARTITION)
 
 
 def hash_electors(electors: list[str]) -> int:
-    """Return a hash of the electors' names, in any order."""
+    """Return a hash of the electors' names, regardless of their order."""
     return zlib.crc32("|".join(sorted(electors)).encode())
 
 
 class Lease:
-    """A partition held until a time on this instance's clock."""
+    """Lease on a partition, until a time on this instance's clock."""
 
-    __slots__ = ("epoch", "expires_at", "partition", "taken_at")
+    __slots__ = ("acquired_at", "epoch", "expires_at", "partition")
 
-    def __init__(self, partition: int, epoch: int, taken_at: float, expires_at: float):
+    def __init__(
+        self, partition: int, epoch: int, acquired_at: float, expires_at: float
+    ):
         self.partition = partition
         self.epoch = epoch
-        self.taken_at = taken_at
+        self.acquired_at = acquired_at
         self.expires_at = expires_at
 
 
-class GivenVote:
-    """Whom an elector has voted for, and until when."""
+class CastVote:
+    """An elector's vote for a candidate, until a time on the elector's clock."""
 
     __slots__ = ("candidate", "epoch", "expires_at")
 
@@ -83,73 +89,73 @@
 
 
 class Elector:
-    """Votes, for one candidate a partition at a time.
+    """Votes for one candidate per partition at a time.
 
     Args:
-        members: Whom there is to vote for, and who else votes.
-        partitions: Who the electors are.
-        lease: Seconds that a vote lasts.
-        clock: Seconds.
+        members: Members of the zone.
+        partitions: Ranks the electors of each partition.
+        lease_seconds: Duration of a vote.
+        clock: Returns the time in seconds.
     """
 
     def __init__(
         self,
         members: Members,
         partitions: Partitions,
-        lease: float,
+        lease_seconds: float,
         clock: Callable[[], float] = read_clock,
     ):
         self._members = members
         self._partitions = partitions
-        self._lease = lease
+        self._lease_seconds = lease_seconds
         self._clock = clock
-        # A process that has just started may be an elector that voted, died and
-        # forgot: until that vote is surely over it gives none.
-        self._abstains_until = clock() + lease
-        self._votes: dict[int, GivenVote] = {}
+        # A restarted elector has lost the votes of its previous process, and abstains
+        # until these have certainly expired.
+        self._abstains_until = clock() + lease_seconds
+        self._votes: dict[int, CastVote] = {}
 
     def register(self, server: ControlServer) -> None:
-        """Answer candidates."""
-        server.register("Vote", self._answer)
+        """Register the handler of vote requests."""
+        server.register("Vote", self._handle_vote)
 
     def vote(self, zone: str, ballot: pb.Ballot, candidate: str) -> pb.Vote:
-        """Vote on one partition."""
-        known = self._votes.get(ballot.partition)
-        epoch = max(ballot.epoch, known.epoch if known else 0)
-        granted = self._may_vote(zone, ballot, candidate, known)
+        """Return the vote on a candidate's ballot for one partition."""
+        last_vote = self._votes.get(ballot.partition)
+        epoch = max(ballot.epoch, last_vote.epoch if last_vote else 0)
+        granted = self._may_vote(zone, ballot, candidate, last_vote)
         if granted:
-            expires_at = self._clock() + self._lease
-            self._votes[ballot.partition] = GivenVote(candidate, epoch, expires_at)
+            expires_at = self._clock() + self._lease_seconds
+            self._votes[ballot.partition] = CastVote(candidate, epoch, expires_at)
         return pb.Vote(partition=ballot.partition, granted=granted, epoch=epoch)
 
     def release(self, partition: int, candidate: str) -> None:
-        """End a vote early: the candidate gave its lease up."""
-        known = self._votes.get(partition)
-        if known is not None and known.candidate == candidate:
-            known.expires_at = self._clock()
+        """End a vote for a candidate that released its lease."""
+        last_vote = self._votes.get(partition)
+        if last_vote is not None and last_vote.candidate == candidate:
+            last_vote.expires_at = self._clock()
 
     def _may_vote(
-        self, zone: str, ballot: pb.Ballot, candidate: str, known: GivenVote | None
+        self, zone: str, ballot: pb.Ballot, candidate: str, last_vote: CastVote | None
     ) -> bool:
         now = self._clock()
         own = self._members.own
         if now < self._abstains_until or zone != own.zone:
             return False
-        if known is not None:
-            bound = known.candidate != candidate and known.expires_at > now
-            if bound or ballot.epoch < known.epoch:
+        if last_vote is not None:
+            is_bound = last_vote.candidate != candidate and last_vote.expires_at > now
+            if is_bound or ballot.epoch < last_vote.epoch:
                 return False
-        # A part of the zone that is cut off from the rest counts the others as dead
-        # and would name electors among its own members: only the larger part votes.
-        reachable, whole = self._members.count_electorate(zone)
-        if 2 * reachable <= whole and whole > 1:
+        # Members in the smaller part of a partitioned zone see the others as dead, and
+        # would select electors among themselves: only the larger part votes.
+        reachable, total = self._members.count_electorate(zone)
+        if 2 * reachable <= total and total > 1:
             return False
         electors = self._partitions.rank(zone, ballot.partition)
         if own.instance not in electors:
             return False
         return hash_electors(electors) == ballot.electors
 
-    async def _answer(self, request: pb.VoteRequest, sender: str) -> pb.VoteReply:
+    async def _handle_vote(self, request: pb.VoteRequest, sender: str) -> pb.VoteReply:
         for partition in request.released:
             self.release(partition, sender)
         votes = [self.vote(request.zone, ballot, sender) for ballot in request.ballots]
@@ -157,18 +163,18 @@
 
 
 class Candidate:
-    """Takes and keeps leases on the partitions that are this instance's to hold.
+    """Acquires and renews leases on the partitions that this instance should hold.
 
     Args:
-        members: The zone's nodes.
-        partitions: Who the electors are.
-        elector: This instance's own vote.
-        client: Asks other electors.
-        get_partitions: Returns the partitions that any workspace is in.
-        on_taken: Called with a lease when it was taken anew.
-        lease: Seconds that a lease lasts.
-        journal: Told of leases.
-        metrics: Counts them.
+        members: Members of the zone.
+        partitions: Ranks the electors of each partition.
+        elector: This instance's own elector.
+        client: Sends vote requests to other electors.
+        get_partitions: Returns the partitions that contain a workspace.
+        on_acquired: Called with each new lease, but not on renewals.
+        lease_seconds: Duration of a lease.
+        journal: Logs acquired and lost leases.
+        metrics: Counts leases.
     """
 
     def __init__(
@@ -178,8 +184,8 @@
         elector: Elector,
         client: ControlClient,
         get_partitions: Callable[[], set[int]],
-        on_taken: Callable[[Lease], None],
-        lease: float,
+        on_acquired: Callable[[Lease], None],
+        lease_seconds: float,
         journal: Journal,
         metrics: Metrics,
     ):
@@ -188,24 +194,24 @@
         self._elector = elector
         self._client = client
         self._get_partitions = get_partitions
-        self._on_taken = on_taken
-        self._lease = lease
+        self._on_acquired = on_acquired
+        self._lease_seconds = lease_seconds
         self._journal = journal
         self._metrics = metrics
         self._leases: dict[int, Lease] = {}
         self._epochs: dict[int, int] = {}
-        self._given_up = False
+        self._is_stopping = False
 
     @property
     def leases(self) -> dict[int, Lease]:
-        """Leases by partition, lapsed ones too until they are renewed or dropped."""
+        """Leases by partition, including expired ones not yet renewed or dropped."""
         return self._leases
 
     def find_lease(self, partition: int) -> Lease | None:
-        """Return the lease, if it is held at this moment.
+        """Return the lease if it is valid now, else None.
 
-        To be asked before every grant and after every wait: the process may have
-        been paused for longer than the lease in between.
+        To be called before every grant and after every wait, as the process may have
+        been paused for longer than the lease.
         """
         lease = self._leases.get(partition)
         if lease is None or lease.expires_at <= read_clock():
@@ -213,19 +219,19 @@
         return lease
 
     async def run(self) -> None:
-        """Renew leases, and take those that fall to this instance."""
+        """Renew leases, and acquire those that this instance should hold."""
         while True:
             await self._campaign()
-            pause = self._lease / RENEWALS_A_LEASE
-            await asyncio.sleep(pause * random.uniform(0.7, 1.0))
+            interval_seconds = self._lease_seconds / RENEWALS_PER_LEASE
+            await asyncio.sleep(interval_seconds * random.uniform(0.7, 1.0))
 
-    async def give_up(self) -> None:
-        """Give every lease up, so that successors need not wait for its end."""
-        self._given_up = True
+    async def release_leases(self) -> None:
+        """Release all leases, so that successors need not wait for them to expire."""
+        self._is_stopping = True
         await self._release(list(self._leases))
 
     async def _release(self, partitions: list[int]) -> None:
-        """Drop leases first, and only then let electors vote for another."""
+        """Drop leases, and only then allow electors to vote for other candidates."""
         if not partitions:
             return
         zone = self._members.own.zone
@@ -239,17 +245,17 @@
         await asyncio.gather(*(self._send(name, request) for name in electors))
 
     async def _campaign(self) -> None:
-        self._drop_lapsed()
-        if self._given_up:
+        self._drop_expired()
+        if self._is_stopping:
             return
         zone = self._members.own.zone
-        others_turn = [
+        reassigned = [
             partition
             for partition in self._leases
             if self._partitions.rank(zone, partition)[:1]
             != [self._members.own.instance]
         ]
-        await self._release(others_turn)
+        await self._release(reassigned)
         ballots: dict[int, tuple[pb.Ballot, list[str]]] = {}
         for partition in self._get_partitions():
             electors = self._partitions.rank(zone, partition)
@@ -262,22 +268,25 @@
             )
             ballots[partition] = (ballot, electors)
         sent_at = read_clock()
-        granted = await self._collect(zone, ballots)
+        granted = await self._collect_votes(zone, ballots)
         for partition, (ballot, electors) in ballots.items():
             if granted.get(partition, 0) >= count_quorum(len(electors)):
-                self._hold(partition, ballot.epoch, sent_at)
+                self._store_lease(partition, ballot.epoch, sent_at)
         self._metrics.leases.set(len(self._leases))
 
-    async def _collect(
+    async def _collect_votes(
         self, zone: str, ballots: dict[int, tuple[pb.Ballot, list[str]]]
     ) -> dict[int, int]:
-        """Ask every elector once, for all partitions, and count the votes."""
-        by_elector: dict[str, list[pb.Ballot]] = {}
+        """Request the votes on all partitions from each elector, and count them."""
+        ballots_by_elector: dict[str, list[pb.Ballot]] = {}
         for ballot, electors in ballots.values():
             for name in electors:
-                by_elector.setdefault(name, []).append(ballot)
+                ballots_by_elector.setdefault(name, []).append(ballot)
         replies = await asyncio.gather(
-            *(self._ask(zone, name, asked) for name, asked in by_elector.items())
+            *(
+                self._request_votes(zone, name, elector_ballots)
+                for name, elector_ballots in ballots_by_elector.items()
+            )
         )
         granted: dict[int, int] = {}
         for votes in replies:
@@ -288,7 +297,7 @@
                     granted[vote.partition] = granted.get(vote.partition, 0) + 1
         return granted
 
-    async def _ask(
+    async def _request_votes(
         self, zone: str, elector: str, ballots: list[pb.Ballot]
     ) -> list[pb.Vote]:
         own = self._members.own.instance
@@ -308,10 +317,10 @@
             return []
         return list(reply.votes)
 
-    def _hold(self, partition: int, epoch: int, sent_at: float) -> None:
-        # Counted from before the question, so that it ends here before it ends at
-        # any elector.
-        expires_at = sent_at + self._lease
+    def _store_lease(self, partition: int, epoch: int, sent_at: float) -> None:
+        # Counted from before the request was sent, so that the lease expires here
+        # before the vote expires at any elector.
+        expires_at = sent_at + self._lease_seconds
         if expires_at <= read_clock():
             return
         lease = self._leases.get(partition)
@@ -321,9 +330,9 @@
         lease = Lease(partition, epoch, read_clock(), expires_at)
         self._leases[partition] = lease
         self._journal.emit(LEASE_TAKEN, partition=partition, epoch=epoch)
-        self._on_taken(lease)
+        self._on_acquired(lease)
 
-    def _drop_lapsed(self) -> None:
+    def _drop_expired(self) -> None:
         now = read_clock()
         for partition, lease in list(self._leases.items()):
             if lease.expires_at <= now:
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -1,4 +1,4 @@
-"""This zone's share of every rate, which grows only when all others know."""
+"""This zone's share of every rate, raised only once all instances know the change."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,23 +6,23 @@
 from ..fleet.configuration import Configuration
 from ..fleet.confirm import Confirmer
 
-ASK_SECONDS = 1.0
-ANSWER_SECONDS = 2.0
+CONFIRMATION_INTERVAL_SECONDS = 1.0
+CONFIRMATION_TIMEOUT_SECONDS = 2.0
 
 
-class ShareGate:
-    """Lets a smaller share through at once, a larger one after every confirmation.
+class ZoneShare:
+    """Applies a smaller share at once, a larger one when every instance confirmed it.
 
-    When a share moves from one zone to another, both would spend it for as long as
-    the loser has not heard of the edit. So the winner waits until every instance has
-    confirmed it. A zone that is cut off does not confirm: the share that moved lies
-    idle until it is back, or until its instances are forgotten.
+    When a share moves from one zone to another, both would spend it until the first
+    has received the change. So the second waits until every instance has confirmed the
+    change. A zone that is partitioned off does not confirm: the moved share remains
+    unused until the zone is back, or until its instances are removed from the members.
 
     Args:
-        zone: The availability zone of this instance.
-        configuration: The document.
-        confirmer: Asks the fleet.
-        on_change: Called when another share came into force.
+        zone: Availability zone of this instance.
+        configuration: Holds the configuration document.
+        confirmer: Collects confirmations from the fleet.
+        on_change: Called when another share is in force.
     """
 
     def __init__(
@@ -37,8 +37,8 @@
         self._confirmer = confirmer
         self._on_change = on_change
         self._share: float | None = None
-        self._awaited: int | None = None
-        self._changed = asyncio.Event()
+        self._awaited_offset: int | None = None
+        self._raise_pending = asyncio.Event()
 
     @property
     def share(self) -> float:
@@ -46,51 +46,51 @@
         return self._share or 0.0
 
     @property
-    def awaited(self) -> int | None:
-        """The offset that has to be confirmed for a larger share, or None."""
-        return self._awaited
+    def awaited_offset(self) -> int | None:
+        """Offset to be confirmed before the share is raised, or None."""
+        return self._awaited_offset
 
-    def activate(self, shares_told: list[float]) -> None:
-        """Begin, with the configuration that this instance started from.
+    def activate(self, reported_shares: list[float]) -> None:
+        """Initialize the share from the configuration that this instance loaded.
 
         Args:
-            shares_told: Shares in force at other instances of the zone. One of them
-                may know of a share that others still have to confirm.
+            reported_shares: Shares in force at other instances of the zone. A larger
+                configured share may still await confirmations.
         """
-        wanted = self._get_wanted()
-        self._share = min([wanted, *shares_told])
-        self.note_change()
+        configured_share = self._get_configured_share()
+        self._share = min([configured_share, *reported_shares])
+        self.apply_document()
 
-    def note_change(self) -> None:
-        """Look at what the document says now."""
+    def apply_document(self) -> None:
+        """Apply the document's share, or await confirmations of a larger one."""
         if self._share is None:
             return
-        wanted = self._get_wanted()
-        if wanted > self._share:
-            self._awaited = self._configuration.next_offset
-            self._changed.set()
+        configured_share = self._get_configured_share()
+        if configured_share > self._share:
+            self._awaited_offset = self._configuration.next_offset
+            self._raise_pending.set()
             return
-        self._awaited = None
-        if wanted < self._share:
-            self._share = wanted
+        self._awaited_offset = None
+        if configured_share < self._share:
+            self._share = configured_share
         self._on_change()
 
     async def run(self) -> None:
-        """Ask for confirmations while a larger share waits for them."""
+        """Collect confirmations while a larger share awaits them."""
         while True:
-            await self._changed.wait()
-            self._changed.clear()
-            while self._awaited is not None:
-                await self._try_to_grow(self._awaited)
-                await asyncio.sleep(ASK_SECONDS)
+            await self._raise_pending.wait()
+            self._raise_pending.clear()
+            while self._awaited_offset is not None:
+                await self._try_to_raise(self._awaited_offset)
+                await asyncio.sleep(CONFIRMATION_INTERVAL_SECONDS)
 
-    def _get_wanted(self) -> float:
+    def _get_configured_share(self) -> float:
         return self._configuration.document.shares.get(self._zone, 0.0)
 
-    async def _try_to_grow(self, next_offset: int) -> None:
-        status = await self._confirmer.ask(ANSWER_SECONDS)
-        if self._awaited != next_offset or not status.is_everywhere(next_offset):
+    async def _try_to_raise(self, next_offset: int) -> None:
+        status = await self._confirmer.ask(CONFIRMATION_TIMEOUT_SECONDS)
+        if self._awaited_offset != next_offset or not status.is_everywhere(next_offset):
             return
-        self._share = self._get_wanted()
-        self._awaited = None
+        self._share = self._get_configured_share()
+        self._awaited_offset = None
         self._on_change()
