--- a/bench/trial.py
+++ b/bench/trial.py
@@ -175,7 +175,7 @@
         await fleet.wait_ready()
         # Skip the slow start, in which new backend servers get fewer calls.
         for place in fleet.places:
-            place.node.members.change_own(serving_since_ms=0)
+            place.node.members.update_own(serving_since_ms=0)
         await asyncio.sleep(1.0)
 
     async def _send_all(self, fleet: EmbeddedFleet, seconds: float) -> None:
--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -169,7 +169,7 @@
         self._queue.refuse_where(lambda _: _build_draining_refusal())
         self._on_change()
 
-    def leave(self) -> None:
+    def stop_serving(self) -> None:
         """Accept no new calls, as this node is stopping."""
         self._stopping = True
         self._on_change()
@@ -275,7 +275,7 @@
             self._unresponsive_detector.end(watch)
         verdict = find_header(response.headers, VERDICT_HEADER)
         if response.status in (429, 503) and verdict == b"not run":
-            self._queue.limit.note_shed(time.monotonic())
+            self._queue.limit.record_shed(time.monotonic())
             raise not_run(
                 Reason.OVERLOADED,
                 "the backend server refused the call without running it",
@@ -292,7 +292,7 @@
     def _record_latency(self, response: Response, started: float) -> None:
         now = time.monotonic()
         in_flight = self._queue.in_flight
-        self._queue.limit.note_served(now - started, in_flight, now)
+        self._queue.limit.record_served(now - started, in_flight, now)
 
     def _release(
         self, connection: Connection | None, pool: Pool, handle: bytes
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -28,7 +28,7 @@
 CONNECTION_FAILURE_REASONS = frozenset({Reason.CONNECTION_LOST, Reason.ANSWER_BROKEN})
 
 
-class RetryShare:
+class RetryBudget:
     """Limits a node's retries for each workspace to a ratio of its first attempts.
 
     Retry tokens limit the retries of one root call only. If all calls fail at once,
@@ -86,7 +86,7 @@
         router: Router,
         backend: BackendServer,
         relay: Relay,
-        retry_budget: RetryShare,
+        retry_budget: RetryBudget,
         throttle: Throttle,
         journal: Journal,
         metrics: Metrics,
@@ -128,9 +128,9 @@
 
     def _record_outcome(self, call: Call, shed: bool) -> None:
         if shed:
-            self._throttle.note_shed(call.service, call.context)
+            self._throttle.record_shed(call.service, call.context)
         else:
-            self._throttle.note_accepted(call.service, call.context)
+            self._throttle.record_accepted(call.service, call.context)
 
     async def _send_with_retries(
         self, call: Call, check_key: Callable[[], None]
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -17,7 +17,7 @@
 from .call import Body, Call, Context, Reply
 from .context import ContextSeal
 from .dispatch import Dispatcher
-from .entry import Entry, RequestRecord, Tools
+from .entry import Entry, EntryDependencies, RequestRecord
 from .exchange import HttpExchange
 from .handles import build_nested_context, Handles, return_retry_tokens
 from .headers import (
@@ -82,13 +82,13 @@
 
     def __init__(
         self,
-        tools: Tools,
+        dependencies: EntryDependencies,
         dispatcher: Dispatcher,
         router: Router,
         rate_limiter: RateLimiter,
         recorder: OperationRecorder,
     ):
-        super().__init__(tools)
+        super().__init__(dependencies)
         self._dispatcher = dispatcher
         self._router = router
         self._rate_limiter = rate_limiter
@@ -101,7 +101,7 @@
         context = self._authenticate(exchange, record, trace, target)
         self._check_configuration_age(context.workspace)
         name = f"{exchange.method} {record.service}"
-        with self._tools.tracer.trace(name, trace, context.workspace) as span:
+        with self._dependencies.tracer.trace(name, trace, context.workspace) as span:
             context.call = span or context.call
             headers = filter_request_headers(exchange.headers)
             body = await self._read_body(exchange, context)
@@ -165,7 +165,7 @@
     def _read_trace(self, exchange: HttpExchange) -> tuple[str, TraceParent]:
         trace = parse_traceparent(exchange.get_header(TRACEPARENT))
         if trace is None:
-            sampled = self._tools.tracer.sample()
+            sampled = self._dependencies.tracer.sample()
             trace = TraceParent(generate_trace_id(), generate_span_id(), sampled)
         return trace.trace, trace
 
@@ -176,7 +176,7 @@
         trace: TraceParent,
         target: bytes,
     ) -> Context:
-        document = self._tools.configuration.document
+        document = self._dependencies.configuration.document
         authorization = exchange.get_header(AUTHORIZATION)
         if not authorization.lower().startswith(BEARER_PREFIX):
             raise not_run(
@@ -200,7 +200,7 @@
             importance=document.get_importance(service, exchange.method, path),
             deadline=time.monotonic() + self._read_timeout(exchange, document, service),
             depth=0,
-            retry_tokens=self._tools.settings.retries.tokens,
+            retry_tokens=self._dependencies.settings.retries.tokens,
             idempotent=self._is_idempotent(exchange, service, path),
         )
 
@@ -210,7 +210,7 @@
         text = exchange.get_header(TIMEOUT_MS)
         if not text:
             known = document.services[service].timeout
-            return known or self._tools.settings.timeouts.call
+            return known or self._dependencies.settings.timeouts.call
         if not text.isdecimal() or not 0 < int(text) <= MAX_TIMEOUT_SECONDS * 1000:
             name = TIMEOUT_MS.decode()
             raise not_run(Reason.MALFORMED_REQUEST, f"invalid number of ms in {name}")
@@ -222,8 +222,8 @@
         A zone that is cut off from the platform and from other zones does not receive
         the withdrawal of a key, and cannot tell this from an outage of the platform.
         """
-        max_age = self._tools.configuration.document.get_stale_after(workspace)
-        if max_age is not None and self._tools.configuration.age > max_age:
+        max_age = self._dependencies.configuration.document.get_stale_after(workspace)
+        if max_age is not None and self._dependencies.configuration.age > max_age:
             detail = f"the configuration is older than {max_age:g} s"
             raise not_run(Reason.CONFIGURATION_STALE, detail, retry_after=1.0)
 
@@ -248,8 +248,10 @@
 
     listener = "relay"
 
-    def __init__(self, tools: Tools, backend: BackendServer, seal: ContextSeal):
-        super().__init__(tools)
+    def __init__(
+        self, dependencies: EntryDependencies, backend: BackendServer, seal: ContextSeal
+    ):
+        super().__init__(dependencies)
         self._backend = backend
         self._seal = seal
 
@@ -270,7 +272,7 @@
         record.call = call
         parent = TraceParent(context.root, context.call, context.trace.sampled)
         name = f"relayed {record.service}"
-        with self._tools.tracer.trace(name, parent, context.workspace):
+        with self._dependencies.tracer.trace(name, parent, context.workspace):
             reply = await self._backend.serve(call)
             await self._send_reply(exchange, reply, record)
 
@@ -296,8 +298,10 @@
 
     listener = "nested"
 
-    def __init__(self, tools: Tools, dispatcher: Dispatcher, handles: Handles):
-        super().__init__(tools)
+    def __init__(
+        self, dependencies: EntryDependencies, dispatcher: Dispatcher, handles: Handles
+    ):
+        super().__init__(dependencies)
         self._dispatcher = dispatcher
         self._handles = handles
 
@@ -308,13 +312,13 @@
         target = self._split_target(exchange, record)
         path = target.partition(b"?")[0].decode("latin-1")
         service = record.service
-        document = self._tools.configuration.document
+        document = self._dependencies.configuration.document
         importance: Importance = document.get_importance(service, exchange.method, path)
         idempotent = self._is_idempotent(exchange, service, path)
         context = build_nested_context(parent, idempotent, importance)
         name = f"nested {service}"
         try:
-            with self._tools.tracer.trace(
+            with self._dependencies.tracer.trace(
                 name, context.trace, context.workspace
             ) as span:
                 context.call = span or context.call
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -24,7 +24,7 @@
 SLOW_CALL_SECONDS = 1.0
 
 
-class Tools:
+class EntryDependencies:
     """The objects of a node that all of its entries share."""
 
     __slots__ = (
@@ -79,23 +79,23 @@
 
     listener = ""
 
-    def __init__(self, tools: Tools):
-        self._tools = tools
+    def __init__(self, dependencies: EntryDependencies):
+        self._dependencies = dependencies
         self._closing = False
 
-    def close_after_answers(self) -> None:
+    def disable_keep_alive(self) -> None:
         """Send ``Connection: close`` with each response, as this node is stopping."""
         self._closing = True
 
     async def __call__(self, scope: dict[str, Any], receive: Receive, send: Send):
         """Serve one request."""
-        limits = self._tools.settings.limits
+        limits = self._dependencies.settings.limits
         exchange = HttpExchange(scope, receive, send, limits.body_buffer, limits.body)
         task = asyncio.current_task()
         assert task is not None
         exchange.cancel_on_disconnect(task)
         record = RequestRecord()
-        with self._tools.in_flight:
+        with self._dependencies.in_flight:
             try:
                 await self._serve(exchange, record)
             except (asyncio.CancelledError, CallerDisconnectedError):
@@ -116,16 +116,20 @@
                 exchange.abort()
                 return
             added = self._build_headers(record)
-            await exchange.send_refusal(refusal, self._tools.settings.instance, added)
+            await exchange.send_refusal(
+                refusal, self._dependencies.settings.instance, added
+            )
         except Exception as error:
             text = f"{type(error).__name__}: {error}"
-            self._tools.journal.emit(CALL_FAILED, error=text, trace=record.trace)
+            self._dependencies.journal.emit(CALL_FAILED, error=text, trace=record.trace)
             refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error of the node")
             self._record_outcome(record, refusal)
             if exchange.started:
                 exchange.abort()
                 return
-            await exchange.send_refusal(refusal, self._tools.settings.instance, [])
+            await exchange.send_refusal(
+                refusal, self._dependencies.settings.instance, []
+            )
 
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         raise NotImplementedError
@@ -144,22 +148,22 @@
             reply.close()
 
     def _check_ready(self) -> None:
-        if not self._tools.configuration.ready:
+        if not self._dependencies.configuration.ready:
             detail = "this instance has no configuration yet"
             raise not_run(Reason.CONFIGURATION_MISSING, detail, retry_after=1.0)
 
     def _check_key(self, context: Context) -> None:
-        document = self._tools.configuration.document
+        document = self._dependencies.configuration.document
         refusal = build_key_refusal(document.is_key_valid, context)
         if refusal is not None:
             raise refusal
 
     def _record_outcome(self, record: RequestRecord, refusal: Refusal | None) -> None:
-        tools = self._tools
+        dependencies = self._dependencies
         seconds = record.seconds
         outcome = refusal.reason.code if refusal else "served"
-        tools.metrics.calls.labels(self.listener, outcome).inc()
-        tools.metrics.seconds.labels(self.listener).observe(seconds)
+        dependencies.metrics.calls.labels(self.listener, outcome).inc()
+        dependencies.metrics.seconds.labels(self.listener).observe(seconds)
         if refusal is None and seconds < SLOW_CALL_SECONDS:
             return
         decision = Decision(
@@ -170,13 +174,13 @@
             outcome=outcome,
             verdict=refusal.verdict.value if refusal else Verdict.RAN.value,
             detail=refusal.detail if refusal else "slow",
-            instance=(refusal and refusal.instance) or tools.settings.instance,
-            next_offset=tools.configuration.next_offset,
+            instance=(refusal and refusal.instance) or dependencies.settings.instance,
+            next_offset=dependencies.configuration.next_offset,
             seconds=round(seconds, 6),
         )
-        tools.decisions.add(decision)
+        dependencies.decisions.add(decision)
         if refusal is not None:
-            tools.journal.emit(
+            dependencies.journal.emit(
                 CALL_REFUSED,
                 reason=outcome,
                 verdict=refusal.verdict.value,
@@ -192,7 +196,7 @@
             first, question, query = first.partition(b"?")
             rest = question + query
         record.service = first.decode("latin-1")
-        document = self._tools.configuration.document
+        document = self._dependencies.configuration.document
         if record.service not in document.services:
             detail = f"unknown service {record.service[:60]!r}"
             raise not_run(Reason.SERVICE_UNKNOWN, detail)
@@ -201,5 +205,5 @@
     def _is_idempotent(self, exchange: HttpExchange, service: str, path: str) -> bool:
         if exchange.method in IDEMPOTENT_METHODS:
             return True
-        known = self._tools.configuration.document.services[service]
+        known = self._dependencies.configuration.document.services[service]
         return path.startswith(known.idempotent) if known.idempotent else False
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -108,7 +108,7 @@
             if connection is not None and not is_streamed:
                 pool.release(connection)
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Close the idle connections to a node and remove their pool."""
         pool = self._pools.pop(address, None)
         if pool is not None:
@@ -117,7 +117,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._pools):
-            self.forget(address)
+            self.remove(address)
 
     def _parse_refusal(
         self, response: Response, connection: Connection
@@ -152,7 +152,7 @@
         # The most recently used pool is the last.
         self._pools[address] = pool
         while len(self._pools) > MAX_POOLS:
-            self.forget(next(iter(self._pools)))
+            self.remove(next(iter(self._pools)))
         return pool
 
 
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -148,7 +148,7 @@
         stats.ejected_until = time.monotonic() + seconds
         return seconds
 
-    def forget(self, instance: str) -> None:
+    def remove(self, instance: str) -> None:
         """Remove the statistics of a member that has left or failed."""
         self._stats.pop(instance, None)
 
--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -38,7 +38,7 @@
             name for name, offset in self.offsets.items() if offset < next_offset
         )
 
-    def is_everywhere(self, next_offset: int) -> bool:
+    def is_confirmed_by_all(self, next_offset: int) -> bool:
         """Whether all instances answered with at least this offset."""
         return not self.silent and not self.find_behind(next_offset)
 
@@ -63,7 +63,7 @@
         """Register the handler that answers for this node and those below it."""
         server.register("Confirm", self._answer)
 
-    async def ask(self, timeout: float) -> ConfirmationStatus:
+    async def collect(self, timeout: float) -> ConfirmationStatus:
         """Collect the confirmations of all members that have not left.
 
         Args:
--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -110,7 +110,7 @@
         finally:
             await self._supervisor.close()
 
-    async def introduce(self, addresses: list[str], max_answers: int = 3) -> int:
+    async def join_peers(self, addresses: list[str], max_answers: int = 3) -> int:
         """Contact nodes one by one, to join their tables and fetch unknown members.
 
         Args:
@@ -133,14 +133,14 @@
                 break
         return answered
 
-    def spread(self) -> None:
+    def exchange_now(self) -> None:
         """Exchange updates with every neighbor now instead of at the next period."""
         for wakeup in self._wakeups.values():
             wakeup.set()
 
-    async def say_goodbye(self, **changes: object) -> None:
+    async def announce_change(self, **changes: object) -> None:
         """Change this instance's entry, and exchange with all neighbors at once."""
-        self._members.change_own(**changes)
+        self._members.update_own(**changes)
         exchanges = [
             self._exchange(member.control, receiver=member.instance)
             for member in self._choose_neighbors()
@@ -202,7 +202,7 @@
         except PeerError:
             if not await self._probe_indirectly(member):
                 self._members.suspect(member.instance)
-                self.spread()
+                self.exchange_now()
 
     async def _exchange(
         self, address: str, compare: bool = False, receiver: str = ""
@@ -288,7 +288,7 @@
             for message in messages
         ]
         if any(changed):
-            self.spread()
+            self.exchange_now()
 
     def _on_member_change(self, member: Member, previous: Member | None) -> None:
         if previous is None or previous.reachable != member.reachable:
@@ -296,7 +296,7 @@
         if member.instance == self._members.own.instance:
             if previous is not None and previous.sequence + 1 < member.sequence:
                 self._journal.emit(MEMBER_REFUTED)
-            self.spread()
+            self.exchange_now()
             return
         before = previous.state if previous else None
         if before is member.state:
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -76,10 +76,10 @@
                 self._record_available()
             except LogUnavailableError as error:
                 self._record_unavailable(error)
-                await asyncio.sleep(self._choose_pause(delay))
+                await asyncio.sleep(self._choose_retry_delay(delay))
                 delay = min(MAX_RETRY_SECONDS, delay * 2)
 
-    def _choose_pause(self, delay: float) -> float:
+    def _choose_retry_delay(self, delay: float) -> float:
         """Return the delay in seconds before the log is read again after a failure.
 
         In an outage the configuration of every node grows old, so that all nodes read
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -214,7 +214,7 @@
         counts[State.ALIVE] = len(self._table) - len(self._not_alive)
         return counts
 
-    def change_own(self, **changes: Any) -> None:
+    def update_own(self, **changes: Any) -> None:
         """Change attributes of this instance's entry; gossip sends the update."""
         sequence = self._own.sequence + 1
         self._store(self._own.replace(sequence=sequence, **changes))
--- a/primroseglade/fleet/puller.py
+++ b/primroseglade/fleet/puller.py
@@ -37,7 +37,7 @@
         """Register the handler that serves records to peers."""
         server.register("Records", self._answer)
 
-    def note_offset(self, next_offset: int, age: float, control: str) -> None:
+    def handle_peer_offset(self, next_offset: int, age: float, control: str) -> None:
         """Schedule a pull if a peer is ahead, or take over its age if it is equal.
 
         Args:
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -78,7 +78,7 @@
             await self._append_with_retries(_build_entry(own, "join"))
             await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
 
-    async def keep_looking(self, join_peers: JoinPeers) -> None:
+    async def run_discovery(self, join_peers: JoinPeers) -> None:
         """Contact random nodes of the stream, at intervals that double up to a maximum.
 
         Args:
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -45,7 +45,7 @@
         """Smoothed latency of a call in seconds, 0 before the first."""
         return self._latency
 
-    def note_served(self, seconds: float, in_flight: int, now: float) -> None:
+    def record_served(self, seconds: float, in_flight: int, now: float) -> None:
         """Record a call that was served, and adapt the limit.
 
         Args:
@@ -69,7 +69,7 @@
         else:
             self._increase()
 
-    def note_shed(self, now: float) -> None:
+    def record_shed(self, now: float) -> None:
         """Record a call that the backend server shed, and lower the limit."""
         self._decrease(now)
 
--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -84,13 +84,13 @@
         window.requested += 1
         return False
 
-    def note_accepted(self, service: str, context: Context) -> None:
+    def record_accepted(self, service: str, context: Context) -> None:
         """Record a call that was not shed, whatever its result."""
         window = self._get_window(service, context)
         window.requested += 1
         window.accepted += 1
 
-    def note_shed(self, service: str, context: Context) -> None:
+    def record_shed(self, service: str, context: Context) -> None:
         """Record a call that was shed, here or at a later hop."""
         self._get_window(service, context).requested += 1
 
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -7,8 +7,8 @@
 from .announcing import ANNOUNCEMENT_PATH_PREFIX, build_announcement_application
 from .calls.backend import BackendServer
 from .calls.context import ContextSeal
-from .calls.dispatch import Dispatcher, RetryShare
-from .calls.entries import CallersEntry, NestedEntry, RelayEntry, Tools
+from .calls.dispatch import Dispatcher, RetryBudget
+from .calls.entries import CallersEntry, EntryDependencies, NestedEntry, RelayEntry
 from .calls.handles import Handles
 from .calls.relay import Relay
 from .calls.routing import Router
@@ -144,7 +144,7 @@
             "membership stream", lambda: self._stream.run(self._members.own)
         )
         self._supervisor.start(
-            "discovery", lambda: self._stream.keep_looking(self._gossip.introduce)
+            "discovery", lambda: self._stream.run_discovery(self._gossip.join_peers)
         )
         self._journal.emit(NODE_STARTED, **self.listeners)
 
@@ -174,20 +174,24 @@
         other nodes for some time, and are asked to open no more calls on their
         connections. Only then are calls in flight drained and the listeners closed.
         """
-        self._journal.emit(NODE_STOPPING, in_flight=self._tools.in_flight.count)
-        self._backend.leave()
+        self._journal.emit(
+            NODE_STOPPING, in_flight=self._entry_dependencies.in_flight.count
+        )
+        self._backend.stop_serving()
         for entry in self._entries:
-            entry.close_after_answers()
-        await self._gossip.say_goodbye(serving=False)
+            entry.disable_keep_alive()
+        await self._gossip.announce_change(serving=False)
         await self._stream.leave(self._members.own)
         await asyncio.sleep(self._settings.timeouts.lame_duck)
         drain_timeout = self._settings.timeouts.drain
         try:
-            await asyncio.wait_for(self._tools.in_flight.wait_idle(), drain_timeout)
+            await asyncio.wait_for(
+                self._entry_dependencies.in_flight.wait_idle(), drain_timeout
+            )
         except TimeoutError:
             pass
         await self._rates.release_leases()
-        await self._gossip.say_goodbye(state=State.LEFT)
+        await self._gossip.announce_change(state=State.LEFT)
         for listener in self._listeners.values():
             listener.stop(drain_timeout)
         await self._close()
@@ -207,7 +211,7 @@
             "zone": self._settings.zone,
             "time": round(time.time(), 3),
             "listeners": self.listeners,
-            "in_flight": self._tools.in_flight.count,
+            "in_flight": self._entry_dependencies.in_flight.count,
             "configuration": {
                 "ready": configuration.ready,
                 "next_offset": configuration.next_offset,
@@ -238,7 +242,7 @@
                 contacts = await self._stream.find_contacts() + contacts
         except (TimeoutError, LogUnavailableError):
             pass
-        await self._gossip.introduce(contacts)
+        await self._gossip.join_peers(contacts)
         if self._configuration.ready:
             return
         for control in contacts:
@@ -268,7 +272,7 @@
         )
         self._members = Members(own)
         self._puller = PeerPuller(
-            self._configuration, self._client, lambda: self._gossip.spread()
+            self._configuration, self._client, lambda: self._gossip.exchange_now()
         )
         self._gossip = Gossip(
             self._members,
@@ -278,7 +282,7 @@
             settings.fleet.period,
             settings.fleet.suspicion,
             lambda: (self._configuration.next_offset, self._configuration.age),
-            self._puller.note_offset,
+            self._puller.handle_peer_offset,
         )
         self._reader = LogReader(
             self._configuration,
@@ -320,7 +324,7 @@
         settings = self._settings
         handles = Handles()
         seal = ContextSeal(settings.fleet_secret, settings.instance)
-        self._tools = Tools(
+        self._entry_dependencies = EntryDependencies(
             settings,
             self._configuration,
             self._journal,
@@ -349,16 +353,20 @@
             self._router,
             self._backend,
             self._relay,
-            RetryShare(settings.retries.share),
+            RetryBudget(settings.retries.share),
             self._throttle,
             self._journal,
             self._metrics,
         )
         self._callers_entry = CallersEntry(
-            self._tools, dispatcher, self._router, self._rates.limiter, self._recorder
+            self._entry_dependencies,
+            dispatcher,
+            self._router,
+            self._rates.limiter,
+            self._recorder,
         )
-        self._relay_entry = RelayEntry(self._tools, self._backend, seal)
-        self._nested_entry = NestedEntry(self._tools, dispatcher, handles)
+        self._relay_entry = RelayEntry(self._entry_dependencies, self._backend, seal)
+        self._nested_entry = NestedEntry(self._entry_dependencies, dispatcher, handles)
         self._entries = (self._callers_entry, self._relay_entry, self._nested_entry)
 
     def _build_listeners(self) -> None:
@@ -378,7 +386,7 @@
             "backend": Listener(serve_backend, listen.backend, header),
             "operator": Listener(operator, listen.operator, header),
         }
-        self._members.change_own(
+        self._members.update_own(
             callers=self._listeners["callers"].address,
             relay=self._listeners["relay"].address,
             operator=self._listeners["operator"].address,
@@ -391,7 +399,7 @@
         serving_since_ms = own.serving_since_ms
         if serving and not own.serving:
             serving_since_ms = int(time.time() * 1000)
-        self._members.change_own(
+        self._members.update_own(
             service=announced.service if announced else "",
             backend_server=announced.address if announced else "",
             slots=(announced.slots or 0) if announced else 0,
@@ -404,9 +412,9 @@
             return
         self._backend.apply_document()
         self._rates.apply_document()
-        self._gossip.spread()
+        self._gossip.exchange_now()
 
     def _forget_unreachable(self, member: Member, _: Member | None) -> None:
         if not member.reachable:
-            self._router.forget(member.instance)
-            self._relay.forget(member.relay)
+            self._router.remove(member.instance)
+            self._relay.remove(member.relay)
--- a/primroseglade/operator_pages.py
+++ b/primroseglade/operator_pages.py
@@ -86,11 +86,11 @@
         return answer_json(200, self._node.describe())
 
     async def _show_confirmations(self, _: Request) -> Response:
-        status = await self._node.confirmer.ask(CONFIRMATION_TIMEOUT_SECONDS)
+        status = await self._node.confirmer.collect(CONFIRMATION_TIMEOUT_SECONDS)
         next_offset = self._node.configuration.next_offset
         answer = {
             "next_offset": next_offset,
-            "everywhere": status.is_everywhere(next_offset),
+            "everywhere": status.is_confirmed_by_all(next_offset),
             "confirmed": sorted(
                 name for name, n in status.offsets.items() if n >= next_offset
             ),
--- a/primroseglade/rates/coordinator.py
+++ b/primroseglade/rates/coordinator.py
@@ -107,7 +107,7 @@
     def _apply_shares(self) -> None:
         self._holder.apply_entitlements()
         if self._members.own.share != self._zone_share.share:
-            self._members.change_own(share=self._zone_share.share)
+            self._members.update_own(share=self._zone_share.share)
 
     def _get_reported_shares(self) -> list[float]:
         return [
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -88,8 +88,10 @@
         return self._configuration.document.shares.get(self._zone, 0.0)
 
     async def _try_to_raise(self, next_offset: int) -> None:
-        status = await self._confirmer.ask(CONFIRMATION_TIMEOUT_SECONDS)
-        if self._awaited_offset != next_offset or not status.is_everywhere(next_offset):
+        status = await self._confirmer.collect(CONFIRMATION_TIMEOUT_SECONDS)
+        if self._awaited_offset != next_offset or not status.is_confirmed_by_all(
+            next_offset
+        ):
             return
         self._share = self._get_configured_share()
         self._awaited_offset = None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -156,13 +156,13 @@
 def test_limit_drops_on_shed_calls_and_never_exceeds_announced_slots():
     limit = ConcurrencyLimit(20, max_limit=10)
     for second in range(100):
-        limit.note_served(0.01, in_flight=limit.value, now=float(second))
+        limit.record_served(0.01, in_flight=limit.value, now=float(second))
     assert limit.value == 10
-    limit.note_shed(now=200.0)
-    limit.note_shed(now=200.01)
+    limit.record_shed(now=200.0)
+    limit.record_shed(now=200.01)
     assert limit.value == 9
     for second in range(1000):
-        limit.note_shed(now=300.0 + second)
+        limit.record_shed(now=300.0 + second)
     assert limit.value == 1
 
 
@@ -172,7 +172,7 @@
     for step in range(2000):
         in_flight = limit.value
         seconds = 0.01 * max(1.0, in_flight / 5)
-        limit.note_served(seconds, in_flight, step * 0.1)
+        limit.record_served(seconds, in_flight, step * 0.1)
     assert 4 <= limit.value <= 14
 
 
@@ -186,13 +186,13 @@
         context = make_context(root=step * 2654435761 % 2**32)
         if throttle.admits("s", context):
             admitted += 1
-            throttle.note_shed("s", context)
+            throttle.record_shed("s", context)
     assert 50 < admitted < 600
     for step in range(6000, 6300):
         now = step * 0.01
         context = make_context(root=step * 2654435761 % 2**32)
         if throttle.admits("s", context):
-            throttle.note_accepted("s", context)
+            throttle.record_accepted("s", context)
     assert throttle.get_admitted_fraction("s", "north", Importance.NORMAL) == 1.0
 
 
@@ -201,16 +201,16 @@
     throttle = Throttle(lambda: 0.0)
     contexts = [make_context(root=(1 << 32) - 1 - n) for n in range(20)]
     for context in contexts:
-        throttle.note_accepted("s", context)
+        throttle.record_accepted("s", context)
     assert all(throttle.admits("s", context) for context in contexts * 5)
 
 
 def test_throttle_refuses_calls_in_the_shedding_order_of_all_hops():
     throttle = Throttle(lambda: 0.0)
     for _ in range(75):
-        throttle.note_shed("s", make_context())
+        throttle.record_shed("s", make_context())
     for _ in range(25):
-        throttle.note_accepted("s", make_context())
+        throttle.record_accepted("s", make_context())
     low, high = make_context(root=1 << 20), make_context(root=(1 << 32) - 1)
     assert throttle.admits("s", low)
     assert not throttle.admits("s", high)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -124,10 +124,10 @@
         offset = await fleet.publish(recalls=RECALL)
         async with Client([fleet.places[2].callers], KEY, attempts=3) as client:
             assert (await client.call("archive", "/x")).status == 200
-        status = await fleet.places[0].node.confirmer.ask(1.0)
+        status = await fleet.places[0].node.confirmer.collect(1.0)
         names = {p.node.settings.instance for p in fleet.places if p.zone == "b"}
         assert set(status.silent) == names
-        assert not status.is_everywhere(offset + 1)
+        assert not status.is_confirmed_by_all(offset + 1)
         fleet.heal()
         await fleet.wait_offset(offset + 1)
         refusal = await expect_refusal(fleet.places[2].callers)
@@ -250,7 +250,7 @@
             await fleet.add("a")
         await fleet.wait_ready()
         pauses = {
-            node._reader.is_reader(): node._reader._choose_pause(2.0)
+            node._reader.is_reader(): node._reader._choose_retry_delay(2.0)
             for node in fleet.nodes
         }
     assert pauses[True] <= 2.0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from primroseglade.calls.dispatch import RetryShare
+from primroseglade.calls.dispatch import RetryBudget
 from primroseglade.client import Client
 from primroseglade.stand_ins.backend import BackendStandIn, Behaviour
 from primroseglade.stand_ins.fleet import EmbeddedFleet
@@ -207,7 +207,7 @@
     common budget, no retry was left for another workspace, of which one call in six met
     a full queue: that call failed although the next server was free.
     """
-    retry_budget = RetryShare(0.1)
+    retry_budget = RetryBudget(0.1)
     for _ in range(100):
         retry_budget.record_first_attempt("greedy")
         retry_budget.try_spend("greedy")
