--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -125,7 +125,9 @@
         """Admission levels by service; only those below 1."""
         return self._admission_levels
 
-    def record_demand(self, visits: Mapping[str, float], rank: int, now: float) -> None:
+    def record_demand(
+        self, expected_calls: Mapping[str, float], rank: int, now: float
+    ) -> None:
         """Record the demand of a request, admitted or not.
 
         Args:
@@ -133,7 +135,7 @@
             rank: Urgency of the request, 0 the most urgent.
             now: Seconds on the loop's clock.
         """
-        for service, calls in visits.items():
+        for service, calls in expected_calls.items():
             if calls < MIN_CALLS_PER_REQUEST:
                 continue
             counts = self._demand.setdefault(service, {})
@@ -205,7 +207,7 @@
             return 1.0
         return level
 
-    def admits(self, visits: Mapping[str, float], rank: int) -> bool:
+    def admits(self, expected_calls: Mapping[str, float], rank: int) -> bool:
         """Return whether a request is admitted.
 
         Args:
@@ -215,7 +217,7 @@
         if not self._admitted_fractions:
             return True
         admitted_fraction = 1.0
-        for service, calls in visits.items():
+        for service, calls in expected_calls.items():
             fractions = self._admitted_fractions.get(service)
             if fractions is not None and calls >= MIN_CALLS_PER_REQUEST:
                 admitted_fraction = min(admitted_fraction, fractions.get(rank, 1.0))
@@ -227,9 +229,11 @@
         """Return the admitted fraction of each rank."""
         counts = self._demand.get(service, {})
         demand = {rank: count.total(now) for rank, count in sorted(counts.items())}
-        remaining = level * sum(demand.values())
+        remaining_demand = level * sum(demand.values())
         admitted_fractions: dict[int, float] = {}
         for rank, calls in demand.items():
-            admitted_fractions[rank] = min(1.0, remaining / calls) if calls else 1.0
-            remaining = max(0.0, remaining - calls)
+            admitted_fractions[rank] = (
+                min(1.0, remaining_demand / calls) if calls else 1.0
+            )
+            remaining_demand = max(0.0, remaining_demand - calls)
         return admitted_fractions
--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -17,20 +17,22 @@
     6000.0
     """
 
-    __slots__ = ("_means",)
+    __slots__ = ("_average_bytes",)
 
     def __init__(self) -> None:
-        self._means: dict[str, float] = {}
+        self._average_bytes: dict[str, float] = {}
 
-    def record(self, route: str, size: int) -> None:
+    def record(self, route: str, size_bytes: int) -> None:
         """Record the size of an answer in bytes."""
-        mean = self._means.get(route)
-        if mean is None:
-            if len(self._means) >= MAX_ROUTES:
-                self._means.clear()
-            mean = float(size)
-        self._means[route] = mean + SIZE_SMOOTHING * (size - mean)
+        average_bytes = self._average_bytes.get(route)
+        if average_bytes is None:
+            if len(self._average_bytes) >= MAX_ROUTES:
+                self._average_bytes.clear()
+            average_bytes = float(size_bytes)
+        self._average_bytes[route] = average_bytes + SIZE_SMOOTHING * (
+            size_bytes - average_bytes
+        )
 
     def estimate(self, route: str) -> float:
         """Return the average size of an answer in bytes, 0 before the first."""
-        return self._means.get(route, 0.0)
+        return self._average_bytes.get(route, 0.0)
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -201,19 +201,19 @@
 
     def is_stale(self, report: StatusReport) -> bool:
         """Return whether a later report or drain has outdated a report."""
-        known = self._report
+        last_report = self._report
         if (
             report.start_time_ms
             and report.start_time_ms < self._newest_drained_start_ms
         ):
             return True
-        if known is None:
+        if last_report is None:
             return False
-        if report.start_time_ms != known.start_time_ms:
-            return report.start_time_ms < known.start_time_ms
-        if report.instance != known.instance:
+        if report.start_time_ms != last_report.start_time_ms:
+            return report.start_time_ms < last_report.start_time_ms
+        if report.instance != last_report.instance:
             return False
-        return report.sequence <= known.sequence
+        return report.sequence <= last_report.sequence
 
     def apply_report(self, report: StatusReport) -> bool:
         """Apply a status report.
@@ -231,16 +231,16 @@
             return False
         if self.is_stale(report):
             return False
-        known = self._report
+        last_report = self._report
         is_new_incarnation = (
-            known is None
-            or known.instance != report.instance
-            or known.start_time_ms != report.start_time_ms
+            last_report is None
+            or last_report.instance != report.instance
+            or last_report.start_time_ms != report.start_time_ms
         )
         self._report = report
         if is_new_incarnation:
-            self._start_incarnation(report)
-        if self._is_drained(report):
+            self._reset_for_incarnation(report)
+        if self._match_drain(report):
             self._draining = True
         elif report.state is BackendState.DRAINING:
             self.drain(report.instance, report.start_time_ms)
@@ -251,7 +251,7 @@
             self._unavailable = False
         return True
 
-    def _is_drained(self, report: StatusReport) -> bool:
+    def _match_drain(self, report: StatusReport) -> bool:
         """Return whether a report is of an incarnation that was told to drain."""
         if report.instance not in self._drained_start_times:
             return False
@@ -271,12 +271,12 @@
             instance: ID of the backend server.
             start_time_ms: Start time of the incarnation; 0 if unknown.
         """
-        known = self._report
-        if known is not None and known.instance == instance:
-            start_time_ms = start_time_ms or known.start_time_ms
+        last_report = self._report
+        if last_report is not None and last_report.instance == instance:
+            start_time_ms = start_time_ms or last_report.start_time_ms
             if not self._draining:
                 self._journal.emit(BACKEND_DRAINING, backend=instance)
-            if start_time_ms == known.start_time_ms:
+            if start_time_ms == last_report.start_time_ms:
                 self._draining = True
             self._newest_drained_start_ms = max(
                 self._newest_drained_start_ms, start_time_ms
@@ -325,7 +325,7 @@
             self._call_ratios.record_end(call.route, now)
             self.queue.release(slot, now - started, completed)
 
-    def _start_incarnation(self, report: StatusReport) -> None:
+    def _reset_for_incarnation(self, report: StatusReport) -> None:
         self._pool.close_idle()
         self._draining = True
         self._failure_ratio = 0.0
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -112,8 +112,12 @@
         now = time.monotonic()
         self._reclaim_unanswered_slots(now)
         self._integrate_in_flight(now)
-        span = now - self._average_started_at
-        average = self._in_flight_integral / span if span > 0 else float(self.in_flight)
+        elapsed_seconds = now - self._average_started_at
+        average = (
+            self._in_flight_integral / elapsed_seconds
+            if elapsed_seconds > 0
+            else float(self.in_flight)
+        )
         self._in_flight_integral = 0.0
         self._average_started_at = now
         return average
@@ -207,8 +211,10 @@
             self._completed_service_seconds += weight * (
                 seconds - self._completed_service_seconds
             )
-        held = min(seconds, MAX_SLOT_SERVICE_TIMES * self._completed_service_seconds)
-        self._slot_seconds += weight * (held - self._slot_seconds)
+        held_seconds = min(
+            seconds, MAX_SLOT_SERVICE_TIMES * self._completed_service_seconds
+        )
+        self._slot_seconds += weight * (held_seconds - self._slot_seconds)
         self._has_measurement = True
 
     def _take_slot(self, now: float) -> int:
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -16,16 +16,16 @@
 MAX_DEPTH = 20
 
 # A route's name, and the service that serves it.
-ServiceRoute = tuple[str, str]
+RouteService = tuple[str, str]
 
 
 class CallGraph:
     """Combines the call ratios of all nodes into the call tree of each route."""
 
     def __init__(self) -> None:
-        self._call_ratios: dict[ServiceRoute, CallRatios] = {}
+        self._call_ratios: dict[RouteService, CallRatios] = {}
         self._routes: Mapping[str, Route] = {}
-        self._visits: dict[ServiceRoute, dict[str, float]] = {}
+        self._expected_calls: dict[RouteService, dict[str, float]] = {}
 
     def rebuild(
         self,
@@ -39,26 +39,26 @@
                 run's route; the average over all runs is under ``""``.
             routes: Routes in force by name; they give the services that serve calls.
         """
-        sums: dict[ServiceRoute, CallRatios] = {}
-        node_counts: dict[ServiceRoute, int] = {}
-        for service, by_route in reported_ratios:
-            for route, ratios in by_route.items():
-                service_route = (route, service)
-                node_counts[service_route] = node_counts.get(service_route, 0) + 1
-                route_sums = sums.setdefault(service_route, {})
+        sums: dict[RouteService, CallRatios] = {}
+        node_counts: dict[RouteService, int] = {}
+        for service, ratios_by_route in reported_ratios:
+            for route, ratios in ratios_by_route.items():
+                route_service = (route, service)
+                node_counts[route_service] = node_counts.get(route_service, 0) + 1
+                route_sums = sums.setdefault(route_service, {})
                 for name, ratio in ratios.items():
                     route_sums[name] = route_sums.get(name, 0.0) + ratio
         self._call_ratios = {
-            service_route: {
-                name: total / node_counts[service_route]
+            route_service: {
+                name: total / node_counts[route_service]
                 for name, total in ratios.items()
             }
-            for service_route, ratios in sums.items()
+            for route_service, ratios in sums.items()
         }
         self._routes = routes
-        self._visits = {}
+        self._expected_calls = {}
 
-    def get_visits(self, route: str, service: str) -> dict[str, float]:
+    def get_expected_calls(self, route: str, service: str) -> dict[str, float]:
         """Return the expected calls to each service per request of a route.
 
         The request itself counts as one call to the service that serves it.
@@ -67,51 +67,55 @@
             route: Name of the route.
             service: Service that serves the request.
         """
-        service_route = (route, service)
-        visits = self._visits.get(service_route)
-        if visits is None:
-            visits = self._visits[service_route] = self._sum_visits(service_route)
-        return visits
+        route_service = (route, service)
+        expected_calls = self._expected_calls.get(route_service)
+        if expected_calls is None:
+            expected_calls = self._expected_calls[route_service] = (
+                self._sum_expected_calls(route_service)
+            )
+        return expected_calls
 
     def list_downstream_calls(
-        self, service_route: ServiceRoute
-    ) -> list[tuple[ServiceRoute, float]]:
+        self, route_service: RouteService
+    ) -> list[tuple[RouteService, float]]:
         """Return the direct calls of one run, each with its expected number."""
-        ratios = self._call_ratios.get(service_route)
+        ratios = self._call_ratios.get(route_service)
         if ratios is None:
             # A route without ratios of its own gets the average of its service.
-            ratios = self._call_ratios.get(("", service_route[1]), {})
+            ratios = self._call_ratios.get(("", route_service[1]), {})
         return [
             ((route, service), ratio * share)
             for route, ratio in ratios.items()
             for service, share in self._split_by_weight(route)
-            if service != service_route[1]
+            if service != route_service[1]
         ]
 
-    def _sum_visits(self, root: ServiceRoute) -> dict[str, float]:
+    def _sum_expected_calls(self, root: RouteService) -> dict[str, float]:
         """Return the calls to each service, summed level by level.
 
         Traversing each path instead took most of a node's processor time after routes
         had moved to other services: for a while each service then calls most others,
         and the number of paths through such a graph is huge.
         """
-        visits = {root[1]: 1.0}
-        level = {root: 1.0}
+        expected_calls = {root[1]: 1.0}
+        calls_at_depth = {root: 1.0}
         for _ in range(MAX_DEPTH):
-            next_level: dict[ServiceRoute, float] = {}
-            for service_route, count in level.items():
-                for called, ratio in self.list_downstream_calls(service_route):
-                    next_level[called] = next_level.get(called, 0.0) + count * ratio
-            level = {
-                service_route: calls
-                for service_route, calls in next_level.items()
+            calls_at_next_depth: dict[RouteService, float] = {}
+            for route_service, count in calls_at_depth.items():
+                for called, ratio in self.list_downstream_calls(route_service):
+                    calls_at_next_depth[called] = (
+                        calls_at_next_depth.get(called, 0.0) + count * ratio
+                    )
+            calls_at_depth = {
+                route_service: calls
+                for route_service, calls in calls_at_next_depth.items()
                 if calls >= MIN_CALL_RATIO
             }
-            if not level:
+            if not calls_at_depth:
                 break
-            for (_, service), count in level.items():
-                visits[service] = visits.get(service, 0.0) + count
-        return visits
+            for (_, service), count in calls_at_depth.items():
+                expected_calls[service] = expected_calls.get(service, 0.0) + count
+        return expected_calls
 
     def _split_by_weight(self, name: str) -> list[tuple[str, float]]:
         """Return the services of a route, each with its fraction of the calls."""
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -138,26 +138,26 @@
             STRAY_CALL_RATIO * average * runs / self._total_weight * max(1.0, average)
         )
         ridge = stray_variance / average**2
-        remaining = list(routes)
+        fitted_routes = list(routes)
         ratios = dict.fromkeys(routes, 0.0)
-        while remaining:
+        while fitted_routes:
             matrix = [
                 [
-                    self._runs_runs.get((one, other), 0.0) + ridge * (one == other)
-                    for other in remaining
+                    self._runs_runs.get((route, other), 0.0) + ridge * (route == other)
+                    for other in fitted_routes
                 ]
-                for one in remaining
+                for route in fitted_routes
             ]
             right_side = [
-                self._runs_calls.get((one, called), 0.0) + ridge * average
-                for one in remaining
+                self._runs_calls.get((route, called), 0.0) + ridge * average
+                for route in fitted_routes
             ]
-            solved = dict(zip(remaining, solve(matrix, right_side), strict=True))
-            positive = [route for route in remaining if solved[route] > 0]
-            if len(positive) == len(remaining):
+            solved = dict(zip(fitted_routes, solve(matrix, right_side), strict=True))
+            positive = [route for route in fitted_routes if solved[route] > 0]
+            if len(positive) == len(fitted_routes):
                 ratios.update(solved)
                 break
-            remaining = positive
+            fitted_routes = positive
         return [ratios[route] for route in routes]
 
 
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -28,7 +28,7 @@
         self._counts: collections.Counter[tuple[str, str]] = collections.Counter()
         self._routes: set[str] = set()
 
-    def record(self, frame: str, route: str, size: int) -> None:
+    def record(self, frame_kind: str, route: str, size_bytes: int) -> None:
         """Count a frame that was sent cross-zone.
 
         Args:
@@ -41,15 +41,18 @@
                 route = OTHER_ROUTES
             else:
                 self._routes.add(route)
-        self._counts[frame, route] += size
+        self._counts[frame_kind, route] += size_bytes
 
     def list_all(self) -> list[tuple[str, str, int]]:
         """Return kind of frame, route and bytes, with the most bytes first."""
-        return [(frame, route, n) for (frame, route), n in self._counts.most_common()]
+        return [
+            (frame_kind, route, byte_count)
+            for (frame_kind, route), byte_count in self._counts.most_common()
+        ]
 
 
 def log_cross_zone_bytes(cross_zone_bytes: CrossZoneBytes, journal: Journal) -> None:
     """Log the largest counts of cross-zone bytes."""
-    largest = cross_zone_bytes.list_all()[:MAX_LOGGED_ENTRIES]
-    if largest:
-        journal.emit(ZONE_BYTES, most=largest)
+    largest_counts = cross_zone_bytes.list_all()[:MAX_LOGGED_ENTRIES]
+    if largest_counts:
+        journal.emit(ZONE_BYTES, most=largest_counts)
--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -29,7 +29,7 @@
         self.task = task
         self.expired = False
 
-    def caused_cancellation(self) -> bool:
+    def take_back_cancellation(self) -> bool:
         """Return whether this deadline alone canceled the task.
 
         If the deadline passed, one cancellation of the task is taken back.
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -237,15 +237,15 @@
         Before its first attempt, a nested call waits for a node that takes it.
         """
         backoff = NESTED_INITIAL_BACKOFF_SECONDS
-        remaining = NESTED_MAX_WAIT_SECONDS
+        remaining_wait = NESTED_MAX_WAIT_SECONDS
         while True:
             candidate = self._choose(call, attempts.tried)
             if candidate is not None or not call.nested or attempts.tried:
                 return candidate
-            if remaining <= 0:
+            if remaining_wait <= 0:
                 return None
             await asyncio.sleep(backoff)
-            remaining -= backoff
+            remaining_wait -= backoff
             backoff *= 2
 
     async def _attempt(
@@ -258,8 +258,8 @@
         except Refusal as refusal:
             attempts.record_refusal(refusal)
             return None
-        size = len(outcome.head) + len(outcome.body)
-        self._answer_sizes.record(call.route.name, size)
+        size_bytes = len(outcome.head) + len(outcome.body)
+        self._answer_sizes.record(call.route.name, size_bytes)
         if outcome.status < MIN_FAILURE_STATUS or not call.route.idempotent:
             return outcome
         attempts.record_failure(outcome)
@@ -296,31 +296,33 @@
             > NESTED_RETRY_MAX_FAILURE_RATIO
         ):
             return False
-        visits = self._graph.get_visits(call.route.name, call.service)
-        return self._retry_budget.try_spend(visits, len(self._fleet), time.monotonic())
+        expected_calls = self._graph.get_expected_calls(call.route.name, call.service)
+        return self._retry_budget.try_spend(
+            expected_calls, len(self._fleet), time.monotonic()
+        )
 
     def _choose(self, call: OutgoingCall, tried: set[str]) -> Candidate | None:
-        downstream_costs = self._zone_costs.get_downstream_costs(
+        downstream_ms_by_zone = self._zone_costs.get_downstream_costs(
             call.route.name, call.service
         )
         local_candidate: Candidate | None = None
         if self._backend.service == call.service:
             local_candidate = self._backend.build_candidate(self._node)
             if local_candidate is not None:
-                local_candidate.downstream_ms = downstream_costs.get(
+                local_candidate.downstream_ms = downstream_ms_by_zone.get(
                     self._fleet.zone, 0.0
                 )
-        size = len(call.head) + len(call.body)
-        size += self._answer_sizes.estimate(call.route.name)
+        size_bytes = len(call.head) + len(call.body)
+        size_bytes += self._answer_sizes.estimate(call.route.name)
         latency_target = call.route.target_latency
         latency_tolerance = call.route.latency_tolerance
         return self._fleet.choose(
             call.service,
             local_candidate,
             tried,
-            compute_cross_zone_cost_ms(latency_tolerance, size),
+            compute_cross_zone_cost_ms(latency_tolerance, size_bytes),
             compute_failure_cost_ms(latency_target),
-            downstream_costs,
+            downstream_ms_by_zone,
         )
 
     async def _send(self, call: OutgoingCall, candidate: Candidate) -> Outcome:
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -7,11 +7,11 @@
 # the latency target. Bytes between zones are expensive, and callers do not notice a
 # small part of their target, even for several calls in sequence.
 CROSS_ZONE_BASE_COST_MS = 2.0
-CROSS_ZONE_TARGET_RATIO = 0.1
+CROSS_ZONE_TOLERANCE_RATIO = 0.1
 # Cost added for each kilobyte of the call and its answer, so that a zone short of
 # backend servers sends its small calls elsewhere and keeps the large ones. It too is a
 # part of the target: a caller with a long target loses nothing by such a wait.
-CROSS_ZONE_TARGET_RATIO_PER_KB = 0.05
+CROSS_ZONE_TOLERANCE_RATIO_PER_KB = 0.05
 # A failed call costs as much as this many latency targets: its caller gets no answer,
 # or has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
@@ -74,7 +74,7 @@
         self.downstream_ms = downstream_ms
 
 
-def compute_cross_zone_cost_ms(latency_target: float, size_bytes: float) -> float:
+def compute_cross_zone_cost_ms(latency_tolerance: float, size_bytes: float) -> float:
     """Return the cost of a cross-zone call in milliseconds.
 
     A backend server in another availability zone is chosen only if it is better by
@@ -84,10 +84,11 @@
         latency_target: Seconds after which the answer is late.
         size_bytes: Size of the call and its answer.
     """
-    target_ratio = (
-        CROSS_ZONE_TARGET_RATIO + size_bytes / 1000 * CROSS_ZONE_TARGET_RATIO_PER_KB
+    tolerance_ratio = (
+        CROSS_ZONE_TOLERANCE_RATIO
+        + size_bytes / 1000 * CROSS_ZONE_TOLERANCE_RATIO_PER_KB
     )
-    return CROSS_ZONE_BASE_COST_MS + target_ratio * latency_target * 1000
+    return CROSS_ZONE_BASE_COST_MS + tolerance_ratio * latency_tolerance * 1000
 
 
 def compute_failure_cost_ms(latency_target: float) -> float:
@@ -138,7 +139,7 @@
     same_zone_candidates: list[Candidate],
     list_cross_zone_candidates: Callable[[], list[Candidate]],
     cross_zone_cost_ms: float,
-    min_cross_zone_downstream_ms: float,
+    min_downstream_ms: float,
     failure_cost_ms: float,
     rng: random.Random,
 ) -> Candidate | None:
@@ -156,26 +157,32 @@
     if len(same_zone_candidates) > 1 and rng.random() < EXPLORATION_RATIO:
         # Only in this zone: nodes of other zones learn the result from broadcasts.
         available = [
-            i
-            for i in same_zone_candidates
-            if i.in_flight < EXPLORATION_MAX_UTILIZATION * i.slots
+            candidate
+            for candidate in same_zone_candidates
+            if candidate.in_flight < EXPLORATION_MAX_UTILIZATION * candidate.slots
         ]
         if available:
             return rng.choice(available)
-    best, min_cost_ms = _find_cheapest(same_zone_candidates, failure_cost_ms, rng)
-    penalty_ms = cross_zone_cost_ms * rng.uniform(
+    best_same_zone, same_zone_cost_ms = _find_cheapest(
+        same_zone_candidates, failure_cost_ms, rng
+    )
+    jittered_cross_zone_cost_ms = cross_zone_cost_ms * rng.uniform(
         1.0 - CROSS_ZONE_COST_JITTER_RATIO, 1.0 + CROSS_ZONE_COST_JITTER_RATIO
     )
-    if best is not None and min_cost_ms <= penalty_ms + min_cross_zone_downstream_ms:
-        return best
-    best_cross_zone, cost_ms = _find_cheapest(
+    if (
+        best_same_zone is not None
+        and same_zone_cost_ms <= jittered_cross_zone_cost_ms + min_downstream_ms
+    ):
+        return best_same_zone
+    best_cross_zone, other_zone_cost_ms = _find_cheapest(
         list_cross_zone_candidates(), failure_cost_ms, rng
     )
-    if best is None or (
-        best_cross_zone is not None and cost_ms + penalty_ms < min_cost_ms
+    if best_same_zone is None or (
+        best_cross_zone is not None
+        and other_zone_cost_ms + jittered_cross_zone_cost_ms < same_zone_cost_ms
     ):
         return best_cross_zone
-    return best
+    return best_same_zone
 
 
 def _find_cheapest(
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -73,12 +73,12 @@
         survey = self._fleet.survey()
         backend = self._backend
         self.average_in_flight = backend.queue.take_average_in_flight()
-        own = backend.build_candidate("")
-        if own is not None:
+        local_candidate = backend.build_candidate("")
+        if local_candidate is not None:
             load = survey.loads.setdefault(backend.service, ServiceLoad())
             load.add(self.average_in_flight, backend.slots, backend.slot_ms)
-            cost = estimate_penalty_ms(own)
-            survey.record_cost(backend.service, self._fleet.zone, cost)
+            cost_ms = estimate_penalty_ms(local_candidate)
+            survey.record_cost(backend.service, self._fleet.zone, cost_ms)
         for service, calls in self._admission.measure_demand(now).items():
             survey.demand[service] = survey.demand.get(service, 0.0) + calls
         return survey
@@ -101,7 +101,7 @@
             pressure={name: round(load.utilization, 2) for name, load in loads.items()},
             capacity={name: round(load.capacity) for name, load in loads.items()},
             demand={name: round(calls) for name, calls in survey.demand.items()},
-            calls=self._graph.get_visits("", self._backend.service),
+            calls=self._graph.get_expected_calls("", self._backend.service),
         )
 
     def _rebuild_graph(self, now: float) -> None:
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -18,17 +18,22 @@
     """
 
     # Fraction of the overshoot by which rate and burst are raised.
-    ENFORCED_RATIO = 0.7
+    LIMIT_RAISE_RATIO = 0.7
     # Fraction of the overshoot that is available after a restart.
-    RESTART_RATIO = 0.2
+    RESTART_TOKENS_RATIO = 0.2
     # Fraction of the raise that goes to the burst; the rest goes to the rate.
-    BURST_RATIO = 0.5
-
-    __slots__ = ("_overshoot", "_slack", "_window")
-
-    def __init__(self, overshoot: float = 0.0, slack: float = 0.0, window: float = 5.0):
-        self._overshoot = overshoot
-        self._slack = slack
+    BURST_RAISE_RATIO = 0.5
+
+    __slots__ = ("_overshoot_ratio", "_slack_calls", "_window")
+
+    def __init__(
+        self,
+        overshoot_ratio: float = 0.0,
+        slack_calls: float = 0.0,
+        window: float = 5.0,
+    ):
+        self._overshoot_ratio = overshoot_ratio
+        self._slack_calls = slack_calls
         self._window = window
 
     def compute_enforced_limits(self, tenant: Tenant, version: int) -> TokenLimits:
@@ -42,13 +47,15 @@
         """
         if tenant.rate <= 0:
             return TokenLimits(tenant.name, 0.0, 0.0, version)
-        tolerated = self._slack
-        tolerated += self._overshoot * (tenant.rate * self._window + tenant.burst)
-        extra_calls = tolerated * self.ENFORCED_RATIO
+        tolerated_calls = self._slack_calls
+        tolerated_calls += self._overshoot_ratio * (
+            tenant.rate * self._window + tenant.burst
+        )
+        extra_calls = tolerated_calls * self.LIMIT_RAISE_RATIO
         return TokenLimits(
             tenant.name,
-            tenant.rate + extra_calls * (1.0 - self.BURST_RATIO) / self._window,
-            tenant.burst + extra_calls * self.BURST_RATIO,
+            tenant.rate + extra_calls * (1.0 - self.BURST_RAISE_RATIO) / self._window,
+            tenant.burst + extra_calls * self.BURST_RAISE_RATIO,
             version,
-            tolerated * self.RESTART_RATIO,
+            tolerated_calls * self.RESTART_TOKENS_RATIO,
         )
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -116,7 +116,7 @@
         self._node_metrics = node_metrics
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._deadline_check_after = math.inf
+        self._refuse_after = math.inf
         self._stops_at = math.inf
 
     async def handle(self, request: Request) -> Reply:
@@ -162,7 +162,7 @@
             fields.timeout if fields.timeout is not None else DEFAULT_TIMEOUT_SECONDS
         )
         deadline = request.arrived_at + min(timeout, route.timeout)
-        self._check_draining(request.arrived_at, deadline)
+        self._check_stop_time(request.arrived_at, deadline)
         if deadline - time.monotonic() < MIN_REMAINING_SECONDS:
             raise not_run(Reason.OVERLOADED, "too little time before the deadline")
         if tenant is not None:
@@ -218,11 +218,11 @@
         self, call: OutgoingCall, tenant: Tenant | None
     ) -> Outcome:
         """Send a call and return its outcome; cancel it at its deadline."""
-        timer = self._deadlines.start(call.deadline)
+        tracked_deadline = self._deadlines.start(call.deadline)
         try:
             return await self._dispatcher.dispatch(call)
         except asyncio.CancelledError as error:
-            if not timer.caused_cancellation():
+            if not tracked_deadline.take_back_cancellation():
                 raise
             detail = f"deadline exceeded before {call.node or 'any node'} answered"
             if not call.sent:
@@ -236,9 +236,9 @@
                 refusal.retry_after = draw_retry_after(remaining, self._rng)
             raise
         finally:
-            self._deadlines.end(timer)
+            self._deadlines.end(tracked_deadline)
 
-    def stop(self, deadline_check_after: float, stops_at: float) -> None:
+    def stop(self, refuse_after: float, stops_at: float) -> None:
         """Schedule the refusal of requests that might outlast this node.
 
         Args:
@@ -248,11 +248,11 @@
                 unless too few of those are ready.
             stops_at: Time on the loop's clock at which this node stops.
         """
-        self._deadline_check_after = deadline_check_after
+        self._refuse_after = refuse_after
         self._stops_at = stops_at
 
-    def _check_draining(self, arrived_at: float, deadline: float) -> None:
-        if arrived_at > self._deadline_check_after and deadline > self._stops_at:
+    def _check_stop_time(self, arrived_at: float, deadline: float) -> None:
+        if arrived_at > self._refuse_after and deadline > self._stops_at:
             detail = "this node stops before the request's deadline"
             raise not_run(Reason.DRAINING, detail, DRAINING_RETRY_AFTER_SECONDS)
 
@@ -311,21 +311,23 @@
         )
         future: asyncio.Future[TokenDecision] = self._loop.create_future()
 
-        def decide(decision: TokenDecision) -> bool:
+        def deliver_decision(decision: TokenDecision) -> bool:
             if future.done():
                 return False
             future.set_result(decision)
             return True
 
-        self._quotas.acquire(tenant, self._policies.version, propagated, decide)
+        self._quotas.acquire(
+            tenant, self._policies.version, propagated, deliver_decision
+        )
         return future.result() if future.done() else await future
 
     def _check_admission(
         self, route: Route, service: str, rank: int, remaining: float, now: float
     ) -> None:
-        visits = self._graph.get_visits(route.name, service)
-        self._admission.record_demand(visits, rank, now)
-        if not self._admission.admits(visits, rank):
+        expected_calls = self._graph.get_expected_calls(route.name, service)
+        self._admission.record_demand(expected_calls, rank, now)
+        if not self._admission.admits(expected_calls, rank):
             retry_after = draw_retry_after(remaining, self._rng)
             detail = "a service that the request depends on is overloaded"
             raise not_run(Reason.OVERLOADED, detail, retry_after)
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -34,7 +34,9 @@
         """Record the first attempt of a request to a service."""
         self._get_count(self._first_attempts, service).add(now)
 
-    def try_spend(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
+    def try_spend(
+        self, expected_calls: Mapping[str, float], nodes: int, now: float
+    ) -> bool:
         """Return whether a retry may be sent, and count it if so.
 
         A retried run makes its downstream calls again, and these count as retries too:
@@ -46,13 +48,13 @@
             nodes: Number of nodes that share the fixed number.
             now: Seconds on the loop's clock.
         """
-        for service, calls in visits.items():
+        for service, calls in expected_calls.items():
             first_attempts = self._get_count(self._first_attempts, service).total(now)
             retries = self._get_count(self._retries, service).total(now)
             allowed = first_attempts * self._ratio + self._fixed / max(1, nodes)
             if retries + calls > allowed:
                 return False
-        for service, calls in visits.items():
+        for service, calls in expected_calls.items():
             self._get_count(self._retries, service).add(now, calls)
         return True
 
@@ -72,10 +74,10 @@
         window: Length of the window in seconds.
     """
 
-    BUCKETS = 20
+    BUCKET_COUNT = 20
 
     def __init__(self, window: float):
-        self._bucket_seconds = window / self.BUCKETS
+        self._bucket_seconds = window / self.BUCKET_COUNT
         self._buckets: collections.deque[list[float]] = collections.deque()
         self._total = 0.0
 
@@ -101,7 +103,7 @@
         >>> count.total(9.9), count.total(11.0), count.total(17.0)
         (2.0, 1.0, 0.0)
         """
-        oldest_bucket = int(now / self._bucket_seconds) - self.BUCKETS
+        oldest_bucket = int(now / self._bucket_seconds) - self.BUCKET_COUNT
         while self._buckets and self._buckets[0][0] < oldest_bucket:
             self._total -= self._buckets.popleft()[1]
         return self._total
--- a/primroseglade/sidecar/route_table.py
+++ b/primroseglade/sidecar/route_table.py
@@ -52,14 +52,19 @@
         """
         if len(route.services) == 1:
             return route.services[0].name
-        weights = self._current_weights.setdefault(route.name, {})
-        total = 0.0
+        current_weights = self._current_weights.setdefault(route.name, {})
+        total_weight = 0.0
         best: WeightedService | None = None
         for service in route.services:
-            total += service.weight
-            weights[service.name] = weights.get(service.name, 0.0) + service.weight
-            if best is None or weights[service.name] > weights[best.name]:
+            total_weight += service.weight
+            current_weights[service.name] = (
+                current_weights.get(service.name, 0.0) + service.weight
+            )
+            if (
+                best is None
+                or current_weights[service.name] > current_weights[best.name]
+            ):
                 best = service
         assert best is not None
-        weights[best.name] -= total
+        current_weights[best.name] -= total_weight
         return best.name
--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable, Mapping
 
-from .call_graph import CallGraph, ServiceRoute
+from .call_graph import CallGraph, RouteService
 
 # Weight of a new cost in the moving average. Nodes update at the same time from the
 # same states: without smoothing, all would move their calls to one zone and back again.
@@ -33,7 +33,7 @@
         self._graph = graph
         self._get_cross_zone_cost_ms = get_cross_zone_cost_ms
         self._min_costs: dict[str, ZoneCostsMs] = {}
-        self._downstream_costs: dict[ServiceRoute, ZoneCostsMs] = {}
+        self._downstream_costs: dict[RouteService, ZoneCostsMs] = {}
 
     def refresh(self, min_costs: Mapping[str, ZoneCostsMs]) -> None:
         """Update the costs of calls from the current state of backend servers.
@@ -43,8 +43,8 @@
                 without a usable backend server are left out.
         """
         self._min_costs = {
-            service: self._smooth(service, zones)
-            for service, zones in min_costs.items()
+            service: self._smooth(service, costs_ms)
+            for service, costs_ms in min_costs.items()
         }
         self._downstream_costs = {}
 
@@ -55,43 +55,46 @@
         """
         return self._sum_downstream_costs((route, service), ())
 
-    def _smooth(self, service: str, zones: ZoneCostsMs) -> ZoneCostsMs:
+    def _smooth(self, service: str, costs_ms: ZoneCostsMs) -> ZoneCostsMs:
         previous = self._min_costs.get(service, {})
         return {
-            zone: cost + (1.0 - NEW_COST_WEIGHT) * (previous.get(zone, cost) - cost)
-            for zone, cost in zones.items()
+            zone: cost_ms
+            + (1.0 - NEW_COST_WEIGHT) * (previous.get(zone, cost_ms) - cost_ms)
+            for zone, cost_ms in costs_ms.items()
         }
 
     def _sum_downstream_costs(
-        self, service_route: ServiceRoute, path: tuple[ServiceRoute, ...]
+        self, route_service: RouteService, path: tuple[RouteService, ...]
     ) -> ZoneCostsMs:
-        cached = self._downstream_costs.get(service_route)
+        cached = self._downstream_costs.get(route_service)
         if cached is not None:
             return cached
-        downstream_costs = dict.fromkeys(self._min_costs.get(service_route[1], {}), 0.0)
-        for called, ratio in self._graph.list_downstream_calls(service_route):
+        downstream_ms_by_zone = dict.fromkeys(
+            self._min_costs.get(route_service[1], {}), 0.0
+        )
+        for called, ratio in self._graph.list_downstream_calls(route_service):
             if called in path:
                 # For a while after routes are moved, stale ratios can form a cycle.
                 continue
-            for zone in downstream_costs:
-                cost = self._compute_call_cost(called, zone, (*path, service_route))
-                downstream_costs[zone] += ratio * cost
-        self._downstream_costs[service_route] = downstream_costs
-        return downstream_costs
+            for zone in downstream_ms_by_zone:
+                cost_ms = self._compute_call_cost(called, zone, (*path, route_service))
+                downstream_ms_by_zone[zone] += ratio * cost_ms
+        self._downstream_costs[route_service] = downstream_ms_by_zone
+        return downstream_ms_by_zone
 
     def _compute_call_cost(
-        self, service_route: ServiceRoute, zone: str, path: tuple[ServiceRoute, ...]
+        self, route_service: RouteService, zone: str, path: tuple[RouteService, ...]
     ) -> float:
         """Return the cost of a call made in a zone, its downstream calls included."""
-        downstream_costs = self._sum_downstream_costs(service_route, path)
-        totals = {
-            other_zone: cost + downstream_costs.get(other_zone, 0.0)
-            for other_zone, cost in self._min_costs.get(service_route[1], {}).items()
+        downstream_ms_by_zone = self._sum_downstream_costs(route_service, path)
+        total_ms_by_zone = {
+            other_zone: cost_ms + downstream_ms_by_zone.get(other_zone, 0.0)
+            for other_zone, cost_ms in self._min_costs.get(route_service[1], {}).items()
         }
-        if not totals:
+        if not total_ms_by_zone:
             # No zone has a backend server of the service, so none is better.
             return 0.0
-        cross_zone_cost = min(totals.values()) + self._get_cross_zone_cost_ms(
-            service_route[0]
+        cross_zone_ms = min(total_ms_by_zone.values()) + self._get_cross_zone_cost_ms(
+            route_service[0]
         )
-        return min(totals.get(zone, cross_zone_cost), cross_zone_cost)
+        return min(total_ms_by_zone.get(zone, cross_zone_ms), cross_zone_ms)
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -52,14 +52,14 @@
     fake_service = FakeService(capacity, 20)
     admitted = dict.fromkeys(demand, 0)
     requested = dict.fromkeys(demand, 0)
-    visits = {"front": 1.0, "deep": 4.0}
+    expected_calls = {"front": 1.0, "deep": 4.0}
     for step in range(steps):
         now = step * STEP_SECONDS
         calls = 0.0
         for rank, count in demand.items():
             for _ in range(count):
-                admission.record_demand(visits, rank, now)
-                is_admitted = admission.admits(visits, rank)
+                admission.record_demand(expected_calls, rank, now)
+                is_admitted = admission.admits(expected_calls, rank)
                 calls += 4.0 * is_admitted
                 if step > steps // 2:
                     requested[rank] += 1
@@ -126,13 +126,13 @@
     fixed step, however low the utilization.
     """
     admission = Admission(random.Random(1))
-    visits = {"front": 1.0, "deep": 4.0}
+    expected_calls = {"front": 1.0, "deep": 4.0}
     slow_ms, fast_ms = 500.0, 15.0
 
     def step(number: int, load: ServiceLoad) -> float:
         now = number * STEP_SECONDS
         for _ in range(50):
-            admission.record_demand(visits, NORMAL, now)
+            admission.record_demand(expected_calls, NORMAL, now)
         admission.update({"deep": load}, admission.measure_demand(now), now)
         return admission.admission_levels.get("deep", 1.0)
 
@@ -196,7 +196,7 @@
     admission = Admission(random.Random(1))
     delayed_service = DelayedService(4900.0, 92.0)
     rng = random.Random(2)
-    visits = {"front": 1.0, "deep": 5.0}
+    expected_calls = {"front": 1.0, "deep": 5.0}
     utilizations = []
     steps = int(25.0 / DelayedService.SIMULATED_STEP_SECONDS)
     for number in range(steps):
@@ -204,8 +204,8 @@
         calls = 0.0
         for _ in range(80):
             rank = rng.choice((URGENT, NORMAL, NORMAL))
-            admission.record_demand(visits, rank, now)
-            calls += 5.0 * admission.admits(visits, rank)
+            admission.record_demand(expected_calls, rank, now)
+            calls += 5.0 * admission.admits(expected_calls, rank)
         delayed_service.step(calls)
         if number % 5 == 0:
             demand = admission.measure_demand(now)
--- a/tests/test_call_graph.py
+++ b/tests/test_call_graph.py
@@ -42,7 +42,7 @@
     graph.rebuild([(name, {"": ratios, name: ratios}) for name in names], routes)
     started = time.monotonic()
     for name in names:
-        graph.get_visits(name, name)
+        graph.get_expected_calls(name, name)
     assert time.monotonic() - started < MAX_SECONDS
 
 
@@ -58,7 +58,7 @@
         ],
         build_routes(left="left", right="right", deep="deep"),
     )
-    assert graph.get_visits("root", "root") == {
+    assert graph.get_expected_calls("root", "root") == {
         "root": 1.0,
         "left": 1.0,
         "right": 2.0,
@@ -73,9 +73,9 @@
         [("a", {"a": {"b": 1.0}}), ("b", {"b": {"a": 1.0}})],
         build_routes(a="a", b="b"),
     )
-    visits = graph.get_visits("a", "a")
-    assert set(visits) == {"a", "b"}
-    assert all(count < 100 for count in itertools.chain(visits.values()))
+    expected_calls = graph.get_expected_calls("a", "a")
+    assert set(expected_calls) == {"a", "b"}
+    assert all(count < 100 for count in itertools.chain(expected_calls.values()))
 
 
 def test_routes_of_one_service_have_separate_call_trees():
@@ -85,8 +85,8 @@
     graph = CallGraph()
     reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
     graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
-    assert graph.get_visits("upload", "images") == {"images": 1.0}
-    assert graph.get_visits("index", "images")["deep"] == 4.0
+    assert graph.get_expected_calls("upload", "images") == {"images": 1.0}
+    assert graph.get_expected_calls("index", "images")["deep"] == 4.0
 
 
 def test_new_route_gets_the_average_of_its_service():
@@ -94,7 +94,7 @@
     graph = CallGraph()
     reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
     graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
-    assert graph.get_visits("moved", "images")["deep"] == 3.2
+    assert graph.get_expected_calls("moved", "images")["deep"] == 3.2
 
 
 def test_calls_of_a_split_route_are_divided_by_weight():
@@ -106,5 +106,5 @@
         WeightedService("new", 1.0),
     ]
     graph.rebuild([("images", {"index": {"lookup": 4.0}})], routes)
-    visits = graph.get_visits("index", "images")
-    assert visits == {"images": 1.0, "old": 3.0, "new": 1.0}
+    expected_calls = graph.get_expected_calls("index", "images")
+    assert expected_calls == {"images": 1.0, "old": 3.0, "new": 1.0}
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -13,7 +13,7 @@
     try:
         await asyncio.sleep(work)
     except asyncio.CancelledError:
-        if not deadline.caused_cancellation():
+        if not deadline.take_back_cancellation():
             raise
         return "time is up"
     finally:
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -18,11 +18,11 @@
     same_zone_ms: float,
     cross_zone_ms: float,
     size_bytes: float = 0.0,
-    latency_target: float = 0.3,
+    latency_tolerance: float = 0.3,
 ) -> float:
     """Return the share of 1000 calls that goes to the other availability zone."""
     rng = random.Random(1)
-    cross_zone_cost_ms = compute_cross_zone_cost_ms(latency_target, size_bytes)
+    cross_zone_cost_ms = compute_cross_zone_cost_ms(latency_tolerance, size_bytes)
     cross_zone_calls = 0
     for _ in range(1000):
         same_zone = Candidate(
@@ -71,7 +71,7 @@
             same_zone_ms=105.0,
             cross_zone_ms=45.0,
             size_bytes=6500,
-            latency_target=0.2,
+            latency_tolerance=0.2,
         )
         < 0.05
     )
@@ -99,7 +99,7 @@
         same_zone_ms=150.0,
         cross_zone_ms=90.0,
         size_bytes=9000,
-        latency_target=0.4,
+        latency_tolerance=0.4,
     )
     assert on_time_share < 0.05
     late_share = measure_cross_zone_share(
@@ -107,7 +107,7 @@
         same_zone_ms=180.0,
         cross_zone_ms=90.0,
         size_bytes=9000,
-        latency_target=0.4,
+        latency_tolerance=0.4,
     )
     assert late_share > 0.95
 
