--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -143,14 +143,15 @@
         while fitted_routes:
             matrix = [
                 [
-                    self._runs_runs.get((route, other), 0.0) + ridge * (route == other)
+                    self._runs_runs.get((row_route, other), 0.0)
+                    + ridge * (row_route == other)
                     for other in fitted_routes
                 ]
-                for route in fitted_routes
+                for row_route in fitted_routes
             ]
             right_side = [
-                self._runs_calls.get((route, called), 0.0) + ridge * average
-                for route in fitted_routes
+                self._runs_calls.get((row_route, called), 0.0) + ridge * average
+                for row_route in fitted_routes
             ]
             solved = dict(zip(fitted_routes, solve(matrix, right_side), strict=True))
             positive = [route for route in fitted_routes if solved[route] > 0]
