--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -2,14 +2,15 @@
 
 A call that is refused deep in the call graph wastes the work of all services above it.
 Excess load is therefore refused where requests enter, the least urgent first. Each
-overloaded service has an admission level, the fraction of the demand that is admitted;
-the lowest level among the services that a request calls applies to it.
-
-The level is computed: the estimated capacity, less what is needed to drain the queues,
-divided by the demand of all requests, admitted or not. Utilization only corrects the
-estimate, and slowly. A controller that followed the queue length would oscillate: the
-queue shows an overload about a second late, after requests have passed through the
-whole graph and the state has been broadcast.
+overloaded service has an admission level: the fraction of the demand for it that is
+admitted. A request is subject to the lowest level among the services that it calls,
+directly or through other services.
+
+The level is the estimated capacity, less what is needed to drain the queues, divided by
+the demand of all requests, admitted or not. Utilization only corrects the estimate, and
+slowly. A controller that followed the queue length would oscillate: the queue shows an
+overload about a second late, after requests have passed through the whole graph and the
+state has been broadcast.
 """
 
 import random
@@ -17,58 +18,59 @@
 
 from .retry_budget import SlidingCount
 
-# Fraction of the estimated capacity that is admitted. The rest is spare for retries;
-# at a service without spare capacity each of them makes calls queue.
+# Fraction of the estimated capacity that is admitted. The rest is left for retries:
+# at a service without spare capacity each retry makes other calls queue.
 ADMITTED_CAPACITY_RATIO = 0.95
-# Target range of the utilization: calls in flight, running and queued, per slot. Above
-# it the capacity is overestimated, and the correction factor of the estimate falls;
-# below it the factor rises.
+# The capacity estimate of a service is multiplied by a correction factor. The factor
+# falls while the utilization (calls in flight, running and queued, per slot) is above
+# this target range, and rises while it is below.
 MAX_TARGET_UTILIZATION = 1.5
 MIN_TARGET_UTILIZATION = 0.95
-# Time in which queued calls are to be completed. Queues are reported late, and a new
-# level takes effect later still, so that the level would oscillate with a shorter time.
+# Time in which queued calls are to be completed. With a shorter time the level would
+# oscillate: queues are reported late, and a new level takes effect later still.
 QUEUE_DRAIN_SECONDS = 1.5
-# Relative change of the correction factor per update; small, because a correction shows
-# in the utilization only some updates later.
+# Relative change of the correction factor per update; small, because a change shows in
+# the utilization only some updates later.
 CORRECTION_DECREASE_RATIO = 0.01
 CORRECTION_INCREASE_RATIO = 0.01
-# Below this utilization the factor rises faster: slots are idle after an overload that
-# lowered the factor too far.
+# Below this utilization the correction factor rises faster: slots are idle because the
+# factor fell too far during an overload.
 FAST_RECOVERY_UTILIZATION = 0.7
 FAST_CORRECTION_INCREASE_RATIO = 0.08
-# Bounds of the factor by which the estimated capacity is multiplied.
+# Bounds of the correction factor.
 MIN_CORRECTION_FACTOR = 0.4
 MAX_CORRECTION_FACTOR = 4.0
-# While the utilization is below the target range, load shedding starts only at a level
-# of at most this; a higher one may be an error of the estimate.
+# While the utilization is below the target range, load shedding does not start at a
+# level above this, which may be an error of the capacity estimate.
 MAX_INITIAL_ADMISSION_LEVEL = 0.85
-# Fraction of the demand that is always admitted: without any calls, a recovery would
-# not be noticed.
+# Fraction of the demand that is always admitted: without any calls, the recovery of a
+# service would go unnoticed.
 MIN_ADMISSION_LEVEL = 0.05
 # Window in which demand is counted: long enough for each node to receive some requests,
 # short enough to notice a burst before queues are full.
 DEMAND_WINDOW_SECONDS = 1.0
-# A service to which a request makes fewer calls on average does not count the request
-# in its demand, and is no reason to refuse it.
+# If a request makes fewer calls than this to a service on average, it does not count
+# towards the service's demand and is not refused because of it.
 MIN_CALLS_PER_REQUEST = 0.05
 
 
 class ServiceLoad:
     """Aggregates the load of a service over its backend servers.
 
-    Each backend server is weighted by its throughput, slots divided by slot time. One
-    of five that becomes twelve times slower then counts for a sixtieth of the service.
-    Weighted by slots alone, its long queue caused refusals while the other four were
-    half idle.
+    Each backend server is weighted by its throughput, slots divided by slot time. If
+    one of five becomes twelve times slower, it counts for a sixtieth of the service's
+    former capacity. Weighting by slots alone would let its long queue cause refusals
+    while the other four are half idle.
     """
 
     __slots__ = ("_sums", "_sums_without_slot_time", "queued")
 
     def __init__(self) -> None:
-        #: Calls that wait for a slot at any backend server.
+        #: Calls that wait for a slot, at all backend servers of the service together.
         self.queued = 0.0
-        # Sums of utilization times weight, and of weights. Backend servers without a
-        # known slot time have sums of their own, used while no slot time is known.
+        # Two sums over backend servers: utilization times weight, and weight. Those
+        # without a known slot time are summed separately, for use while the slot time
+        # of no backend server is known.
         self._sums = [0.0, 0.0]
         self._sums_without_slot_time = [0.0, 0.0]
 
@@ -90,7 +92,7 @@
 
         Args:
             in_flight: Running and queued calls.
-            slots: Calls that it can run concurrently.
+            slots: Calls that the backend server can run concurrently.
             slot_ms: Average milliseconds for which a call holds a slot; 0 before the
                 first call.
         """
@@ -106,8 +108,8 @@
     The demand for a service is the rate of calls to it that requests cause. At a level
     of 0.7 requests are admitted by urgency until they make up 0.7 of the demand: the
     most urgent ranks are admitted whole, and the rank that reaches the limit in part.
-    The effect of a level therefore does not depend on how requests are distributed over
-    ranks, most of which may be nearly empty.
+    A level therefore has the same effect however requests are distributed over ranks,
+    even if most ranks are nearly empty.
 
     Args:
         rng: Selects the requests of a partly admitted rank.
@@ -115,9 +117,11 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
+        # Recent calls to each service, by the rank of the requests that cause them.
         self._demand: dict[str, dict[int, SlidingCount]] = {}
         self._correction_factors: dict[str, float] = {}
         self._admission_levels: dict[str, float] = {}
+        # For each overloaded service, the admitted fraction of each rank.
         self._admitted_fractions: dict[str, dict[int, float]] = {}
 
     @property
@@ -131,7 +135,7 @@
         """Record the demand of a request, admitted or not.
 
         Args:
-            visits: Expected calls to each service.
+            expected_calls: Calls to each service that the request is expected to cause.
             rank: Urgency of the request, 0 the most urgent.
             now: Seconds on the loop's clock.
         """
@@ -145,7 +149,7 @@
             count.add(now, calls)
 
     def measure_demand(self, now: float) -> dict[str, float]:
-        """Return the calls per second that this node's requests cause, by service."""
+        """Return the calls per second that requests at this node cause, by service."""
         demand = {
             service: sum(count.total(now) for count in ranks.values())
             / DEMAND_WINDOW_SECONDS
@@ -156,7 +160,7 @@
     def update(
         self, loads: Mapping[str, ServiceLoad], demand: Mapping[str, float], now: float
     ) -> None:
-        """Recompute the admission levels, at every step of the periodic scheduler.
+        """Recompute the admission levels; called at every tick of the scheduler.
 
         Args:
             loads: Load of each service.
@@ -211,7 +215,7 @@
         """Return whether a request is admitted.
 
         Args:
-            visits: Expected calls to each service.
+            expected_calls: Calls to each service that the request is expected to cause.
             rank: Urgency of the request, 0 the most urgent.
         """
         if not self._admitted_fractions:
@@ -226,7 +230,7 @@
     def _compute_admitted_fractions(
         self, service: str, level: float, now: float
     ) -> dict[int, float]:
-        """Return the admitted fraction of each rank."""
+        """Return the admitted fraction of each rank at a service's admission level."""
         counts = self._demand.get(service, {})
         demand = {rank: count.total(now) for rank, count in sorted(counts.items())}
         remaining_demand = level * sum(demand.values())
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -1,4 +1,4 @@
-"""Collects the load of all services and updates what is derived from it."""
+"""Collects the load of all services, for admission and for load balancing."""
 
 from ..observe.events import Journal, LEVELS_SET
 from .admission import Admission, ServiceLoad
@@ -10,17 +10,19 @@
 from .policy_tracker import PolicyTracker
 from .zone_costs import ZoneCosts
 
-# Interval between rebuilds of the call graph; call ratios are broadcast less often.
+# Interval between rebuilds of the call graph. Shorter intervals would gain nothing: the
+# call ratios that it is built from are broadcast less often.
 GRAPH_REBUILD_SECONDS = 1.0
-# Admission levels are updated more often than they are logged. They are logged while
-# any is below 1, and once more when none is.
+# Interval between log lines of the admission levels, which are updated more often. They
+# are logged while any level is below 1, and once more when all are back at 1.
 LEVELS_LOG_INTERVAL_SECONDS = 1.0
 
 
 class LoadMonitor:
-    """Combines the load of this node with that broadcast by the others.
+    """Combines the load of this node with the loads that other nodes broadcast.
 
-    It updates the admission levels, the call graph and the costs per availability zone.
+    From the result it updates the admission levels, the call graph and the costs of
+    calls in each availability zone.
 
     Args:
         backend: The local backend server.
@@ -28,7 +30,8 @@
         admission: Receives the load and demand of each service.
         graph: Receives the call ratios of each service.
         zone_costs: Receives the cost of a call in each availability zone.
-        call_ratios: Call ratios of the local backend server.
+        call_ratios: Estimates how many calls the local backend server makes for each
+            call that it serves.
         policies: Provides the routes in force.
         journal: Logs admission levels.
     """
@@ -55,11 +58,12 @@
         self._last_log_had_levels = False
         self._levels_logged_at = 0.0
         self._graph_built_at = 0.0
-        #: Calls in flight at the local backend server, average over the last step.
+        #: Average number of calls in flight at the local backend server over the last
+        #: tick of the periodic scheduler.
         self.average_in_flight = 0.0
 
     def update(self, now: float) -> None:
-        """Update everything, at every step of the periodic scheduler."""
+        """Update everything; called at every tick of the periodic scheduler."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
         self._log_levels(survey, now)
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -1,4 +1,4 @@
-"""Limits that the fleet enforces, raised by part of the tolerated overshoot."""
+"""Raises configured rate limits by part of the overshoot that operators tolerate."""
 
 from .frames import TokenLimits
 from .model import Tenant
@@ -7,21 +7,24 @@
 class RateTolerance:
     """Computes the limits to enforce from the limits that the operator configured.
 
-    Operators tolerate an overshoot in any window. Most of it raises the enforced rate
-    and burst, and some is available as initial tokens after a restart. The rest is
-    reserved for nodes that join or restart behind a partition (see docs/DESIGN.md).
+    Operators tolerate a number of calls beyond the configured limits in any window.
+    Most of these calls raise the enforced rate and burst, and some are granted as
+    initial tokens after a restart. The rest is kept as a reserve: when nodes join or
+    restart during a network partition, the shares of the rate on its two sides may add
+    up to more than the whole, and the reserve covers the excess.
 
     Args:
-        overshoot: Tolerated excess, as a fraction of what rate and burst allow.
-        slack: Further tolerated calls in a window.
+        overshoot_ratio: Tolerated excess, as a fraction of the calls that rate and
+            burst allow in a window.
+        slack_calls: Calls tolerated in a window in addition.
         window: Length of the window in seconds.
     """
 
-    # Fraction of the overshoot by which rate and burst are raised.
+    # Fraction of the tolerated calls by which rate and burst are raised.
     LIMIT_RAISE_RATIO = 0.7
-    # Fraction of the overshoot that is available after a restart.
+    # Fraction of the tolerated calls that is granted as initial tokens after a restart.
     RESTART_TOKENS_RATIO = 0.2
-    # Fraction of the raise that goes to the burst; the rest goes to the rate.
+    # Fraction of the raise that is added to the burst; the rest is added to the rate.
     BURST_RAISE_RATIO = 0.5
 
     __slots__ = ("_overshoot_ratio", "_slack_calls", "_window")
