--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -25,13 +25,14 @@
 MIN_REMAINING_SECONDS = 0.002
 # Weight of a new outcome in the moving average, which covers about 30 calls.
 FAILURE_SMOOTHING = 1 / 32
-# A call that is canceled without an answer after more than this many times the average
-# service time counts as failed; few calls run that long.
+# A call that got no answer and is canceled after more than this many average service
+# times counts as failed: few calls run that long.
 UNANSWERED_SERVICE_TIMES = 4.0
-# A backend server that is still cold after its start works at half its speed, according
-# to its operators; it is announced to other nodes with this fraction of its slots.
+# Fraction of its slots with which a cold backend server is announced to other nodes.
+# According to operators, it works at half its speed until it has warmed up.
 COLD_CAPACITY_RATIO = 0.5
-# Status reports may arrive this late, even after a drain was requested.
+# Maximum delay of a status report. The first report of a backend server may arrive this
+# long after a request to drain it.
 MAX_REPORT_DELAY_SECONDS = 10.0
 
 
@@ -40,9 +41,9 @@
 
     Args:
         head: Status line and headers to forward.
-        request_id: ID of the request that it answers.
-        signed: Whether it carries the backend server's signature.
-        not_executed: Whether it states that the request was not executed.
+        request_id: ID of the request that the answer names; empty if none.
+        signed: Whether the answer carries the backend server's signature.
+        not_executed: Whether the answer states that the request was not executed.
     """
 
     __slots__ = ("head", "not_executed", "request_id", "signed")
@@ -64,7 +65,7 @@
 
         Args:
             call: The call to send.
-            remaining: Seconds until its deadline.
+            remaining: Seconds until the call's deadline.
         """
 
     def read_answer(self, answer: Response) -> BackendAnswer:
@@ -89,11 +90,14 @@
 class Backend:
     """Tracks the backend server's incarnation and state, and runs calls on it.
 
+    An incarnation is one lifetime of the backend server's process. It is identified by
+    the instance ID and the start time.
+
     Args:
-        service: Service that it serves, as configured by the platform.
-        address: Address at which it listens, as configured by the platform.
+        service: Service of the backend server, as configured by the platform.
+        address: Address of the backend server, as configured by the platform.
         dialect: Builds requests and parses answers.
-        call_ratios: Counts the runs of each route.
+        call_ratios: Counts the calls that the backend server runs, by route.
         journal: Logs changes of state.
         broadcast_state: Announces the state of this node to the others at once.
     """
@@ -114,13 +118,14 @@
         self._journal = journal
         self._broadcast_state = broadcast_state
         self._report: StatusReport | None = None
-        # Start times of drained incarnations by instance; 0 if the drain named none.
+        # Start time in ms of the drained incarnation, by instance ID; 0 while neither
+        # the drain request nor a report has told it.
         self._drained_start_times: dict[str, int] = {}
-        # By instance, the time until which a drain that named no incarnation applies to
-        # the next one that is reported.
+        # By instance ID, the time until which a drain request without a start time
+        # applies to the next incarnation that is reported.
         self._unspecified_drain_until: dict[str, float] = {}
-        # Start time of the newest incarnation that was drained here. Peers also relay
-        # drains of other nodes' backend servers, which do not count.
+        # Start time of the newest incarnation that was drained here. Drains of other
+        # nodes' backend servers, which peers relay too, do not count.
         self._newest_drained_start_ms = 0
         self._draining = True
         self._unavailable = False
@@ -132,12 +137,12 @@
 
     @property
     def service(self) -> str:
-        """The service that the backend server serves."""
+        """The service that the backend server provides."""
         return self._service
 
     @property
     def instance(self) -> str:
-        """ID of the backend server that accepts calls now; empty if there is none."""
+        """Instance ID of the backend server; empty while it accepts no calls."""
         if (
             self._report is None
             or self._draining
@@ -149,7 +154,7 @@
 
     @property
     def slots(self) -> int:
-        """Number of slots to announce to other nodes, reduced while it is cold."""
+        """Slots to announce to other nodes; fewer while the backend server is cold."""
         if time.monotonic() < self._cold_until:
             return max(1, int(self.queue.concurrency_limit * COLD_CAPACITY_RATIO))
         return self.queue.concurrency_limit
@@ -179,7 +184,7 @@
         return self._report.start_time_ms if self._report else 0
 
     def build_candidate(self, node: str) -> Candidate | None:
-        """Return it as a load-balancing candidate, or None if it accepts no calls.
+        """Return a load-balancing candidate, None if the server accepts no calls.
 
         Args:
             node: Name of this node.
@@ -196,11 +201,11 @@
         )
 
     def stop(self) -> None:
-        """Accept no further calls, because this node shuts down."""
+        """Accept no further calls, because this node is stopping."""
         self._stopping = True
 
     def is_stale(self, report: StatusReport) -> bool:
-        """Return whether a later report or drain has outdated a report."""
+        """Return whether a report is outdated by a later report or drain."""
         last_report = self._report
         if (
             report.start_time_ms
@@ -219,8 +224,8 @@
         """Apply a status report.
 
         Returns:
-            Whether it was applied: False if it is stale, or if its service or address
-            differs from the configured one.
+            Whether the report was applied: False if it is stale, or if its service or
+            address differs from the configured one.
         """
         if report.service != self._service or report.address != self._address:
             self._journal.emit(
@@ -252,11 +257,14 @@
         return True
 
     def _match_drain(self, report: StatusReport) -> bool:
-        """Return whether a report is of an incarnation that was told to drain."""
+        """Return whether the reported incarnation was told to drain.
+
+        A pending drain request without a start time is bound to this incarnation.
+        """
         if report.instance not in self._drained_start_times:
             return False
         if time.monotonic() < self._unspecified_drain_until.get(report.instance, 0.0):
-            # The drain named no incarnation and came before any report of it.
+            # The drain request came before the first report of this incarnation.
             self._drained_start_times[report.instance] = report.start_time_ms
             del self._unspecified_drain_until[report.instance]
         return self._drained_start_times[report.instance] == report.start_time_ms
@@ -264,8 +272,8 @@
     def drain(self, instance: str, start_time_ms: int) -> None:
         """Send no further calls to a backend server that is being drained.
 
-        The drain applies to the whole incarnation. A report that was sent before it and
-        arrives later, stating that the backend server is ready, changes nothing.
+        The drain applies to the whole incarnation: a report that was sent before the
+        drain and arrives later does not make the backend server available again.
 
         Args:
             instance: ID of the backend server.
@@ -292,11 +300,11 @@
 
         Args:
             call: The call to run.
-            remaining: Seconds until its deadline.
+            remaining: Seconds until the call's deadline.
 
         Raises:
-            Refusal: The call got no usable answer. The verdict says whether it may have
-                run, judging by the bytes sent and received.
+            Refusal: The call got no usable answer. The verdict says whether the call
+                may have run, judging by the bytes sent and received.
         """
         self._check_instance(call)
         deadline = time.monotonic() + remaining
@@ -314,8 +322,8 @@
             completed = True
             return served
         except asyncio.CancelledError:
-            # The caller gave up. After far more than the usual service time the answer
-            # is taken for lost, which shows in no other way.
+            # The caller gave up. If that took far longer than the usual service time,
+            # the answer is considered lost: no error reports such a loss.
             elapsed = time.monotonic() - started
             if elapsed > UNANSWERED_SERVICE_TIMES * self.queue.service_seconds:
                 self._record_outcome(failed=True)
@@ -326,6 +334,7 @@
             self.queue.release(slot, now - started, completed)
 
     def _reset_for_incarnation(self, report: StatusReport) -> None:
+        """Replace the state that was kept for the previous incarnation."""
         self._pool.close_idle()
         self._draining = True
         self._failure_ratio = 0.0
@@ -335,10 +344,11 @@
     def _mark_unavailable(self) -> None:
         """Accept no calls for a backend server that has crashed, and announce it.
 
-        A crash sends no report. While other nodes considered the backend server
-        available, part of their calls failed here first, and its slots still counted as
-        capacity for admission. The next report makes it available again; if that was
-        sent before the crash, the next call marks it unavailable once more.
+        No report tells of a crash. Without the announcement, other nodes would keep
+        sending part of their calls here, where they fail first, and count the slots as
+        capacity for admission. The next report makes the backend server available
+        again. If that report was sent before the crash, the next call that fails marks
+        it unavailable once more.
         """
         if self._unavailable:
             return
@@ -411,6 +421,6 @@
 
 
 def _check_remaining_time(remaining: float) -> None:
-    """Refuse a call whose deadline has passed: nobody waits for the answer."""
+    """Refuse a call that cannot be answered before its deadline."""
     if remaining < MIN_REMAINING_SECONDS:
-        raise not_run(Reason.DEADLINE_EXCEEDED, "deadline passed before sending")
+        raise not_run(Reason.DEADLINE_EXCEEDED, "too little time left to send the call")
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -1,6 +1,8 @@
 """Queues calls to the backend server and refuses those that cannot be served in time.
 
-It does no network I/O: each caller of `acquire` waits in a task of its own.
+The queue does no network I/O: tasks call `acquire` to wait for a slot, and then send
+their calls themselves. A call is nested if a backend server makes it while serving
+another call.
 """
 
 import asyncio
@@ -10,11 +12,11 @@
 
 from ..verdicts import not_run, Reason
 
-# Fraction of a backend server's slots that is used. With nearly all of them taken it
-# slows down, so that the last ones reduce its throughput.
+# Fraction of a backend server's slots that is used. A backend server slows down when
+# nearly all of its slots are taken, so that using the last ones reduces its throughput.
 USED_SLOT_RATIO = 15 / 16
-# Calls are sorted by arrival time plus this many latency targets: a call with a short
-# target overtakes calls with a longer one that have not waited long.
+# Queued calls are sorted by arrival time plus this many latency targets. A call with a
+# short target thus overtakes calls with longer targets, unless they have waited long.
 LATENCY_TARGET_WEIGHT = 3.0
 # Weight of a new service time in the moving averages, which cover about 30 calls.
 SERVICE_TIME_SMOOTHING = 1 / 32
@@ -22,18 +24,20 @@
 INITIAL_SERVICE_SECONDS = 0.03
 # The slot of an unanswered call is reclaimed after this many times the average service
 # time of answered calls: the answer may be lost and the backend server free. Few calls
-# run that long, and if one still does, the backend server queues the additional call.
+# run that long; if one does, the backend server itself queues the call that is sent in
+# its place.
 MAX_SLOT_SERVICE_TIMES = 2.0
-# Queue length per slot at which calls of external callers are refused: early, while
+# Queue length per slot at which calls that are not nested are refused: early, while
 # another backend server or a retry can still serve them in time.
 MAX_QUEUED_PER_SLOT = 3.0
-# Queue length per slot at which calls of other backend servers are refused. That wastes
-# the work of the services above, so the limit is higher and only bounds memory.
+# Queue length per slot at which nested calls are refused. Refusing them wastes the work
+# of the services above, so this limit is higher and only bounds memory.
 MAX_NESTED_QUEUED_PER_SLOT = 30.0
-# A nested call may take up to its latency target, or this many average service times if
-# that is longer, its wait included. A request makes several calls in sequence: if each
-# waited until its own deadline, together they would exceed that of the request, and a
-# backend server with a long queue would work on requests that all fail.
+# A nested call, its wait included, may take up to its latency target, or up to this
+# many average service times if they are longer. A request makes several calls in
+# sequence: if each waited until its own deadline, together they would exceed the
+# request's, and a backend server with a long queue would only work on requests that
+# fail.
 MAX_NESTED_RESPONSE_SERVICE_TIMES = 2.0
 
 
@@ -41,8 +45,8 @@
     """Limits the calls that run on the backend server and queues the others.
 
     Queued calls are ordered by arrival time and latency target. A call that cannot meet
-    its deadline is refused on arrival, when another backend server may still serve it,
-    instead of when the deadline passes.
+    its deadline is refused on arrival, while another backend server may still serve it,
+    and not only when the deadline is near.
 
     Args:
         slots: Calls that the backend server can run concurrently.
@@ -51,19 +55,22 @@
     def __init__(self, slots: int):
         self._concurrency_limit = 1
         self._running = 0
-        # Heap of sort time, ID, deadline and the future that gets the slot.
+        # Heap of queued calls: sort time, entry ID, deadline, and the future that
+        # receives the slot's ID.
         self._waiters: list[tuple[float, int, float, asyncio.Future[int]]] = []
         self._ids = itertools.count()
         self._queued = 0
+        # Moving averages: the service time of all calls, the time for which a call
+        # holds a slot, and the service time of answered calls.
         self._service_seconds = INITIAL_SERVICE_SECONDS
         self._slot_seconds = INITIAL_SERVICE_SECONDS
         self._completed_service_seconds = INITIAL_SERVICE_SECONDS
-        # When each slot was acquired, the oldest first, and the IDs of the slots that
-        # were reclaimed while their call still waits for its answer.
+        # Time at which each slot was acquired, by ID, the oldest first; and IDs of
+        # reclaimed slots whose calls still wait for an answer.
         self._slot_acquired_at: dict[int, float] = {}
         self._reclaimed_slots: set[int] = set()
         self._has_measurement = False
-        # Sum of in-flight calls times seconds since the average was started.
+        # Calls in flight times seconds, summed since the start of the average.
         self._in_flight_integral = 0.0
         self._integrated_until = 0.0
         self._average_started_at = 0.0
@@ -91,7 +98,7 @@
 
     @property
     def service_seconds(self) -> float:
-        """Average service time of a call, those without an answer included."""
+        """Average service time of a call, including calls without an answer."""
         return self._service_seconds
 
     @property
@@ -107,7 +114,8 @@
     def take_average_in_flight(self) -> float:
         """Return the average number of calls in flight, and start a new average.
 
-        Slots of calls whose answer is considered lost are reclaimed first.
+        The average covers the time since the previous invocation of this method. Slots
+        of calls whose answer is considered lost are reclaimed first.
         """
         now = time.monotonic()
         self._reclaim_unanswered_slots(now)
@@ -133,8 +141,7 @@
             nested: Whether another backend server makes the call.
 
         Raises:
-            Refusal: ``not run``: the queue is full, or the call cannot meet its
-                deadline.
+            Refusal: The queue is full, or the call cannot meet its deadline; not run.
         """
         now = time.monotonic()
         self._integrate_in_flight(now)
@@ -167,7 +174,7 @@
         entry = (sort_time, next(self._ids), now + remaining, waiter)
         heapq.heappush(self._waiters, entry)
         self._queued += 1
-        # Before the caller's own timeout, which cannot tell whether the call ran.
+        # Earlier than the caller's timeout, which cannot tell whether the call ran.
         refuse_at = now + remaining - self._service_seconds / 2
         timer = loop.call_at(refuse_at, self._refuse_expired, waiter)
         try:
@@ -188,10 +195,11 @@
 
         Args:
             slot: ID that `acquire` returned.
-            seconds: Service time so far.
+            seconds: Seconds since the call was started.
             completed: Whether the call got an answer. If not, its service time counts
-                only if it is above average: a backend server slower than its callers'
-                timeouts answers no call, and would otherwise look as fast as before.
+                only if it is above the average. Ignoring such calls altogether would
+                make a backend server that is slower than all timeouts, and thus answers
+                no call, look as fast as before.
         """
         self._integrate_in_flight(time.monotonic())
         del self._slot_acquired_at[slot]
@@ -239,10 +247,11 @@
     def _refuse_expired(self, waiter: "asyncio.Future[int]") -> None:
         if not waiter.done():
             self._queued -= 1
-            error = not_run(Reason.OVERLOADED, "deadline passed in the queue")
+            error = not_run(Reason.OVERLOADED, "no slot in time to meet the deadline")
             waiter.set_exception(error)
 
     def _count_ahead(self, sort_time: float) -> int:
+        """Return about how many queued calls precede a call with this sort time."""
         if self._queued < 16:
             return sum(entry[0] <= sort_time for entry in self._waiters)
         # Estimated from a sample: scanning a long queue for each call is too slow.
@@ -259,7 +268,9 @@
             now = time.monotonic()
             remaining = deadline - now
             if remaining < self._service_seconds / 2:
-                error = not_run(Reason.OVERLOADED, "deadline passed in the queue")
+                error = not_run(
+                    Reason.OVERLOADED, "no slot in time to meet the deadline"
+                )
                 waiter.set_exception(error)
                 continue
             waiter.set_result(self._take_slot(now))
