--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -1,8 +1,9 @@
 """Estimates the size of each route's answers from those received so far."""
 
-# Weight of a new answer in the moving average, which covers about 30 of its route.
+# Weight of a new answer in the moving average, which covers about 30 answers.
 SIZE_SMOOTHING = 1 / 32
-# Bounds memory when configuration updates keep renaming routes.
+# At this number of routes all averages are dropped. This bounds memory if configuration
+# updates keep renaming routes.
 MAX_ROUTES = 2000
 
 
@@ -34,5 +35,5 @@
         )
 
     def estimate(self, route: str) -> float:
-        """Return the average size of an answer in bytes, 0 before the first."""
+        """Return the average answer size in bytes, 0 before the first answer."""
         return self._average_bytes.get(route, 0.0)
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -1,10 +1,10 @@
-"""Counts bytes sent to other availability zones, because they are expensive."""
+"""Counts the bytes sent to other availability zones, which are expensive."""
 
 import collections
 
 from ..observe.events import Journal, ZONE_BYTES
 
-# Routes that are counted by name; all others are counted together.
+# Maximum number of routes counted by name; all others are counted together.
 MAX_NAMED_ROUTES = 200
 OTHER_ROUTES = "other"
 # Interval between log lines, and the number of largest counts in each.
@@ -13,7 +13,7 @@
 
 
 class CrossZoneBytes:
-    """Cross-zone bytes, by kind of frame and by route.
+    """Counts cross-zone bytes, by kind of frame and by route.
 
     >>> cross_zone_bytes = CrossZoneBytes()
     >>> cross_zone_bytes.record("Call", "photos", 300)
@@ -32,9 +32,9 @@
         """Count a frame that was sent cross-zone.
 
         Args:
-            frame: Kind of the frame.
-            route: Name of the route that it belongs to; empty if it has none.
-            size: Bytes of the frame.
+            frame_kind: Kind of the frame.
+            route: Name of the route that the frame belongs to; empty if none.
+            size_bytes: Size of the frame.
         """
         if route not in self._routes:
             if len(self._routes) >= MAX_NAMED_ROUTES:
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -22,20 +22,19 @@
 from .retry_budget import RetryBudget
 from .zone_costs import ZoneCosts
 
-# Maximum number of nodes tried for a call that reaches no backend server. Under
-# overload all nodes refuse, and trying them all would cost more than the calls
-# themselves.
+# Maximum number of nodes tried for a call that has reached no backend server. Under
+# overload all nodes refuse, and trying all of them would cost more than the work on the
+# calls.
 MAX_NODES_TRIED = 3
-# Above this failure ratio of a service, calls made by backend servers are not retried:
-# a request makes several of them, and fails anyway if one of them fails again. This
-# leaves the retry budget to callers' own requests.
+# Above this failure ratio of a service, nested calls to it (calls that a backend server
+# makes) are not retried, which leaves the retry budget to callers' own requests. A
+# request makes several nested calls, and fails even after retries if one fails again.
 NESTED_RETRY_MAX_FAILURE_RATIO = 0.2
-# Refusing a call that a backend server makes wastes the work already done for its
-# request. If no node takes such a call, it is tried again after this time, which
-# doubles with each attempt.
+# Refusing a nested call wastes the work already done for its request. If no node takes
+# the call, it is tried again after this time, which doubles with each attempt.
 NESTED_INITIAL_BACKOFF_SECONDS = 0.05
-# No further attempt follows once it has waited this long; a node restarts in about a
-# second.
+# Maximum time that a nested call waits for a node that takes it. A node restarts in
+# about a second.
 NESTED_MAX_WAIT_SECONDS = 1.5
 
 
@@ -44,7 +43,7 @@
 
     Attributes:
         nested: Whether the local backend server makes the call.
-        deadline: Time on the loop's clock at which the call is cancelled.
+        deadline: Time on the loop's clock at which the call is canceled.
         latency_target_at: Time on the loop's clock after which the answer is late.
         sent: Whether the call was sent to a node, this one included.
         node: Name of the node that it was sent to last; empty before.
@@ -110,7 +109,7 @@
     Attributes:
         tried: Names of the nodes that the call was sent to.
         backends_reached: Attempts that reached a backend server.
-        last_reached_backend: Whether the last attempt reached one.
+        last_reached_backend: Whether the last attempt reached a backend server.
         reason: Why the last attempt failed.
         verdict: Whether the call may have run, over all attempts.
     """
@@ -143,7 +142,7 @@
         self.last_reached_backend = True
 
     def record_refusal(self, refusal: Refusal) -> None:
-        """Record an attempt that got no answer of a backend server."""
+        """Record an attempt that a node or its backend server refused."""
         self._refusal = refusal
         self.reason = refusal.reason.code
         may_have_run = refusal.verdict is not Verdict.NOT_RUN
@@ -159,8 +158,9 @@
             default: Raised if no attempt was made.
 
         Raises:
-            Refusal: No backend server answered. It is the last refusal, with a verdict
-                over all attempts: an earlier one may have run, though the last did not.
+            Refusal: No backend server answered. The last refusal is raised, with a
+                verdict over all attempts: the call may have run in an earlier attempt
+                even if it did not run in the last.
         """
         if self._failure is not None:
             return self._failure
@@ -178,9 +178,9 @@
         backend: The local backend server.
         fleet: The other nodes.
         retry_budget: Limits retries.
-        graph: Which downstream calls a retry makes again.
-        zone_costs: Costs of a call's downstream calls, by zone.
-        answer_sizes: Average answer size of each route.
+        graph: Provides the downstream calls that a retry makes again.
+        zone_costs: Provides the cost of a call's downstream calls in each zone.
+        answer_sizes: Provides the average answer size of each route.
         journal: Logs retries.
         node_metrics: Counts retries.
     """
@@ -211,7 +211,8 @@
         """Send a call, retry it where that is allowed, and return its outcome.
 
         Raises:
-            Refusal: The last one, with a verdict that covers all attempts.
+            Refusal: No backend server answered. The last refusal is raised, with a
+                verdict over all attempts.
         """
         attempts = Attempts()
         while True:
@@ -234,7 +235,7 @@
     ) -> Candidate | None:
         """Return where to send the call next, or None if no node takes it.
 
-        Before its first attempt, a nested call waits for a node that takes it.
+        Before its first attempt, a nested call waits until a node takes it.
         """
         backoff = NESTED_INITIAL_BACKOFF_SECONDS
         remaining_wait = NESTED_MAX_WAIT_SECONDS
@@ -266,6 +267,10 @@
         return None
 
     def _may_attempt_again(self, call: OutgoingCall, attempts: "Attempts") -> bool:
+        """Return whether to try another node after a failed attempt.
+
+        Only attempts after one that reached a backend server count as retries.
+        """
         if not attempts.last_reached_backend:
             return len(attempts.tried) < MAX_NODES_TRIED
         if attempts.verdict is not Verdict.NOT_RUN and not call.route.idempotent:
@@ -286,6 +291,7 @@
         )
 
     def _may_retry(self, call: OutgoingCall, backends_reached: int) -> bool:
+        """Return whether a retry may be sent, and charge the retry budget if so."""
         if backends_reached >= call.route.max_attempts:
             return False
         if call.deadline - time.monotonic() < self._backend.queue.service_seconds / 4:
@@ -373,21 +379,21 @@
             Refusal: There is no answer; the verdict says whether the call may have run.
         """
         remaining = message.remaining_ms / 1000
-        # No timer here: the sender cancels the call at its deadline, and a timer for
-        # each call would cost half as much as the work on it.
+        # No timer here: the sender cancels the call at its deadline. A timer for each
+        # call would cost half as much as the other work on the call.
         return await self._backend.serve(message, remaining)
 
 
 def draw_retry_after(remaining: float, rng: random.Random) -> float:
     """Return the seconds after which a refused caller should retry.
 
-    Callers follow a Retry-After of up to a third of their remaining time, and are
-    served in time if they retry early in it. The time is random, so that callers
-    refused together do not retry together.
+    Callers follow a Retry-After of up to a third of the time that remains until their
+    deadline, and are served in time if they retry early in that time. The result is
+    random, so that callers refused together do not retry together.
 
     Args:
         remaining: Seconds left until the caller's deadline.
-        rng: Draws the time.
+        rng: Draws the result.
     """
     max_retry_after = remaining / 3
     return rng.uniform(0.25, 0.9) * max_retry_after
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -1,32 +1,35 @@
-"""Chooses the node for a call by expected cost, preferring its availability zone."""
+"""Chooses the node for a call by expected cost, preferring this availability zone."""
 
 import random
 from collections.abc import Callable
 
 # Cost added to a call to another availability zone: the round trip there, and a part of
-# the latency target. Bytes between zones are expensive, and callers do not notice a
-# small part of their target, even for several calls in sequence.
+# the latency tolerance (`Route.latency_tolerance`). Bytes between zones are expensive,
+# and callers do not notice a wait of a small part of the tolerance, even for several
+# calls in sequence.
 CROSS_ZONE_BASE_COST_MS = 2.0
 CROSS_ZONE_TOLERANCE_RATIO = 0.1
-# Cost added for each kilobyte of the call and its answer, so that a zone short of
-# backend servers sends its small calls elsewhere and keeps the large ones. It too is a
-# part of the target: a caller with a long target loses nothing by such a wait.
+# Further cost for each kilobyte of the call and its answer, as a part of the latency
+# tolerance. Because of it, a zone that is short of backend servers sends its small
+# calls elsewhere and keeps the large ones; callers with a high tolerance lose nothing
+# by the wait.
 CROSS_ZONE_TOLERANCE_RATIO_PER_KB = 0.05
-# A failed call costs as much as this many latency targets: its caller gets no answer,
-# or has to retry.
+# Cost of a failed call, in latency targets: its caller gets no answer or has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
-# In the penalty of downstream calls, a failed call costs as much as this many calls.
+# Cost of a failed downstream call, relative to the expected time of such a call.
 DOWNSTREAM_FAILURE_COST_RATIO = 6.0
-# Without jitter, nodes that see the same load would all choose the same backend server:
-# a node learns of the calls of others only from the load in the next answer.
+# Maximum random addition to the cost of a candidate. Without it, nodes that see the
+# same load would all choose the same backend server: a node learns of the calls of
+# others only from the load that the next answer reports.
 COST_JITTER_RATIO = 0.1
-# The cross-zone cost varies by this ratio from call to call. As a zone fills up, nodes
-# then send a growing part of its calls elsewhere, and not all of them at once.
+# Random variation of the cross-zone cost from call to call. With it, nodes of a zone
+# that fills up send a growing part of their calls elsewhere, instead of all at once.
 CROSS_ZONE_COST_JITTER_RATIO = 0.15
-# Ratio of calls sent to a random backend server with room. One that was slow or failing
-# gets no other calls, and its recovery would go unnoticed.
+# Fraction of calls sent to a random backend server with spare capacity, whatever its
+# cost. Without these calls, one that was slow or failing would get none, and its
+# recovery would go unnoticed.
 EXPLORATION_RATIO = 0.02
-# Utilization below which a backend server has room for such a call.
+# Utilization below which a backend server counts as one with spare capacity.
 EXPLORATION_MAX_UTILIZATION = 0.7
 
 
@@ -36,13 +39,13 @@
     Args:
         name: Name of the node.
         same_zone: Whether it is in this node's availability zone.
-        slots: Calls that its backend server works on at once.
+        slots: Calls that its backend server can run concurrently.
         in_flight: Calls that run or are queued there.
-        service_ms: Usual milliseconds of work on a call. It is 0 before the first
-            call, so that a new backend server is tried until its first answer.
-        failure_ratio: Share of failed calls.
-        downstream_ms: Milliseconds that downstream calls from there cost
-            (`zone_costs.py`).
+        service_ms: Average service time of a call in milliseconds; 0 before the first
+            answer, so that a new backend server gets calls.
+        failure_ratio: Fraction of recent calls that failed.
+        downstream_ms: Cost in milliseconds of the downstream calls that the call makes
+            if it runs there (`zone_costs.py`).
     """
 
     __slots__ = (
@@ -78,10 +81,10 @@
     """Return the cost of a cross-zone call in milliseconds.
 
     A backend server in another availability zone is chosen only if it is better by
-    more than this.
+    more than this cost.
 
     Args:
-        latency_target: Seconds after which the answer is late.
+        latency_tolerance: Latency in seconds that usually costs the caller nothing.
         size_bytes: Size of the call and its answer.
     """
     tolerance_ratio = (
@@ -148,14 +151,15 @@
     Args:
         same_zone_candidates: Candidates in this node's availability zone.
         list_cross_zone_candidates: Returns the candidates in other zones. It is called
-            only if one of them could be better.
+            only if a candidate there could be better.
         cross_zone_cost_ms: Result of `compute_cross_zone_cost_ms`.
-        min_cross_zone_downstream_ms: Lowest cost of the downstream calls in any zone.
+        min_downstream_ms: Lowest cost of the downstream calls over all zones, this one
+            included; a lower bound for candidates in other zones.
         failure_cost_ms: Result of `compute_failure_cost_ms`.
-        rng: Draws the jitter and the calls that explore.
+        rng: Draws the jitter and the calls sent to a random backend server.
     """
     if len(same_zone_candidates) > 1 and rng.random() < EXPLORATION_RATIO:
-        # Only in this zone: nodes of other zones learn the result from broadcasts.
+        # Only in this zone: nodes of other zones learn of a recovery from broadcasts.
         available = [
             candidate
             for candidate in same_zone_candidates
--- a/primroseglade/sidecar/route_table.py
+++ b/primroseglade/sidecar/route_table.py
@@ -12,6 +12,7 @@
 
     def __init__(self, routes: list[Route]):
         self._hosts: dict[bytes, list[tuple[bytes, Route]]] = {}
+        # State of the round-robin: for each route, the current weight of each service.
         self._current_weights: dict[str, dict[str, float]] = {}
         self.by_name = {route.name: route for route in routes}
         for route in routes:
@@ -47,8 +48,9 @@
     def choose_service(self, route: Route) -> str:
         """Return the service for a route's next call, in proportion to the weights.
 
-        With smooth weighted round-robin, each service gets its share of any few hundred
-        calls to within one call. A random choice would be off by 3 in 100.
+        This is smooth weighted round-robin: over any few hundred calls, the number that
+        a service gets differs from its share by at most one. With a random choice it
+        would differ by 3 in 100.
         """
         if len(route.services) == 1:
             return route.services[0].name
--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -1,9 +1,10 @@
 """Costs of a call's downstream calls, by the availability zone in which the call runs.
 
-If a zone has no backend server of a service, or too few, calls to it go cross-zone. If
-the call that causes them goes cross-zone instead, its downstream calls stay in the
-other zone, and only one call crosses. So the choice of a node for a call includes the
-costs of its downstream calls there. Computing them needs no network calls.
+If a zone has too few backend servers of a service, or none, calls to the service from
+that zone go cross-zone. If the call that makes them goes cross-zone instead, they stay
+in the other zone, and only one call crosses. The choice of a node for a call therefore
+includes the costs of the call's downstream calls from there. Computing these costs
+needs no network calls.
 """
 
 from collections.abc import Callable, Mapping
@@ -14,7 +15,8 @@
 # same states: without smoothing, all would move their calls to one zone and back again.
 NEW_COST_WEIGHT = 0.4
 
-# Milliseconds by zone: of the cheapest call to a service, or of all downstream calls.
+# Cost in milliseconds by zone: of the cheapest call to a service there, or of all
+# downstream calls of a call that runs there.
 ZoneCostsMs = dict[str, float]
 
 
@@ -22,7 +24,7 @@
     """Computes the costs of a call's downstream calls, cross-zone costs included.
 
     Args:
-        graph: Which calls a run of each route makes.
+        graph: Provides the calls that a call of each route makes.
         get_cross_zone_cost_ms: Returns the cross-zone cost of a call, in milliseconds,
             for a route's name.
     """
@@ -39,8 +41,9 @@
         """Update the costs of calls from the current state of backend servers.
 
         Args:
-            min_costs: Lowest cost of a call beyond its work, by service and zone. Zones
-                without a usable backend server are left out.
+            min_costs: Lowest cost of a call in milliseconds beyond its service time, by
+                service and then by zone. Zones without a usable backend server of the
+                service are left out.
         """
         self._min_costs = {
             service: self._smooth(service, costs_ms)
@@ -85,7 +88,7 @@
     def _compute_call_cost(
         self, route_service: RouteService, zone: str, path: tuple[RouteService, ...]
     ) -> float:
-        """Return the cost of a call made in a zone, its downstream calls included."""
+        """Return the cost in ms of a call from a zone, with its downstream calls."""
         downstream_ms_by_zone = self._sum_downstream_costs(route_service, path)
         total_ms_by_zone = {
             other_zone: cost_ms + downstream_ms_by_zone.get(other_zone, 0.0)
