--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -8,8 +8,8 @@
 import math
 import time
 
-# Calls are canceled up to this long after their deadline, which does not matter to
-# callers: they measure in tenths of a second.
+# Maximum delay from a call's deadline to its cancellation. Callers do not notice: they
+# measure in tenths of a second.
 CANCEL_DELAY_SECONDS = 0.05
 
 
@@ -17,8 +17,8 @@
     """The deadline of a task.
 
     Attributes:
-        at: Time on the loop's clock, in seconds.
-        task: The task that is canceled.
+        at: The deadline, in seconds on the loop's clock.
+        task: The task that is canceled when the deadline has passed.
         expired: Whether the task was canceled because the deadline passed.
     """
 
@@ -30,9 +30,10 @@
         self.expired = False
 
     def take_back_cancellation(self) -> bool:
-        """Return whether this deadline alone canceled the task.
+        """Take back the cancellation of the task, if this deadline caused one.
 
-        If the deadline passed, one cancellation of the task is taken back.
+        Returns:
+            Whether the task was canceled by this deadline alone.
         """
         return self.expired and self.task.uncancel() <= 0
 
@@ -47,10 +48,10 @@
         self._next_sweep_at = math.inf
 
     def start(self, at: float) -> Deadline:
-        """Cancel the current task at a time, unless `end` is called before.
+        """Track a deadline: cancel the current task at it unless `end` is called first.
 
         Args:
-            at: Seconds on the loop's clock.
+            at: The deadline, in seconds on the loop's clock.
         """
         task = asyncio.current_task(self._loop)
         assert task is not None
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -22,7 +22,7 @@
 
 # Shortest Retry-After of a refusal.
 MIN_RETRY_AFTER_SECONDS = 0.05
-# A new configuration reaches every connected node within this time; users allow two
+# A new configuration reaches every connected node within this time. Users accept two
 # seconds.
 CONFIGURATION_PROPAGATION_SECONDS = 1.5
 # Retry-After of a node that is stopping: its process is restarted after a second.
@@ -61,7 +61,10 @@
         """Return the fields of a request."""
 
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
-        """Return the head to forward, without the headers that the last node sets."""
+        """Return the head to forward.
+
+        The node beside the backend server adds the remaining headers.
+        """
 
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
         """Return the answer that reports a refusal to the caller."""
@@ -70,13 +73,15 @@
 class RequestHandler:
     """Handles requests at the address that callers and the backend server share.
 
+    A caller belongs to a workspace, which is represented by a `Tenant`.
+
     Args:
         service: Service of the backend server beside this node.
         dialect: Reads requests of callers and renders answers to them.
-        policies: The configuration in force.
-        quotas: Rate limits of workspaces.
+        policies: Provides the configuration in force.
+        quotas: Limits the request rates of workspaces.
         admission: Refuses requests that depend on overloaded services.
-        graph: Which services a request leads to.
+        graph: Provides the calls to each service that a request causes.
         call_ratios: Counts the calls that the backend server makes.
         retry_budget: Counts first attempts.
         dispatcher: Sends calls to backend servers.
@@ -189,8 +194,9 @@
         Raises:
             Refusal: A service that the request depends on is overloaded; not run.
         """
-        # Callers and the backend server use the same address, but only the routes
-        # that backend servers call are open to requests without a key.
+        # A public route needs no key, because backend servers call it and have none.
+        # Callers use the same address: a caller's request on such a route cannot be
+        # told from a backend server's and counts as nested too.
         nested = tenant is None and route.public
         now = time.monotonic()
         service = self._policies.routes.choose_service(route)
@@ -241,12 +247,14 @@
     def stop(self, refuse_after: float, stops_at: float) -> None:
         """Schedule the refusal of requests that might outlast this node.
 
+        Requests that arrive after `refuse_after` are refused if their deadline is after
+        `stops_at`, because a caller can retry a refused request, but not one that is
+        cut off. Only a few are refused: by then callers use other nodes, unless too few
+        of these are ready.
+
         Args:
-            deadline_check_after: Time on the loop's clock. Requests that arrive later
-                are refused if their deadline is after `stops_at`: it is better for a
-                caller to retry than to be cut off. By then callers use other nodes,
-                unless too few of those are ready.
-            stops_at: Time on the loop's clock at which this node stops.
+            refuse_after: Time on the loop's clock.
+            stops_at: Latest time on the loop's clock at which this node stops.
         """
         self._refuse_after = refuse_after
         self._stops_at = stops_at
@@ -268,6 +276,12 @@
         return route
 
     def _find_tenant(self, route: Route, fields: CallerFields) -> Tenant | None:
+        """Return the workspace of the request's key, or None if no key is needed.
+
+        Raises:
+            Refusal: The key is missing or unknown, or the configuration is too old to
+                tell; not run.
+        """
         policy = self._policies.policy
         assert policy is not None
         if policy.tenants is None or route.public:
@@ -288,7 +302,7 @@
             raise not_run(Reason.CONFIGURATION_STALE, detail, 0.5)
 
     async def _take_token(self, tenant: Tenant, deadline: float) -> None:
-        """Take a rate-limit token of a workspace.
+        """Take a rate-limit token of the workspace for one request.
 
         Raises:
             Refusal: The workspace is over its rate; not run.
@@ -311,6 +325,7 @@
         )
         future: asyncio.Future[TokenDecision] = self._loop.create_future()
 
+        # Returns whether the request still waits for the decision.
         def deliver_decision(decision: TokenDecision) -> bool:
             if future.done():
                 return False
@@ -325,6 +340,7 @@
     def _check_admission(
         self, route: Route, service: str, rank: int, remaining: float, now: float
     ) -> None:
+        """Record the demand of a request, and raise a refusal if it is not admitted."""
         expected_calls = self._graph.get_expected_calls(route.name, service)
         self._admission.record_demand(expected_calls, rank, now)
         if not self._admission.admits(expected_calls, rank):
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -3,10 +3,11 @@
 import collections
 from collections.abc import Mapping
 
-# Fraction of the configured retry ratio that nodes use. The number of calls that a
-# retried run makes is an estimate, and lags behind a call graph that changes.
+# Fraction of the configured retry ratio that nodes use. The rest is a margin: how many
+# downstream calls a retry makes is an estimate, which lags behind changes of the call
+# graph.
 RETRY_RATIO_USED_FRACTION = 0.7
-# Fraction of the configured fixed number of retries that all nodes use together.
+# Fraction of the configured fixed number of retries that all nodes together use.
 FIXED_RETRIES_USED_FRACTION = 0.6
 
 
@@ -14,12 +15,12 @@
     """Limits the retries to each service in a sliding window.
 
     Each node has a budget of its own: the ratio times its first attempts, plus its
-    share of the fixed number. The sum therefore stays within the limit without
-    coordination, even between nodes that cannot reach each other.
+    share of the fixed number. The retries of all nodes therefore stay within the limit
+    without coordination, even if some nodes cannot reach each other.
 
     Args:
         ratio: Allowed retries per first attempt.
-        fixed: Further retries per window, shared by all nodes.
+        fixed: Number of further retries per window, shared by all nodes.
         window: Length of the window in seconds.
     """
 
@@ -39,12 +40,13 @@
     ) -> bool:
         """Return whether a retry may be sent, and count it if so.
 
-        A retried run makes its downstream calls again, and these count as retries too:
-        one retry of a request that makes four calls to a service brings that service
-        four retries. The budget of every service called must therefore suffice.
+        A retry makes its downstream calls again, and these count as retries too: if a
+        request makes four calls to a service, one retry of the request brings that
+        service four retries. The budget of every service called must therefore suffice.
 
         Args:
-            visits: Expected calls of the retry to each service, its own included.
+            expected_calls: Calls to each service that the retry is expected to cause,
+                the retry itself included.
             nodes: Number of nodes that share the fixed number.
             now: Seconds on the loop's clock.
         """
@@ -96,7 +98,7 @@
         self._total += amount
 
     def total(self, now: float) -> float:
-        """Return the number of events in the window, which is up to a bucket longer.
+        """Return the number of events in the window and up to one bucket before it.
 
         >>> count = SlidingCount(10.0)
         >>> count.add(0.0); count.add(6.0)
