--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -1,8 +1,9 @@
 """Computes how many calls to each service a request causes.
 
-Every node broadcasts how many calls its backend server makes per run of each route
-(`call_ratios.py`). Together these give the whole call tree of a route. As each route
-has its own, an upload that makes no calls is not refused because look-ups at the same
+A run is one execution of a call by a backend server. Every node broadcasts how many
+calls its backend server makes per run of each route (`call_ratios.py`). Together these
+call ratios give the whole call tree of each route. With one tree for all routes of a
+service, an upload that makes no calls would be refused because look-ups at the same
 service call an overloaded one.
 """
 
@@ -11,11 +12,11 @@
 from .call_ratios import CallRatios, MIN_CALL_RATIO
 from .model import Route
 
-# Maximum depth of the call tree, deeper than any known graph; it ends the traversal
-# where services call each other.
+# Maximum depth of a call tree. No known call graph is this deep, but services that call
+# each other in a cycle would make the tree infinite.
 MAX_DEPTH = 20
 
-# A route's name, and the service that serves it.
+# Name of a route, and a service that serves calls of the route.
 RouteService = tuple[str, str]
 
 
@@ -35,9 +36,11 @@
         """Replace the call ratios and routes.
 
         Args:
-            reported_ratios: For each node, its service and the calls per run, by the
-                run's route; the average over all runs is under ``""``.
-            routes: Routes in force by name; they give the services that serve calls.
+            reported_ratios: For each node, its service and, by route of the run, the
+                average number of calls to each other route. The key ``""`` holds the
+                average over all runs.
+            routes: Routes in force by name, used to split calls of a route among its
+                services.
         """
         sums: dict[RouteService, CallRatios] = {}
         node_counts: dict[RouteService, int] = {}
@@ -59,12 +62,12 @@
         self._expected_calls = {}
 
     def get_expected_calls(self, route: str, service: str) -> dict[str, float]:
-        """Return the expected calls to each service per request of a route.
+        """Return the calls that a request is expected to cause, by called service.
 
         The request itself counts as one call to the service that serves it.
 
         Args:
-            route: Name of the route.
+            route: Name of the request's route; empty for the average over all routes.
             service: Service that serves the request.
         """
         route_service = (route, service)
@@ -78,10 +81,13 @@
     def list_downstream_calls(
         self, route_service: RouteService
     ) -> list[tuple[RouteService, float]]:
-        """Return the direct calls of one run, each with its expected number."""
+        """Return the direct calls of one run, each with its expected number.
+
+        Calls of a service to itself are left out.
+        """
         ratios = self._call_ratios.get(route_service)
         if ratios is None:
-            # A route without ratios of its own gets the average of its service.
+            # A route without call ratios of its own gets the average of its service.
             ratios = self._call_ratios.get(("", route_service[1]), {})
         return [
             ((route, service), ratio * share)
@@ -91,11 +97,11 @@
         ]
 
     def _sum_expected_calls(self, root: RouteService) -> dict[str, float]:
-        """Return the calls to each service, summed level by level.
+        """Return the expected calls to each service, summed depth by depth.
 
-        Traversing each path instead took most of a node's processor time after routes
-        had moved to other services: for a while each service then calls most others,
-        and the number of paths through such a graph is huge.
+        While routes move to other services, each service seems to call most others, and
+        the number of paths through such a graph is huge. Traversing each path would
+        then take most of a node's processor time.
         """
         expected_calls = {root[1]: 1.0}
         calls_at_depth = {root: 1.0}
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -1,11 +1,12 @@
-"""Estimates how many calls the local backend server makes for a request of each route.
-
-Its calls do not name the request that causes them, and requests of several routes run
-at once: for example, uploads that make no calls beside look-ups that make four. But the
-number of runs (executions of a request) of each route varies from moment to moment, and
-calls vary with the runs that make them. So a regression of calls on runs over many
-short intervals separates the routes (non-negative ridge regression with exponential
-forgetting). Without enough data, each route gets the average over all routes.
+"""Estimates how many calls the local backend server makes per run of each route.
+
+A run is one execution of a call by the backend server. The calls that the backend
+server makes do not name the run that makes them, and runs of several routes overlap:
+for example, uploads that make no calls and look-ups that make four. But the number of
+runs of each route varies from moment to moment, and the number of calls varies with it.
+A regression of calls on runs over many short intervals therefore separates the routes
+(non-negative ridge regression with exponential forgetting). Without enough data, each
+route gets the average over all routes.
 """
 
 import math
@@ -13,27 +14,30 @@
 
 # Long compared to a run, so that a run and its calls mostly fall into one interval.
 INTERVAL_SECONDS = 0.5
-# Age at which an interval has half its weight. At about ten requests per second of each
-# route, this is enough to separate them, and short enough for estimates to follow a
-# configuration that moves routes.
+# Age at which an interval has half its weight. At about ten runs per second of each
+# route, this is long enough to separate the routes, and short enough for estimates to
+# follow a configuration that moves routes.
 HALF_LIFE_SECONDS = 8.0
 INTERVAL_DECAY_RATIO = math.exp(-math.log(2) * INTERVAL_SECONDS / HALF_LIFE_SECONDS)
-# Routes that are estimated separately, those with the most runs. The rest get the
-# average.
+# Maximum number of routes that are estimated separately: those with the most runs. The
+# others get the average.
 MAX_FITTED_ROUTES = 10
-# A route with fewer runs is not estimated separately.
+# Minimum number of runs of a route that is estimated separately, and of all routes
+# together for any estimate.
 MIN_RUNS = 5.0
-# Lower ratios of calls per run are dropped, as stray calls of a route that was moved.
+# Lower ratios of calls per run are dropped: they come from stray calls of a route that
+# was moved.
 MIN_CALL_RATIO = 0.02
-# Share of the calls of an interval that belong to runs of the previous or next one.
+# Fraction of the calls of an interval that stray, which means that they belong to runs
+# counted in the previous or next interval.
 STRAY_CALL_RATIO = 0.4
 
-# Calls per run, by the route of the calls.
+# Calls per run, by the route that is called.
 CallRatios = dict[str, float]
 
 
 class _Interval:
-    """Runs and calls counted in one interval, by route."""
+    """Counts of runs by route and of calls by called route, in one interval."""
 
     __slots__ = ("calls", "runs", "started")
 
@@ -51,8 +55,9 @@
         self._total_weight = 0.0
         self._runs: dict[str, float] = {}
         self._calls: dict[str, float] = {}
-        # For each pair of routes, decayed sums over all intervals of runs times runs
-        # and of runs times calls.
+        # For each pair of routes, sums over all intervals of the runs of one times the
+        # runs of the other, and of the runs of one times the calls to the other. All
+        # sums of this class decay with the age of an interval.
         self._runs_runs: dict[tuple[str, str], float] = {}
         self._runs_calls: dict[tuple[str, str], float] = {}
         self._estimates: dict[str, CallRatios] = {}
@@ -73,7 +78,9 @@
         calls[route] = calls.get(route, 0.0) + 1.0
 
     def get_ratios(self, now: float) -> dict[str, CallRatios]:
-        """Return calls per run, by the run's route; the average is under ``""``.
+        """Return calls per run, by the run's route and then by the called route.
+
+        The key ``""`` holds the average over all runs.
 
         Args:
             now: Seconds on the loop's clock.
@@ -130,10 +137,10 @@
     def _fit(
         self, routes: list[str], called: str, average: float, runs: float
     ) -> list[float]:
-        """Return the calls per run of each route, none below zero."""
+        """Return the calls to one route per run of each route, none below zero."""
         # The ridge term pulls the ratios towards their average. It is the variance of
         # an interval's stray calls (all calls of a run stray together) divided by the
-        # variance of the ratios, which differ by about their average.
+        # variance of the ratios, whose standard deviation is about their average.
         stray_variance = (
             STRAY_CALL_RATIO * average * runs / self._total_weight * max(1.0, average)
         )
