--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -14,7 +14,7 @@
 from .rates import OneHolder
 
 URGENT, NORMAL, LEAST_URGENT = 10, 11, 12
-# Steps by which the reported load lags: states are broadcast every half second.
+# Ticks by which the reported load lags: states are broadcast every half second.
 REPORT_LAG_STEPS = 2
 
 
@@ -26,7 +26,9 @@
 
 
 class FakeService:
-    """A service with a fixed number of calls per step; it queues or drops the rest."""
+    """A service that runs a fixed number of calls per tick, and queues or drops the
+    rest.
+    """
 
     def __init__(self, capacity: float, slots: float):
         self.capacity = capacity
@@ -35,7 +37,7 @@
         self.reported = [0.0] * REPORT_LAG_STEPS
 
     def step(self, calls: float) -> ServiceLoad:
-        """Run the calls of a step and return the lagging load that is reported."""
+        """Run the calls of a tick and return the reported load, which lags behind."""
         running_fraction = min(1.0, (calls + self.queued) / self.capacity)
         self.queued = max(0.0, self.queued + calls - self.capacity)
         self.queued = min(self.queued, 3 * self.slots)
@@ -70,7 +72,7 @@
 
 
 def test_everything_is_admitted_below_capacity():
-    """Demand of 0.8 of the capacity is admitted whole."""
+    """A demand of 0.8 times the capacity is admitted whole."""
     admitted_fractions = simulate_overload(
         {URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}, 400.0, 80
     )
@@ -88,10 +90,11 @@
 
 
 def test_capacity_is_used_during_an_overload():
-    """Requests were refused for ten seconds after a burst although the service was
-    half idle: levels moved rank by rank, most of them empty, fell far below the demand
-    that it could serve, and rose as slowly. As the load lags, levels may fall too far
-    for a while; on average at least three quarters of the capacity must be used.
+    """Guards against refusals after a burst while the service is half idle. Levels that
+    move rank by rank, through mostly empty ranks, fall far below the demand that the
+    service can serve and rise as slowly, for ten seconds. As the reported load lags,
+    levels may fall too far for a while; on average at least three quarters of the
+    capacity must be used.
     """
     demand = {0: 1, 1: 1, 2: 1, URGENT: 20, NORMAL: 20, LEAST_URGENT: 40}
     admitted_fractions = simulate_overload(demand, 200.0, 160)
@@ -102,8 +105,8 @@
 
 
 def test_refunded_token_is_available_again():
-    """Workspaces were refused at half of their rate: each call that an overloaded
-    service had refused still cost them a token.
+    """Guards against refusing workspaces at half of their rate, because calls that an
+    overloaded service refused still cost them a token.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 10.0, 10.0)
@@ -114,16 +117,16 @@
 
 
 def test_rate_holds_across_nodes_that_share_it():
-    """Three nodes that together receive five times the rate admit just the rate."""
+    """Three nodes that together receive five times the rate admit only the rate."""
     simulation = play_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
     assert simulation.find_worst_window() <= count_allowed(100.0, 100.0)
     assert len(simulation.admitted) >= 100.0 * 10 * 0.95
 
 
 def test_admission_level_recovers_soon_after_an_overload():
-    """After a slow service became fast again, half of all callers were refused for
-    eight more seconds while two thirds of its slots were idle: the level rose by a
-    fixed step, however low the utilization.
+    """Guards against refusals after a slow service has become fast again. If the level
+    rose by a fixed step however low the utilization, half of all callers would be
+    refused for eight more seconds, while two thirds of the slots are idle.
     """
     admission = Admission(random.Random(1))
     expected_calls = {"front": 1.0, "deep": 4.0}
@@ -150,8 +153,8 @@
 
 
 class DelayedService:
-    """A service deep in the graph: admitted calls arrive 0.3 s later, and the reported
-    load is half a second old.
+    """A service deep in the call graph: calls arrive 0.3 s after they are admitted, and
+    the reported load is half a second old.
 
     Args:
         capacity: Calls per second.
@@ -183,15 +186,16 @@
 
     @property
     def load(self) -> ServiceLoad:
-        """The load that other nodes know now."""
+        """The load that was reported to other nodes last."""
         slot_ms = 1000 * self.slots / self.capacity
         return build_load(self.reported[-self.LOAD_LAG_STEPS], self.slots, slot_ms)
 
 
 def test_admission_level_does_not_oscillate_when_reports_lag():
-    """In a burst of 1.6 times the capacity of the deepest service, it alternated
-    between idle and flooded every second: the levels followed its queue, which was
-    reported only after it had gone. A third of its throughput was lost.
+    """Guards against levels that follow the queue of the deepest service. In a burst of
+    1.6 times its capacity, the queue is reported only after it has drained: the service
+    would alternate between idle and flooded every second and lose a third of its
+    throughput.
     """
     admission = Admission(random.Random(1))
     delayed_service = DelayedService(4900.0, 92.0)
@@ -220,9 +224,9 @@
 
 
 def test_one_slow_backend_server_of_three_does_not_overload_the_service():
-    """One of three backend servers became twelve times slower and built up a queue.
-    Callers of the service were refused for seconds, although the two others had the
-    capacity for all calls.
+    """Guards against refusals because of the queue of a single backend server. One of
+    three is twelve times slower than the others and has a queue, but the two others
+    have the capacity for all calls.
     """
     load = ServiceLoad()
     load.add(180.0, 46.0, 360.0)
--- a/tests/test_backend_queue.py
+++ b/tests/test_backend_queue.py
@@ -20,9 +20,9 @@
 
 
 async def test_queued_call_is_refused_as_not_run_before_its_deadline():
-    """Queued calls that got no slot in time were answered 504, which does not say
-    whether they ran, so that callers could not retry: the caller's node timed out just
-    before the queue refused them. The queue must refuse them earlier, as not run.
+    """Guards against a timeout at the caller's node just before the queue refuses a
+    call. The caller would get a 504, which does not say whether the call ran, and could
+    not retry. The queue must refuse the call earlier, as not run.
     """
     queue = BackendQueue(4)
     await take_all_slots(queue)
@@ -36,7 +36,7 @@
 
 
 async def test_call_with_a_short_latency_target_goes_first():
-    """A call overtakes queued calls with three times its latency target."""
+    """A call overtakes queued calls whose latency target is three times as long."""
     queue = BackendQueue(2)
     slots = await take_all_slots(queue)
     order: list[str] = []
@@ -58,7 +58,7 @@
 
 
 async def test_canceled_callers_keep_no_slot():
-    """A canceled caller keeps no slot, whether queued or just granted one."""
+    """A canceled call keeps no slot, whether it is queued or has just got a slot."""
     queue = BackendQueue(4)
     slots = await take_all_slots(queue)
     tasks = [
@@ -75,9 +75,10 @@
 
 
 async def test_unanswered_calls_raise_the_service_time():
-    """Two of five backend servers became twelve times slower. All calls to them timed
-    out, and only the service times of answered calls were recorded: they looked as fast
-    as before and got their full share of calls for nine seconds.
+    """Guards against recording only the service times of answered calls. A backend
+    server that becomes so slow that all calls to it time out would look as fast as
+    before and get its full share of calls: with two of five twelve times slower, for
+    nine seconds.
     """
     queue = BackendQueue(20)
     slot = await queue.acquire(0.5, 5.0, nested=False)
@@ -94,9 +95,9 @@
 
 
 async def test_slots_of_lost_answers_are_reclaimed():
-    """Three of ten answers of a backend server got lost, and each of these calls held a
-    slot until its deadline, a hundred times the service time. Callers were refused
-    while the backend server was idle.
+    """Guards against refusals while a backend server is idle. If three of ten answers
+    get lost and each of these calls holds its slot until its deadline, a hundred times
+    the service time, no slot is free for others.
     """
     queue = BackendQueue(4)
     slots = await take_all_slots(queue)
@@ -114,7 +115,7 @@
 
 async def test_lost_answers_raise_the_service_time_but_not_the_slot_time():
     """Capacity is estimated from the slot time. Load balancing uses the service time,
-    which includes the wait for answers that were lost.
+    which includes the wait for lost answers.
     """
     queue = BackendQueue(20)
     for number in range(200):
@@ -128,11 +129,12 @@
 
 
 async def test_nested_calls_are_refused_when_the_queue_exceeds_their_latency_target():
-    """After a restart of all services, one had twenty calls queued per slot, and for
-    six seconds hardly any request succeeded. A request made four calls to it in
-    sequence; each waited for nearly all of its 0.7 s, so that the request exceeded its
-    deadline of two seconds at the fourth. A call whose expected wait is too long for
-    its latency target must be refused on arrival.
+    """Guards against long waits that let the requests above fail. If a service has
+    twenty calls queued per slot, as after a restart of all services, and a request
+    makes four calls to it in sequence, each waits for nearly all of its 0.7 s, and the
+    request exceeds its deadline of two seconds at the fourth. For six seconds hardly
+    any request would succeed. A call whose expected wait is too long for its latency
+    target must be refused on arrival.
     """
     queue = BackendQueue(16)
     slot = await queue.acquire(0.3, 0.7, nested=True)
@@ -144,7 +146,7 @@
     ]
     await asyncio.sleep(0)
     refused = [call for call in calls if call.done()]
-    # A queue of 0.3 s is accepted, the call's own service time included.
+    # Calls are accepted up to a response time of 0.3 s, their service time included.
     assert 65 <= len(refused) <= 75
     for call in refused:
         error = call.exception()
--- a/tests/test_call_graph.py
+++ b/tests/test_call_graph.py
@@ -31,9 +31,10 @@
 
 
 def test_dense_graph_is_summed_quickly():
-    """Answers took seconds although no service was busy: after a configuration had
-    moved routes, each service called most others for some seconds. Nodes traversed
-    every path through that graph four times a second, and did little else.
+    """Guards against traversing every path of the call graph. For some seconds after a
+    configuration has moved routes, each service seems to call most others. A node that
+    traverses all paths of such a graph four times a second does little else, and
+    answers take seconds although no service is busy.
     """
     names = [f"service-{number}" for number in range(9)]
     graph = CallGraph()
@@ -79,8 +80,8 @@
 
 
 def test_routes_of_one_service_have_separate_call_trees():
-    """An upload was refused because look-ups at the same service called an overloaded
-    one. Each route must have a call tree of its own.
+    """Guards against refusing an upload because look-ups at the same service call an
+    overloaded one. Each route must have a call tree of its own.
     """
     graph = CallGraph()
     reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}, "upload": {}}
@@ -90,7 +91,7 @@
 
 
 def test_new_route_gets_the_average_of_its_service():
-    """Before its first run, the average of its service is the best estimate."""
+    """Before the first run of a route, the average of its service is used."""
     graph = CallGraph()
     reported_ratios = {"": {"lookup": 3.2}, "index": {"lookup": 4.0}}
     graph.rebuild([("images", reported_ratios)], build_routes(lookup="deep"))
--- a/tests/test_call_ratios.py
+++ b/tests/test_call_ratios.py
@@ -18,7 +18,8 @@
 
     Args:
         rates: Runs per second, by route.
-        calls: Route and number of the calls that a run makes, by the run's route.
+        calls: For each route, the called route and the number of calls that a run
+            makes to it.
         duration: Seconds in which runs start.
         seed: Seed of the random starts and lengths of runs.
         mean_run_seconds: Mean length of a run.
@@ -49,9 +50,9 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_calls_are_attributed_to_the_route_that_makes_them(seed: int):
-    """Guards against refusing uploads that use no overloaded service. Look-ups at the
-    same service called one that was overloaded, and the calls per run were estimated as
-    the average over both routes. One node, 15 seconds.
+    """Guards against refusing uploads because look-ups at the same service call an
+    overloaded one, as happens if the calls per run are estimated as the average over
+    both routes. One node, 15 seconds.
     """
     rates = {"upload": 15.0, "index": 120.0}
     estimator = simulate_runs(rates, {"index": ("lookup", 4)}, 15.0, seed)
@@ -77,13 +78,13 @@
 
 
 def test_early_estimate_is_the_average():
-    """Two seconds after its start, a node has too little data on single routes."""
+    """Two seconds after its start, a node has too little data to separate routes."""
     rates = {"upload": 3.0, "index": 40.0}
     ratios = simulate_runs(rates, {"index": ("lookup", 4)}, 2.0, 1).get_ratios(2.0)
     assert ratios["upload"].get("lookup", 0.0) > 1.0
 
 
 def test_routes_never_called_are_left_out():
-    """A backend server that makes no calls has no downstream routes."""
+    """The ratios of a backend server that makes no calls are empty."""
     ratios = simulate_runs({"lookup": 100.0}, {}, 5.0, 1).get_ratios(5.0)
     assert ratios == {"": {}, "lookup": {}}
--- a/tests/test_deadlines.py
+++ b/tests/test_deadlines.py
@@ -1,4 +1,4 @@
-"""Calls that exceed their deadline, and calls that are canceled by others."""
+"""Calls that exceed their deadline, and calls that their callers cancel."""
 
 import asyncio
 
@@ -38,8 +38,8 @@
 
 
 async def test_cancellation_by_the_caller_is_not_a_timeout(deadlines: Deadlines):
-    """A caller canceled just as its deadline passed. Its task must end as canceled, or
-    it would write an answer to a closed connection.
+    """If the caller cancels a call just as its deadline passes, the task must end as
+    canceled. Otherwise it would write an answer to a closed connection.
     """
     task = asyncio.create_task(run_with_deadline(deadlines, 0.01, 5.0))
     await asyncio.sleep(0)
@@ -49,7 +49,9 @@
 
 
 async def test_ended_call_is_not_canceled(deadlines: Deadlines):
-    """By the time of the deadline the task serves the next request."""
+    """The task is not canceled at the deadline of a call that has ended, because it
+    then serves the next request.
+    """
     assert await run_with_deadline(deadlines, 0.03, 0.0) == "done"
     await asyncio.sleep(0.1)
     assert not asyncio.current_task().cancelling()
@@ -58,7 +60,7 @@
 async def test_deadline_and_caller_cancellation_together_end_as_canceled(
     deadlines: Deadlines,
 ):
-    """The deadline passed and, before the task ran again, its caller canceled too."""
+    """The deadline passes and, before the task runs again, the caller cancels too."""
     task = asyncio.create_task(run_with_deadline(deadlines, 5.0, 5.0))
     await asyncio.sleep(0)
     (deadline,) = deadlines._active
@@ -72,9 +74,9 @@
 async def test_calls_that_end_in_time_cause_no_sweep(
     deadlines: Deadlines, monkeypatch: pytest.MonkeyPatch
 ):
-    """Idle nodes that checked their calls' deadlines twenty times a second spent more
-    processor time on that than on the calls. A later call with an earlier deadline must
-    still end in time.
+    """Guards against checking deadlines at a fixed interval. At twenty times a second,
+    a nearly idle node would spend more processor time on the checks than on its calls.
+    A later call with an earlier deadline must still end in time.
     """
     sweeps = 0
     sweep = Deadlines._sweep
@@ -95,8 +97,8 @@
 async def test_later_calls_do_not_postpone_an_earlier_deadline(
     deadlines: Deadlines,
 ):
-    """A call hung for as long as other calls arrived: each of them had a slightly later
-    deadline and rescheduled the only timer.
+    """Guards against rescheduling the only timer for each new call. As its deadline is
+    slightly later, an earlier call would hang for as long as others arrive.
     """
     first_call = asyncio.create_task(run_with_deadline(deadlines, 0.2, 5.0))
     later_calls = []
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -43,9 +43,10 @@
 
 
 def test_light_load_stays_in_zone_although_another_is_faster():
-    """Guards against cross-zone calls that gain nothing for callers. Half of all
-    look-ups crossed under light load, as a backend server there was twice as fast. That
-    saved 10 ms of a 300 ms target, but cross-zone bytes were the largest cost.
+    """Guards against cross-zone calls that gain nothing for callers. Under light load,
+    a backend server in another zone that is twice as fast saves 10 ms of a 300 ms
+    target. Half of all look-ups would go cross-zone for that, and cross-zone bytes are
+    the largest cost.
     """
     assert measure_cross_zone_share(10.0, same_zone_ms=21.0, cross_zone_ms=9.4) < 0.05
 
@@ -58,11 +59,11 @@
 
 
 def test_slow_zone_keeps_large_answers_and_sends_small_ones_cross_zone():
-    """Guards against a cross-zone cost that ignores the size of calls. One zone's
-    backend servers had little more than half the speed of others and no free slots.
-    Payments with answers of 6 kB went cross-zone as readily as look-ups of 200 bytes,
-    at 30 times the bytes for each millisecond saved. Three in five payments crossed,
-    most of them from zones with free slots.
+    """Guards against a cross-zone cost that ignores the size of calls. If the backend
+    servers of one zone have little more than half the speed of others and no free
+    slots, payments with answers of 6 kB would go cross-zone as readily as look-ups of
+    200 bytes, at 30 times the bytes for each millisecond saved. Three in five payments
+    would go cross-zone, most of them from zones with free slots.
     """
     in_flight = 0.3 * SLOTS
     assert (
@@ -87,11 +88,11 @@
 
 
 def test_calls_that_meet_their_target_stay_in_zone():
-    """Guards against large cross-zone calls that would be in time anyway. One zone's
-    only backend server of bookings was slower than the others. Bookings of 9 kB in both
-    directions crossed to save a tenth of a second, which callers with a target of over
-    a second did not notice; they made up a quarter of the cross-zone bytes. Bookings
-    that would be late in their own zone still go elsewhere.
+    """Guards against large cross-zone calls that would be in time anyway. If one zone's
+    only backend server of bookings is slower than the others, bookings of 9 kB in both
+    directions could save a tenth of a second in another zone, which callers with a
+    target of over a second do not notice. They would make up a quarter of the
+    cross-zone bytes. Bookings that would be late in their own zone still go elsewhere.
     """
     in_flight = 0.8 * SLOTS
     on_time_share = measure_cross_zone_share(
@@ -113,7 +114,9 @@
 
 
 def test_latency_tolerance_is_at_most_half_of_timeout():
-    """A booking with a target of 1.5 s and a timeout of 0.8 s has 0.4 s."""
+    """A booking with a target of 1.5 s and a timeout of 0.8 s has a latency tolerance
+    of 0.4 s.
+    """
     services = [WeightedService("bookings", 1.0)]
     route = Route("book", "h", "/", RouteKind.UNSAFE, services, 0.8, 1.5, 0, 1, False)
     assert route.latency_tolerance == 0.4
@@ -127,8 +130,8 @@
 
 def test_exploration_stays_in_zone():
     """Guards against cross-zone calls made only to explore. One call in 50 goes to any
-    backend server with room. With one of three backend servers in the same zone, most
-    of these calls crossed, even under the lightest load.
+    backend server with spare capacity. If only one of three backend servers is in the
+    same zone, most of these calls would go cross-zone, even under the lightest load.
     """
     rng = random.Random(2)
     chosen = []
@@ -154,9 +157,9 @@
 
 
 def test_calls_leave_zone_with_failing_backend_server():
-    """Guards against saving cross-zone bytes at the cost of failures. The only backend
-    server of a zone lost a third of its answers. Look-ups stayed there, though each
-    failure also failed the page request that had made the look-up.
+    """Guards against saving cross-zone bytes at the cost of failures. If the only
+    backend server of a zone loses a third of its answers, look-ups must go elsewhere,
+    because each failure also fails the page request that makes the look-up.
     """
     rng = random.Random(3)
     same_zone = Candidate("near", True, SLOTS, 5.0, 22.0, 0.3)
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -51,7 +51,7 @@
 
 async def test_duplicate_answer_is_not_used_for_next_request(mesh: Mesh):
     """Guards against answering a caller with another request's answer. A faulty backend
-    server answered one request twice, the second time after the next request had been
+    server answers one request twice, the second time after the next request has been
     sent on the same connection.
     """
     deep = mesh.places[1]
@@ -79,8 +79,9 @@
 
 async def test_truncated_answer_is_not_forwarded(mesh: Mesh):
     """Guards against forwarding a truncated answer as if it were complete. A backend
-    server closed the connection in the middle of its answer. An idempotent request is
-    then retried on another one; any other gets a failure that may have run.
+    server closes the connection in the middle of its answer. An idempotent request is
+    then retried at another backend server; for any other, the caller gets an error that
+    says that the request may have run.
     """
     breaking = mesh.places[1].backend
     healthy = mesh.places[2].backend
@@ -141,7 +142,8 @@
 
 async def test_caller_disconnect_cancels_backend_work(mesh: Mesh):
     """Guards against backend servers working for callers that have disconnected: the
-    node beside them was not notified that the connection to the other node was closed.
+    node beside the backend server must be notified when a caller closes its connection
+    to another node.
     """
     for place in mesh.places[1:]:
         place.backend.work = 5.0
@@ -155,7 +157,7 @@
 
 
 async def test_route_timeout_ends_request(mesh: Mesh):
-    """A route's timeout ends a request whose caller would wait longer."""
+    """A route's timeout ends a request even if its caller would wait longer."""
     paths = [build_path("short", "deep", timeout="300ms"), *PATHS]
     mesh.store.publish(build_configuration(2, *paths))
     await asyncio.sleep(0.3)
@@ -183,8 +185,8 @@
 
 async def test_failure_is_forwarded_if_no_other_server_takes_the_call(mesh: Mesh):
     """Guards against reporting a request as not run although it ran. One backend server
-    had answered with a failure, the other was draining and refused the retry, and the
-    refusal covered the retry only.
+    answers with a failure; the other is draining and refuses the retry. That refusal
+    covers only the retry and must not be forwarded.
     """
     failing, draining = mesh.places[1:]
 
@@ -260,10 +262,10 @@
 
 
 async def test_requests_over_rate_do_not_count_as_demand(mesh: Mesh):
-    """Guards against counting requests over the rate as demand. One workspace sent
-    seven times its rate. Its refused requests counted as demand for the downstream
-    services and lowered their admission levels. All other workspaces were refused,
-    while those services were half idle.
+    """Guards against counting requests over the rate as demand. If one workspace sends
+    seven times its rate and its refused requests count as demand for the downstream
+    services, these get lower admission levels: all other workspaces are refused while
+    the services are half idle.
     """
     tenant = {
         "name": "north",
--- a/tests/test_retry_budget.py
+++ b/tests/test_retry_budget.py
@@ -4,8 +4,9 @@
 
 
 def test_downstream_calls_of_a_retry_count_as_retries():
-    """A service deep in the graph got more retries than the operator allows, although
-    no call to it was retried: each retried request made its four calls to it again.
+    """Guards against more retries at a service deep in the call graph than the operator
+    allows. If a request makes four calls to the service, each retry of the request
+    makes them again, although none of these calls is itself retried.
     """
     budget = RetryBudget(ratio=0.2, fixed=50, window=10.0)
     for number in range(100):
@@ -19,7 +20,7 @@
 
 
 def test_retries_of_all_nodes_stay_within_the_budget():
-    """Each node stays within its share, so that the fleet stays within the limit."""
+    """The retries of ten nodes together stay within the limit of the fleet."""
     nodes = [RetryBudget(ratio=0.2, fixed=50, window=10.0) for _ in range(10)]
     for node in nodes:
         for _ in range(30):
--- a/tests/test_zone_costs.py
+++ b/tests/test_zone_costs.py
@@ -1,4 +1,4 @@
-"""Where the calls of a call graph go to another availability zone."""
+"""Which calls of a call graph go to another availability zone."""
 
 from primroseglade.sidecar.call_graph import CallGraph
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
@@ -51,10 +51,10 @@
 
 
 def test_one_call_goes_cross_zone_instead_of_its_four_downstream_calls():
-    """Guards against sending four downstream calls cross-zone instead of their caller.
-    A zone had lost its only backend server of the timetable. Each status call there
-    sent four look-ups to another zone, 1000 per second in all, where one status call
-    could have gone there instead.
+    """Guards against sending four downstream calls cross-zone instead of the call that
+    makes them. If a zone loses its only backend server of the timetable, each status
+    call there would send four look-ups to another zone, 1000 per second in all, while
+    the one status call can go there instead.
     """
     equal_costs = {"a": 20.0, "b": 20.0, "c": 20.0}
     min_costs = {
@@ -74,8 +74,8 @@
 
 
 def test_queue_at_downstream_service_moves_its_caller():
-    """The timetable of the zone has a queue, which is too short for a single look-up to
-    go cross-zone, but four look-ups make the status call do so.
+    """If the timetable of a zone has a queue that is too short for a single look-up to
+    go cross-zone, the waits of four look-ups still send the status call cross-zone.
     """
     equal_costs = {"a": 0.0, "b": 0.0}
     min_costs = {
@@ -88,7 +88,7 @@
 
 
 def test_calls_stay_in_zone_if_costs_are_similar():
-    """A cost lower by a tenth in another zone is no reason to go there."""
+    """Calls do not go to another zone where costs are only a tenth lower."""
     min_costs = {
         service: {"a": 22.0, "b": 20.0}
         for service in ("pages", "seats", "desk", "timetable")
@@ -119,9 +119,9 @@
 
 
 def test_cost_changes_are_smoothed():
-    """Guards against nodes moving back and forth together. All nodes of a zone saw a
-    queue in another zone end at the same time, moved their calls there at once, and
-    moved them back half a second later.
+    """Guards against nodes that move their calls back and forth together. All nodes of
+    a zone learn at the same time that a queue in another zone has drained. Without
+    smoothing they would move their calls there at once, and back half a second later.
     """
     equal_costs = {"a": 20.0, "b": 20.0}
     costs = build_costs({"desk": equal_costs, "timetable": {"a": 20.0, "b": 50.0}})
