--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -264,7 +264,7 @@
         if report.instance not in self._drained_start_times:
             return False
         if time.monotonic() < self._unspecified_drain_until.get(report.instance, 0.0):
-            # The drain request came before the first report of this incarnation.
+            # The drain request arrived before the first report of this incarnation.
             self._drained_start_times[report.instance] = report.start_time_ms
             del self._unspecified_drain_until[report.instance]
         return self._drained_start_times[report.instance] == report.start_time_ms
@@ -276,7 +276,7 @@
         drain and arrives later does not make the backend server available again.
 
         Args:
-            instance: ID of the backend server.
+            instance: Instance ID of the backend server.
             start_time_ms: Start time of the incarnation; 0 if unknown.
         """
         last_report = self._report
@@ -345,10 +345,10 @@
         """Accept no calls for a backend server that has crashed, and announce it.
 
         No report tells of a crash. Without the announcement, other nodes would keep
-        sending part of their calls here, where they fail first, and count the slots as
-        capacity for admission. The next report makes the backend server available
-        again. If that report was sent before the crash, the next call that fails marks
-        it unavailable once more.
+        sending calls here, which fail before they are retried elsewhere, and would
+        count the slots as capacity for admission. The next report makes the backend
+        server available again. If that report was sent before the crash, the next call
+        marks the backend server unavailable once more.
         """
         if self._unavailable:
             return
@@ -358,6 +358,7 @@
         self._broadcast_state()
 
     def _check_instance(self, call: Call) -> None:
+        """Refuse a call that was meant for another instance, or if none takes calls."""
         if not self.instance:
             raise not_run(Reason.DRAINING, "the backend server accepts no calls")
         if call.instance != self.instance:
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -46,7 +46,7 @@
 
     Queued calls are ordered by arrival time and latency target. A call that cannot meet
     its deadline is refused on arrival, while another backend server may still serve it,
-    and not only when the deadline is near.
+    instead of when its deadline is near.
 
     Args:
         slots: Calls that the backend server can run concurrently.
@@ -181,7 +181,7 @@
             return await waiter
         except asyncio.CancelledError:
             if waiter.done() and not waiter.cancelled() and waiter.exception() is None:
-                # The slot was assigned just as the caller canceled.
+                # The slot was assigned just before the caller canceled.
                 self.release(waiter.result(), 0.0, completed=False)
             elif waiter.cancelled() or not waiter.done():
                 waiter.cancel()
@@ -197,9 +197,9 @@
             slot: ID that `acquire` returned.
             seconds: Seconds since the call was started.
             completed: Whether the call got an answer. If not, its service time counts
-                only if it is above the average. Ignoring such calls altogether would
-                make a backend server that is slower than all timeouts, and thus answers
-                no call, look as fast as before.
+                only if it is above the average. If it never counted, a backend server
+                that is slower than its callers' timeouts, and so answers no call, would
+                look as fast as before.
         """
         self._integrate_in_flight(time.monotonic())
         del self._slot_acquired_at[slot]
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -55,9 +55,8 @@
         self._total_weight = 0.0
         self._runs: dict[str, float] = {}
         self._calls: dict[str, float] = {}
-        # For each pair of routes, sums over all intervals of the runs of one times the
-        # runs of the other, and of the runs of one times the calls to the other. All
-        # sums of this class decay with the age of an interval.
+        # Sums over all intervals, by pair of routes (a, b): runs of a times runs of b,
+        # and runs of a times calls to b. All sums decay with the age of the interval.
         self._runs_runs: dict[tuple[str, str], float] = {}
         self._runs_calls: dict[tuple[str, str], float] = {}
         self._estimates: dict[str, CallRatios] = {}
--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -48,7 +48,7 @@
         self._next_sweep_at = math.inf
 
     def start(self, at: float) -> Deadline:
-        """Track a deadline: cancel the current task at it unless `end` is called first.
+        """Cancel the current task at a deadline, unless `end` is called before.
 
         Args:
             at: The deadline, in seconds on the loop's clock.
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -28,7 +28,7 @@
 MAX_NODES_TRIED = 3
 # Above this failure ratio of a service, nested calls to it (calls that a backend server
 # makes) are not retried, which leaves the retry budget to callers' own requests. A
-# request makes several nested calls, and fails even after retries if one fails again.
+# request makes several nested calls, and fails if the retry of any of them fails.
 NESTED_RETRY_MAX_FAILURE_RATIO = 0.2
 # Refusing a nested call wastes the work already done for its request. If no node takes
 # the call, it is tried again after this time, which doubles with each attempt.
@@ -269,7 +269,7 @@
     def _may_attempt_again(self, call: OutgoingCall, attempts: "Attempts") -> bool:
         """Return whether to try another node after a failed attempt.
 
-        Only attempts after one that reached a backend server count as retries.
+        An attempt counts as a retry only if the one before it reached a backend server.
         """
         if not attempts.last_reached_backend:
             return len(attempts.tried) < MAX_NODES_TRIED
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -1,4 +1,4 @@
-"""Chooses the node for a call by expected cost, preferring this availability zone."""
+"""Chooses the node for a call by expected cost, preferring nodes of the same zone."""
 
 import random
 from collections.abc import Callable
@@ -14,22 +14,23 @@
 # calls elsewhere and keeps the large ones; callers with a high tolerance lose nothing
 # by the wait.
 CROSS_ZONE_TOLERANCE_RATIO_PER_KB = 0.05
-# Cost of a failed call, in latency targets: its caller gets no answer or has to retry.
+# A failed call costs this many latency targets, because its caller gets no answer or
+# has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
 # Cost of a failed downstream call, relative to the expected time of such a call.
 DOWNSTREAM_FAILURE_COST_RATIO = 6.0
-# Maximum random addition to the cost of a candidate. Without it, nodes that see the
-# same load would all choose the same backend server: a node learns of the calls of
-# others only from the load that the next answer reports.
+# Maximum random increase of a candidate's cost. Without it, nodes that see the same
+# load would all choose the same backend server: a node learns of the calls of others
+# only from the load that the next answer reports.
 COST_JITTER_RATIO = 0.1
 # Random variation of the cross-zone cost from call to call. With it, nodes of a zone
 # that fills up send a growing part of their calls elsewhere, instead of all at once.
 CROSS_ZONE_COST_JITTER_RATIO = 0.15
 # Fraction of calls sent to a random backend server with spare capacity, whatever its
-# cost. Without these calls, one that was slow or failing would get none, and its
-# recovery would go unnoticed.
+# cost. Without them, a backend server that was slow or failing would get no calls, and
+# its recovery would go unnoticed.
 EXPLORATION_RATIO = 0.02
-# Utilization below which a backend server counts as one with spare capacity.
+# Utilization below which a backend server has spare capacity for such calls.
 EXPLORATION_MAX_UTILIZATION = 0.7
 
 
@@ -38,7 +39,7 @@
 
     Args:
         name: Name of the node.
-        same_zone: Whether it is in this node's availability zone.
+        same_zone: Whether the candidate is in this node's availability zone.
         slots: Calls that its backend server can run concurrently.
         in_flight: Calls that run or are queued there.
         service_ms: Average service time of a call in milliseconds; 0 before the first
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -248,9 +248,9 @@
         """Schedule the refusal of requests that might outlast this node.
 
         Requests that arrive after `refuse_after` are refused if their deadline is after
-        `stops_at`, because a caller can retry a refused request, but not one that is
-        cut off. Only a few are refused: by then callers use other nodes, unless too few
-        of these are ready.
+        `stops_at`, because it is better for a caller to retry than to be cut off. Such
+        requests are few: callers use other nodes by then, unless too few other nodes
+        are ready.
 
         Args:
             refuse_after: Time on the loop's clock.
@@ -320,6 +320,7 @@
 
     async def _request_token(self, tenant: Tenant) -> TokenDecision:
         now = time.monotonic()
+        # Whether all connected nodes have this version of the configuration by now.
         propagated = (
             now - self._policies.in_force_since > CONFIGURATION_PROPAGATION_SECONDS
         )
--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -1,10 +1,10 @@
 """Costs of a call's downstream calls, by the availability zone in which the call runs.
 
 If a zone has too few backend servers of a service, or none, calls to the service from
-that zone go cross-zone. If the call that makes them goes cross-zone instead, they stay
-in the other zone, and only one call crosses. The choice of a node for a call therefore
-includes the costs of the call's downstream calls from there. Computing these costs
-needs no network calls.
+that zone go cross-zone. If the call that makes these calls goes cross-zone instead, its
+downstream calls stay in the other zone, and only one call crosses. The choice of a node
+for a call therefore includes the cost of the downstream calls that the call would make
+from that node. Computing this cost needs no network calls.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,7 +24,7 @@
     """Computes the costs of a call's downstream calls, cross-zone costs included.
 
     Args:
-        graph: Provides the calls that a call of each route makes.
+        graph: Provides the direct downstream calls of each route.
         get_cross_zone_cost_ms: Returns the cross-zone cost of a call, in milliseconds,
             for a route's name.
     """
@@ -52,7 +52,7 @@
         self._downstream_costs = {}
 
     def get_downstream_costs(self, route: str, service: str) -> ZoneCostsMs:
-        """Return the cost of a call's downstream calls, by the zone in which it runs.
+        """Return the cost in ms of a call's downstream calls, by the zone of the call.
 
         Zones without a backend server of the service are left out.
         """
@@ -95,7 +95,7 @@
             for other_zone, cost_ms in self._min_costs.get(route_service[1], {}).items()
         }
         if not total_ms_by_zone:
-            # No zone has a backend server of the service, so none is better.
+            # No zone has a backend server of the service, so no zone is better.
             return 0.0
         cross_zone_ms = min(total_ms_by_zone.values()) + self._get_cross_zone_cost_ms(
             route_service[0]
