--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -321,7 +321,7 @@
     async def _request_token(self, tenant: Tenant) -> TokenDecision:
         now = time.monotonic()
         # Whether all connected nodes have this version of the configuration by now.
-        propagated = (
+        rolled_out = (
             now - self._policies.in_force_since > CONFIGURATION_PROPAGATION_SECONDS
         )
         future: asyncio.Future[TokenDecision] = self._loop.create_future()
@@ -334,7 +334,7 @@
             return True
 
         self._quotas.acquire(
-            tenant, self._policies.version, propagated, deliver_decision
+            tenant, self._policies.version, rolled_out, deliver_decision
         )
         return future.result() if future.done() else await future
 
