--- a/primroseglade/sidecar/answer_sizes.py
+++ b/primroseglade/sidecar/answer_sizes.py
@@ -1,8 +1,9 @@
 """Estimates the size of each route's answers from those received so far."""
 
-# Weight of a new answer in the moving average, which covers about 30 of its route.
+# Weight of a new answer in the moving average, which covers about 30 answers.
 SIZE_SMOOTHING = 1 / 32
-# Bounds memory when configuration updates keep renaming routes.
+# At this number of routes all averages are dropped. This bounds memory if configuration
+# updates keep renaming routes.
 MAX_ROUTES = 2000
 
 
@@ -17,20 +18,22 @@
     6000.0
     """
 
-    __slots__ = ("_means",)
+    __slots__ = ("_average_bytes",)
 
     def __init__(self) -> None:
-        self._means: dict[str, float] = {}
+        self._average_bytes: dict[str, float] = {}
 
-    def record(self, route: str, size: int) -> None:
+    def record(self, route: str, size_bytes: int) -> None:
         """Record the size of an answer in bytes."""
-        mean = self._means.get(route)
-        if mean is None:
-            if len(self._means) >= MAX_ROUTES:
-                self._means.clear()
-            mean = float(size)
-        self._means[route] = mean + SIZE_SMOOTHING * (size - mean)
+        average_bytes = self._average_bytes.get(route)
+        if average_bytes is None:
+            if len(self._average_bytes) >= MAX_ROUTES:
+                self._average_bytes.clear()
+            average_bytes = float(size_bytes)
+        self._average_bytes[route] = average_bytes + SIZE_SMOOTHING * (
+            size_bytes - average_bytes
+        )
 
     def estimate(self, route: str) -> float:
-        """Return the average size of an answer in bytes, 0 before the first."""
-        return self._means.get(route, 0.0)
+        """Return the average answer size in bytes, 0 before the first answer."""
+        return self._average_bytes.get(route, 0.0)
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -1,10 +1,10 @@
-"""Counts bytes sent to other availability zones, because they are expensive."""
+"""Counts the bytes sent to other availability zones, which are expensive."""
 
 import collections
 
 from ..observe.events import Journal, ZONE_BYTES
 
-# Routes that are counted by name; all others are counted together.
+# Maximum number of routes counted by name; all others are counted together.
 MAX_NAMED_ROUTES = 200
 OTHER_ROUTES = "other"
 # Interval between log lines, and the number of largest counts in each.
@@ -13,7 +13,7 @@
 
 
 class CrossZoneBytes:
-    """Cross-zone bytes, by kind of frame and by route.
+    """Counts cross-zone bytes, by kind of frame and by route.
 
     >>> cross_zone_bytes = CrossZoneBytes()
     >>> cross_zone_bytes.record("Call", "photos", 300)
@@ -28,28 +28,31 @@
         self._counts: collections.Counter[tuple[str, str]] = collections.Counter()
         self._routes: set[str] = set()
 
-    def record(self, frame: str, route: str, size: int) -> None:
+    def record(self, frame_kind: str, route: str, size_bytes: int) -> None:
         """Count a frame that was sent cross-zone.
 
         Args:
-            frame: Kind of the frame.
-            route: Name of the route that it belongs to; empty if it has none.
-            size: Bytes of the frame.
+            frame_kind: Kind of the frame.
+            route: Name of the route that the frame belongs to; empty if none.
+            size_bytes: Size of the frame.
         """
         if route not in self._routes:
             if len(self._routes) >= MAX_NAMED_ROUTES:
                 route = OTHER_ROUTES
             else:
                 self._routes.add(route)
-        self._counts[frame, route] += size
+        self._counts[frame_kind, route] += size_bytes
 
     def list_all(self) -> list[tuple[str, str, int]]:
         """Return kind of frame, route and bytes, with the most bytes first."""
-        return [(frame, route, n) for (frame, route), n in self._counts.most_common()]
+        return [
+            (frame_kind, route, byte_count)
+            for (frame_kind, route), byte_count in self._counts.most_common()
+        ]
 
 
 def log_cross_zone_bytes(cross_zone_bytes: CrossZoneBytes, journal: Journal) -> None:
     """Log the largest counts of cross-zone bytes."""
-    largest = cross_zone_bytes.list_all()[:MAX_LOGGED_ENTRIES]
-    if largest:
-        journal.emit(ZONE_BYTES, most=largest)
+    largest_counts = cross_zone_bytes.list_all()[:MAX_LOGGED_ENTRIES]
+    if largest_counts:
+        journal.emit(ZONE_BYTES, most=largest_counts)
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -1,32 +1,36 @@
-"""Chooses the node for a call by expected cost, preferring its availability zone."""
+"""Chooses the node for a call by expected cost, preferring nodes of the same zone."""
 
 import random
 from collections.abc import Callable
 
 # Cost added to a call to another availability zone: the round trip there, and a part of
-# the latency target. Bytes between zones are expensive, and callers do not notice a
-# small part of their target, even for several calls in sequence.
+# the latency tolerance (`Route.latency_tolerance`). Bytes between zones are expensive,
+# and callers do not notice a wait of a small part of the tolerance, even for several
+# calls in sequence.
 CROSS_ZONE_BASE_COST_MS = 2.0
-CROSS_ZONE_TARGET_RATIO = 0.1
-# Cost added for each kilobyte of the call and its answer, so that a zone short of
-# backend servers sends its small calls elsewhere and keeps the large ones. It too is a
-# part of the target: a caller with a long target loses nothing by such a wait.
-CROSS_ZONE_TARGET_RATIO_PER_KB = 0.05
-# A failed call costs as much as this many latency targets: its caller gets no answer,
-# or has to retry.
+CROSS_ZONE_TOLERANCE_RATIO = 0.1
+# Further cost for each kilobyte of the call and its answer, as a part of the latency
+# tolerance. Because of it, a zone that is short of backend servers sends its small
+# calls elsewhere and keeps the large ones; callers with a high tolerance lose nothing
+# by the wait.
+CROSS_ZONE_TOLERANCE_RATIO_PER_KB = 0.05
+# A failed call costs this many latency targets, because its caller gets no answer or
+# has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
-# In the penalty of downstream calls, a failed call costs as much as this many calls.
+# Cost of a failed downstream call, relative to the expected time of such a call.
 DOWNSTREAM_FAILURE_COST_RATIO = 6.0
-# Without jitter, nodes that see the same load would all choose the same backend server:
-# a node learns of the calls of others only from the load in the next answer.
+# Maximum random increase of a candidate's cost. Without it, nodes that see the same
+# load would all choose the same backend server: a node learns of the calls of others
+# only from the load that the next answer reports.
 COST_JITTER_RATIO = 0.1
-# The cross-zone cost varies by this ratio from call to call. As a zone fills up, nodes
-# then send a growing part of its calls elsewhere, and not all of them at once.
+# Random variation of the cross-zone cost from call to call. With it, nodes of a zone
+# that fills up send a growing part of their calls elsewhere, instead of all at once.
 CROSS_ZONE_COST_JITTER_RATIO = 0.15
-# Ratio of calls sent to a random backend server with room. One that was slow or failing
-# gets no other calls, and its recovery would go unnoticed.
+# Fraction of calls sent to a random backend server with spare capacity, whatever its
+# cost. Without them, a backend server that was slow or failing would get no calls, and
+# its recovery would go unnoticed.
 EXPLORATION_RATIO = 0.02
-# Utilization below which a backend server has room for such a call.
+# Utilization below which a backend server has spare capacity for such calls.
 EXPLORATION_MAX_UTILIZATION = 0.7
 
 
@@ -35,14 +39,14 @@
 
     Args:
         name: Name of the node.
-        same_zone: Whether it is in this node's availability zone.
-        slots: Calls that its backend server works on at once.
+        same_zone: Whether the candidate is in this node's availability zone.
+        slots: Calls that its backend server can run concurrently.
         in_flight: Calls that run or are queued there.
-        service_ms: Usual milliseconds of work on a call. It is 0 before the first
-            call, so that a new backend server is tried until its first answer.
-        failure_ratio: Share of failed calls.
-        downstream_ms: Milliseconds that downstream calls from there cost
-            (`zone_costs.py`).
+        service_ms: Average service time of a call in milliseconds; 0 before the first
+            answer, so that a new backend server gets calls.
+        failure_ratio: Fraction of recent calls that failed.
+        downstream_ms: Cost in milliseconds of the downstream calls that the call makes
+            if it runs there (`zone_costs.py`).
     """
 
     __slots__ = (
@@ -74,20 +78,21 @@
         self.downstream_ms = downstream_ms
 
 
-def compute_cross_zone_cost_ms(latency_target: float, size_bytes: float) -> float:
+def compute_cross_zone_cost_ms(latency_tolerance: float, size_bytes: float) -> float:
     """Return the cost of a cross-zone call in milliseconds.
 
     A backend server in another availability zone is chosen only if it is better by
-    more than this.
+    more than this cost.
 
     Args:
-        latency_target: Seconds after which the answer is late.
+        latency_tolerance: Latency in seconds that usually costs the caller nothing.
         size_bytes: Size of the call and its answer.
     """
-    target_ratio = (
-        CROSS_ZONE_TARGET_RATIO + size_bytes / 1000 * CROSS_ZONE_TARGET_RATIO_PER_KB
+    tolerance_ratio = (
+        CROSS_ZONE_TOLERANCE_RATIO
+        + size_bytes / 1000 * CROSS_ZONE_TOLERANCE_RATIO_PER_KB
     )
-    return CROSS_ZONE_BASE_COST_MS + target_ratio * latency_target * 1000
+    return CROSS_ZONE_BASE_COST_MS + tolerance_ratio * latency_tolerance * 1000
 
 
 def compute_failure_cost_ms(latency_target: float) -> float:
@@ -138,7 +143,7 @@
     same_zone_candidates: list[Candidate],
     list_cross_zone_candidates: Callable[[], list[Candidate]],
     cross_zone_cost_ms: float,
-    min_cross_zone_downstream_ms: float,
+    min_downstream_ms: float,
     failure_cost_ms: float,
     rng: random.Random,
 ) -> Candidate | None:
@@ -147,35 +152,42 @@
     Args:
         same_zone_candidates: Candidates in this node's availability zone.
         list_cross_zone_candidates: Returns the candidates in other zones. It is called
-            only if one of them could be better.
+            only if a candidate there could be better.
         cross_zone_cost_ms: Result of `compute_cross_zone_cost_ms`.
-        min_cross_zone_downstream_ms: Lowest cost of the downstream calls in any zone.
+        min_downstream_ms: Lowest cost of the downstream calls over all zones, this one
+            included; a lower bound for candidates in other zones.
         failure_cost_ms: Result of `compute_failure_cost_ms`.
-        rng: Draws the jitter and the calls that explore.
+        rng: Draws the jitter and the calls sent to a random backend server.
     """
     if len(same_zone_candidates) > 1 and rng.random() < EXPLORATION_RATIO:
-        # Only in this zone: nodes of other zones learn the result from broadcasts.
+        # Only in this zone: nodes of other zones learn of a recovery from broadcasts.
         available = [
-            i
-            for i in same_zone_candidates
-            if i.in_flight < EXPLORATION_MAX_UTILIZATION * i.slots
+            candidate
+            for candidate in same_zone_candidates
+            if candidate.in_flight < EXPLORATION_MAX_UTILIZATION * candidate.slots
         ]
         if available:
             return rng.choice(available)
-    best, min_cost_ms = _find_cheapest(same_zone_candidates, failure_cost_ms, rng)
-    penalty_ms = cross_zone_cost_ms * rng.uniform(
+    best_same_zone, same_zone_cost_ms = _find_cheapest(
+        same_zone_candidates, failure_cost_ms, rng
+    )
+    jittered_cross_zone_cost_ms = cross_zone_cost_ms * rng.uniform(
         1.0 - CROSS_ZONE_COST_JITTER_RATIO, 1.0 + CROSS_ZONE_COST_JITTER_RATIO
     )
-    if best is not None and min_cost_ms <= penalty_ms + min_cross_zone_downstream_ms:
-        return best
-    best_cross_zone, cost_ms = _find_cheapest(
+    if (
+        best_same_zone is not None
+        and same_zone_cost_ms <= jittered_cross_zone_cost_ms + min_downstream_ms
+    ):
+        return best_same_zone
+    best_cross_zone, other_zone_cost_ms = _find_cheapest(
         list_cross_zone_candidates(), failure_cost_ms, rng
     )
-    if best is None or (
-        best_cross_zone is not None and cost_ms + penalty_ms < min_cost_ms
+    if best_same_zone is None or (
+        best_cross_zone is not None
+        and other_zone_cost_ms + jittered_cross_zone_cost_ms < same_zone_cost_ms
     ):
         return best_cross_zone
-    return best
+    return best_same_zone
 
 
 def _find_cheapest(
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -22,7 +22,7 @@
 
 # Shortest Retry-After of a refusal.
 MIN_RETRY_AFTER_SECONDS = 0.05
-# A new configuration reaches every connected node within this time; users allow two
+# A new configuration reaches every connected node within this time. Users accept two
 # seconds.
 CONFIGURATION_PROPAGATION_SECONDS = 1.5
 # Retry-After of a node that is stopping: its process is restarted after a second.
@@ -61,7 +61,10 @@
         """Return the fields of a request."""
 
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
-        """Return the head to forward, without the headers that the last node sets."""
+        """Return the head to forward.
+
+        The node beside the backend server adds the remaining headers.
+        """
 
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
         """Return the answer that reports a refusal to the caller."""
@@ -70,13 +73,15 @@
 class RequestHandler:
     """Handles requests at the address that callers and the backend server share.
 
+    A caller belongs to a workspace, which is represented by a `Tenant`.
+
     Args:
         service: Service of the backend server beside this node.
         dialect: Reads requests of callers and renders answers to them.
-        policies: The configuration in force.
-        quotas: Rate limits of workspaces.
+        policies: Provides the configuration in force.
+        quotas: Limits the request rates of workspaces.
         admission: Refuses requests that depend on overloaded services.
-        graph: Which services a request leads to.
+        graph: Provides the calls to each service that a request causes.
         call_ratios: Counts the calls that the backend server makes.
         retry_budget: Counts first attempts.
         dispatcher: Sends calls to backend servers.
@@ -116,7 +121,7 @@
         self._node_metrics = node_metrics
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._deadline_check_after = math.inf
+        self._refuse_after = math.inf
         self._stops_at = math.inf
 
     async def handle(self, request: Request) -> Reply:
@@ -162,7 +167,7 @@
             fields.timeout if fields.timeout is not None else DEFAULT_TIMEOUT_SECONDS
         )
         deadline = request.arrived_at + min(timeout, route.timeout)
-        self._check_draining(request.arrived_at, deadline)
+        self._check_stop_time(request.arrived_at, deadline)
         if deadline - time.monotonic() < MIN_REMAINING_SECONDS:
             raise not_run(Reason.OVERLOADED, "too little time before the deadline")
         if tenant is not None:
@@ -189,8 +194,9 @@
         Raises:
             Refusal: A service that the request depends on is overloaded; not run.
         """
-        # Callers and the backend server use the same address, but only the routes
-        # that backend servers call are open to requests without a key.
+        # A public route needs no key, because backend servers call it and have none.
+        # Callers use the same address: a caller's request on such a route cannot be
+        # told from a backend server's and counts as nested too.
         nested = tenant is None and route.public
         now = time.monotonic()
         service = self._policies.routes.choose_service(route)
@@ -218,11 +224,11 @@
         self, call: OutgoingCall, tenant: Tenant | None
     ) -> Outcome:
         """Send a call and return its outcome; cancel it at its deadline."""
-        timer = self._deadlines.start(call.deadline)
+        tracked_deadline = self._deadlines.start(call.deadline)
         try:
             return await self._dispatcher.dispatch(call)
         except asyncio.CancelledError as error:
-            if not timer.caused_cancellation():
+            if not tracked_deadline.take_back_cancellation():
                 raise
             detail = f"deadline exceeded before {call.node or 'any node'} answered"
             if not call.sent:
@@ -236,23 +242,25 @@
                 refusal.retry_after = draw_retry_after(remaining, self._rng)
             raise
         finally:
-            self._deadlines.end(timer)
+            self._deadlines.end(tracked_deadline)
 
-    def stop(self, deadline_check_after: float, stops_at: float) -> None:
+    def stop(self, refuse_after: float, stops_at: float) -> None:
         """Schedule the refusal of requests that might outlast this node.
 
+        Requests that arrive after `refuse_after` are refused if their deadline is after
+        `stops_at`, because it is better for a caller to retry than to be cut off. Such
+        requests are few: callers use other nodes by then, unless too few other nodes
+        are ready.
+
         Args:
-            deadline_check_after: Time on the loop's clock. Requests that arrive later
-                are refused if their deadline is after `stops_at`: it is better for a
-                caller to retry than to be cut off. By then callers use other nodes,
-                unless too few of those are ready.
-            stops_at: Time on the loop's clock at which this node stops.
+            refuse_after: Time on the loop's clock.
+            stops_at: Latest time on the loop's clock at which this node stops.
         """
-        self._deadline_check_after = deadline_check_after
+        self._refuse_after = refuse_after
         self._stops_at = stops_at
 
-    def _check_draining(self, arrived_at: float, deadline: float) -> None:
-        if arrived_at > self._deadline_check_after and deadline > self._stops_at:
+    def _check_stop_time(self, arrived_at: float, deadline: float) -> None:
+        if arrived_at > self._refuse_after and deadline > self._stops_at:
             detail = "this node stops before the request's deadline"
             raise not_run(Reason.DRAINING, detail, DRAINING_RETRY_AFTER_SECONDS)
 
@@ -268,6 +276,12 @@
         return route
 
     def _find_tenant(self, route: Route, fields: CallerFields) -> Tenant | None:
+        """Return the workspace of the request's key, or None if no key is needed.
+
+        Raises:
+            Refusal: The key is missing or unknown, or the configuration is too old to
+                tell; not run.
+        """
         policy = self._policies.policy
         assert policy is not None
         if policy.tenants is None or route.public:
@@ -288,7 +302,7 @@
             raise not_run(Reason.CONFIGURATION_STALE, detail, 0.5)
 
     async def _take_token(self, tenant: Tenant, deadline: float) -> None:
-        """Take a rate-limit token of a workspace.
+        """Take a rate-limit token of the workspace for one request.
 
         Raises:
             Refusal: The workspace is over its rate; not run.
@@ -306,26 +320,31 @@
 
     async def _request_token(self, tenant: Tenant) -> TokenDecision:
         now = time.monotonic()
-        propagated = (
+        # Whether all connected nodes have this version of the configuration by now.
+        rolled_out = (
             now - self._policies.in_force_since > CONFIGURATION_PROPAGATION_SECONDS
         )
         future: asyncio.Future[TokenDecision] = self._loop.create_future()
 
-        def decide(decision: TokenDecision) -> bool:
+        # Returns whether the request still waits for the decision.
+        def deliver_decision(decision: TokenDecision) -> bool:
             if future.done():
                 return False
             future.set_result(decision)
             return True
 
-        self._quotas.acquire(tenant, self._policies.version, propagated, decide)
+        self._quotas.acquire(
+            tenant, self._policies.version, rolled_out, deliver_decision
+        )
         return future.result() if future.done() else await future
 
     def _check_admission(
         self, route: Route, service: str, rank: int, remaining: float, now: float
     ) -> None:
-        visits = self._graph.get_visits(route.name, service)
-        self._admission.record_demand(visits, rank, now)
-        if not self._admission.admits(visits, rank):
+        """Record the demand of a request, and raise a refusal if it is not admitted."""
+        expected_calls = self._graph.get_expected_calls(route.name, service)
+        self._admission.record_demand(expected_calls, rank, now)
+        if not self._admission.admits(expected_calls, rank):
             retry_after = draw_retry_after(remaining, self._rng)
             detail = "a service that the request depends on is overloaded"
             raise not_run(Reason.OVERLOADED, detail, retry_after)
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -3,10 +3,11 @@
 import collections
 from collections.abc import Mapping
 
-# Fraction of the configured retry ratio that nodes use. The number of calls that a
-# retried run makes is an estimate, and lags behind a call graph that changes.
+# Fraction of the configured retry ratio that nodes use. The rest is a margin: how many
+# downstream calls a retry makes is an estimate, which lags behind changes of the call
+# graph.
 RETRY_RATIO_USED_FRACTION = 0.7
-# Fraction of the configured fixed number of retries that all nodes use together.
+# Fraction of the configured fixed number of retries that all nodes together use.
 FIXED_RETRIES_USED_FRACTION = 0.6
 
 
@@ -14,12 +15,12 @@
     """Limits the retries to each service in a sliding window.
 
     Each node has a budget of its own: the ratio times its first attempts, plus its
-    share of the fixed number. The sum therefore stays within the limit without
-    coordination, even between nodes that cannot reach each other.
+    share of the fixed number. The retries of all nodes therefore stay within the limit
+    without coordination, even if some nodes cannot reach each other.
 
     Args:
         ratio: Allowed retries per first attempt.
-        fixed: Further retries per window, shared by all nodes.
+        fixed: Number of further retries per window, shared by all nodes.
         window: Length of the window in seconds.
     """
 
@@ -34,25 +35,28 @@
         """Record the first attempt of a request to a service."""
         self._get_count(self._first_attempts, service).add(now)
 
-    def try_spend(self, visits: Mapping[str, float], nodes: int, now: float) -> bool:
+    def try_spend(
+        self, expected_calls: Mapping[str, float], nodes: int, now: float
+    ) -> bool:
         """Return whether a retry may be sent, and count it if so.
 
-        A retried run makes its downstream calls again, and these count as retries too:
-        one retry of a request that makes four calls to a service brings that service
-        four retries. The budget of every service called must therefore suffice.
+        A retry makes its downstream calls again, and these count as retries too: if a
+        request makes four calls to a service, one retry of the request brings that
+        service four retries. The budget of every service called must therefore suffice.
 
         Args:
-            visits: Expected calls of the retry to each service, its own included.
+            expected_calls: Calls to each service that the retry is expected to cause,
+                the retry itself included.
             nodes: Number of nodes that share the fixed number.
             now: Seconds on the loop's clock.
         """
-        for service, calls in visits.items():
+        for service, calls in expected_calls.items():
             first_attempts = self._get_count(self._first_attempts, service).total(now)
             retries = self._get_count(self._retries, service).total(now)
             allowed = first_attempts * self._ratio + self._fixed / max(1, nodes)
             if retries + calls > allowed:
                 return False
-        for service, calls in visits.items():
+        for service, calls in expected_calls.items():
             self._get_count(self._retries, service).add(now, calls)
         return True
 
@@ -72,10 +76,10 @@
         window: Length of the window in seconds.
     """
 
-    BUCKETS = 20
+    BUCKET_COUNT = 20
 
     def __init__(self, window: float):
-        self._bucket_seconds = window / self.BUCKETS
+        self._bucket_seconds = window / self.BUCKET_COUNT
         self._buckets: collections.deque[list[float]] = collections.deque()
         self._total = 0.0
 
@@ -94,14 +98,14 @@
         self._total += amount
 
     def total(self, now: float) -> float:
-        """Return the number of events in the window, which is up to a bucket longer.
+        """Return the number of events in the window and up to one bucket before it.
 
         >>> count = SlidingCount(10.0)
         >>> count.add(0.0); count.add(6.0)
         >>> count.total(9.9), count.total(11.0), count.total(17.0)
         (2.0, 1.0, 0.0)
         """
-        oldest_bucket = int(now / self._bucket_seconds) - self.BUCKETS
+        oldest_bucket = int(now / self._bucket_seconds) - self.BUCKET_COUNT
         while self._buckets and self._buckets[0][0] < oldest_bucket:
             self._total -= self._buckets.popleft()[1]
         return self._total
--- a/primroseglade/sidecar/route_table.py
+++ b/primroseglade/sidecar/route_table.py
@@ -12,6 +12,7 @@
 
     def __init__(self, routes: list[Route]):
         self._hosts: dict[bytes, list[tuple[bytes, Route]]] = {}
+        # State of the round-robin: for each route, the current weight of each service.
         self._current_weights: dict[str, dict[str, float]] = {}
         self.by_name = {route.name: route for route in routes}
         for route in routes:
@@ -47,19 +48,25 @@
     def choose_service(self, route: Route) -> str:
         """Return the service for a route's next call, in proportion to the weights.
 
-        With smooth weighted round-robin, each service gets its share of any few hundred
-        calls to within one call. A random choice would be off by 3 in 100.
+        This is smooth weighted round-robin: over any few hundred calls, the number that
+        a service gets differs from its share by at most one. With a random choice it
+        would differ by 3 in 100.
         """
         if len(route.services) == 1:
             return route.services[0].name
-        weights = self._current_weights.setdefault(route.name, {})
-        total = 0.0
+        current_weights = self._current_weights.setdefault(route.name, {})
+        total_weight = 0.0
         best: WeightedService | None = None
         for service in route.services:
-            total += service.weight
-            weights[service.name] = weights.get(service.name, 0.0) + service.weight
-            if best is None or weights[service.name] > weights[best.name]:
+            total_weight += service.weight
+            current_weights[service.name] = (
+                current_weights.get(service.name, 0.0) + service.weight
+            )
+            if (
+                best is None
+                or current_weights[service.name] > current_weights[best.name]
+            ):
                 best = service
         assert best is not None
-        weights[best.name] -= total
+        current_weights[best.name] -= total_weight
         return best.name
