--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -62,7 +62,7 @@
         self._rng = rng
         self._broadcast_state = broadcast_state
         self._drains_loaded = first_start
-        self._stored_drains: set[str] = set()
+        self._stored_drain_instances: set[str] = set()
         self._recorded_drains: dict[str, int] = {}
 
     @property
@@ -132,7 +132,7 @@
 
     async def _persist_drain(self, instance: str, start_time_ms: int) -> bool:
         """Persist a drain; return whether the store or a peer has recorded it."""
-        if instance in self._stored_drains:
+        if instance in self._stored_drain_instances:
             return True
         self._supervisor.start_once(
             f"drain of {instance}", lambda: self._write_drain(instance, start_time_ms)
@@ -147,14 +147,14 @@
         ]
         try:
             async with asyncio.timeout(ACK_TIMEOUT_SECONDS):
-                while instance not in self._stored_drains:
+                while instance not in self._stored_drain_instances:
                     await asyncio.sleep(STORE_POLL_SECONDS)
         except TimeoutError:
             # The write continues in the background until the store accepts it.
             pass
         results = await asyncio.gather(*replications, return_exceptions=True)
         replicated = any(not isinstance(result, BaseException) for result in results)
-        return replicated or instance in self._stored_drains
+        return replicated or instance in self._stored_drain_instances
 
     async def _write_drain(self, instance: str, start_time_ms: int) -> None:
         while True:
@@ -162,7 +162,7 @@
                 await self._store.write_drain(
                     instance, start_time_ms, STORE_TIMEOUT_SECONDS
                 )
-                self._stored_drains.add(instance)
+                self._stored_drain_instances.add(instance)
                 return
             except StoreError as error:
                 self._journal.emit(STORE_WRITE_FAILED, what="drain", error=str(error))
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -48,10 +48,10 @@
                 service, peer.entry.zone, estimate_penalty_ms(build_candidate(peer))
             )
 
-    def record_cost(self, service: str, zone: str, cost: float) -> None:
+    def record_cost(self, service: str, zone: str, cost_ms: float) -> None:
         """Record the cost in milliseconds of a call at one backend server."""
         zones = self.min_costs.setdefault(service, {})
-        zones[zone] = min(cost, zones.get(zone, cost))
+        zones[zone] = min(cost_ms, zones.get(zone, cost_ms))
 
 
 def build_candidate(
@@ -221,20 +221,20 @@
     def _sample(
         self,
         peers: list[Peer],
-        max_count: int,
+        max_candidates: int,
         tried: Collection[str],
         downstream_costs: ZoneCostsMs,
     ) -> list[Candidate]:
         """Return up to ``max_count`` usable nodes, beginning at a random one."""
         candidates: list[Candidate] = []
-        if len(peers) > max_count:
+        if len(peers) > max_candidates:
             start = int(self._rng.random() * len(peers))
             peers = peers[start:] + peers[:start]
         for peer in peers:
             if not peer.usable or peer.entry.name in tried or peer.is_suspect:
                 continue
             candidates.append(self._build_candidate(peer, downstream_costs))
-            if len(candidates) == max_count:
+            if len(candidates) == max_candidates:
                 break
         return candidates
 
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -59,20 +59,22 @@
         """Return the peers that provide a service."""
         return self._peers_by_service.get(service, NO_PEERS)
 
-    def list_first(self, count: int, connected: bool = True) -> dict[str, list[str]]:
+    def list_first(
+        self, name_count: int, connected_only: bool = True
+    ) -> dict[str, list[str]]:
         """Return the names of the first nodes of each zone, in order of name.
 
         Args:
-            count: Maximum number of nodes per zone.
-            connected: Whether to leave out peers to which no stream is open.
+            name_count: Maximum number of nodes per zone.
+            connected_only: Whether to leave out peers to which no stream is open.
         """
         first: dict[str, list[str]] = {}
         for zone, nodes in self._nodes_by_zone.items():
             names: list[str] = []
             for name, peer in nodes:
-                if peer is None or peer.connected or not connected:
+                if peer is None or peer.connected or not connected_only:
                     names.append(name)
-                    if len(names) == count:
+                    if len(names) == name_count:
                         break
             if names:
                 first[zone] = names
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -45,7 +45,7 @@
 
     id: int
     sent_ms: int = 0
-    lease_ms: int = 0
+    lease_end_ms: int = 0
 
 
 class Pong(msgspec.Struct, array_like=True, tag=3):
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -240,7 +240,7 @@
     service: str
     start_time_ms: int
 
-    def has_same_location(self, other: "NodeEntry") -> bool:
+    def equals_except_start_time(self, other: "NodeEntry") -> bool:
         """Return whether another entry differs in nothing but the start time.
 
         >>> entry = NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 2)
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -36,7 +36,7 @@
     NodeEntry,
     NodeState,
 )
-from .node_metrics import build_metrics, MAX_REPORTED_AGE_SECONDS, NodeMetrics
+from .node_metrics import build_metrics_handler, MAX_REPORTED_AGE_SECONDS, NodeMetrics
 from .node_settings import NodeSettings
 from .node_store import NodeStore
 from .peer import Peer
@@ -92,8 +92,8 @@
         dialect: NodeDialect,
         store: NodeStore,
         journal: Journal,
-        build_ready: HandlerFactory,
-        build_control: HandlerFactory,
+        build_readiness_handler: HandlerFactory,
+        build_control_handler: HandlerFactory,
     ):
         self._settings = settings
         self._store = store
@@ -211,9 +211,15 @@
             self.request_handler.handle,
             lambda: self.policies.limits,
         )
-        self._readiness_server = build_local_server(settings.ready, build_ready(self))
-        self._control_server = build_local_server(settings.control, build_control(self))
-        self._metrics_server = build_local_server(settings.metrics, build_metrics(self))
+        self._readiness_server = build_local_server(
+            settings.ready, build_readiness_handler(self)
+        )
+        self._control_server = build_local_server(
+            settings.control, build_control_handler(self)
+        )
+        self._metrics_server = build_local_server(
+            settings.metrics, build_metrics_handler(self)
+        )
 
     @property
     def entry(self) -> NodeEntry:
@@ -306,7 +312,7 @@
         """Return the active policy with its version and age."""
         age = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
         return PolicyAnswer(
-            request_id, self.policies.version, age, self.policies.record
+            request_id, self.policies.version, age, self.policies.encoded_policy
         )
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
@@ -315,7 +321,7 @@
 
     def count_in_flight(self) -> int:
         """Return the in-flight requests of callers and of other nodes."""
-        return self._outbound_server.busy + self._peer_server.busy
+        return self._outbound_server.busy + self._peer_server.calls_in_flight
 
     def apply_drains(self, drains: dict[str, int]) -> None:
         """Apply the drains of backend servers that a peer has recorded."""
@@ -325,14 +331,14 @@
         """Renew the share lease, now that a peer's clock can be estimated."""
         self.rates.renew_lease(time.monotonic())
 
-    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
+    def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
         """Record that a node lends its share of all rates to this node.
 
         Args:
             lender: The lending node.
             lease_ms: End of the lease, in milliseconds on this node's clock.
         """
-        self.rates.record_lease(lender, lease_ms)
+        self.rates.record_lease(lender, lease_end_ms)
 
     def answer_token_request(
         self, sender: str, request: TokenRequest, send: Callable[[TokenGrant], None]
@@ -433,7 +439,7 @@
                     registered = True
                 entries = await self._store.list_nodes(STORE_TIMEOUT_SECONDS)
                 if not registered and not any(
-                    map(self._entry.has_same_location, entries)
+                    map(self._entry.equals_except_start_time, entries)
                 ):
                     await self._store.write_node(self._entry, STORE_TIMEOUT_SECONDS)
                     registered = True
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -207,7 +207,7 @@
     return buckets
 
 
-def build_metrics(node: "SidecarNode") -> Any:
+def build_metrics_handler(node: "SidecarNode") -> Any:
     """Return the handler of metrics requests."""
 
     async def handle(request: Request) -> Reply:
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -25,11 +25,11 @@
     1.5
     """
 
-    __slots__ = ("_previous_window_min", "_window_min", "_window_start")
+    __slots__ = ("_previous_window_min_delay", "_window_min_delay", "_window_start")
 
     def __init__(self) -> None:
-        self._window_min = math.inf
-        self._previous_window_min = math.inf
+        self._window_min_delay = math.inf
+        self._previous_window_min_delay = math.inf
         self._window_start = 0.0
 
     def measure_excess(self, sent_at: float, now: float) -> float:
@@ -40,9 +40,14 @@
             now: When it was received, in seconds on the age clock of this node.
         """
         if now - self._window_start > MIN_DELAY_WINDOW_SECONDS:
-            self._previous_window_min, self._window_min = self._window_min, math.inf
+            self._previous_window_min_delay, self._window_min_delay = (
+                self._window_min_delay,
+                math.inf,
+            )
             self._window_start = now
         apparent_delay = now - sent_at
-        self._window_min = min(self._window_min, apparent_delay)
-        excess = apparent_delay - min(self._window_min, self._previous_window_min)
+        self._window_min_delay = min(self._window_min_delay, apparent_delay)
+        excess = apparent_delay - min(
+            self._window_min_delay, self._previous_window_min_delay
+        )
         return excess if excess >= MIN_REPORTED_SECONDS else 0.0
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -111,14 +111,14 @@
         self._host = host
         self._journal = journal
         self._stream: FrameStream | None = None
-        self._pending: dict[int, asyncio.Future[Frame]] = {}
+        self._pending_replies: dict[int, asyncio.Future[Frame]] = {}
         self._token_requests = TokenRequests(self._loop)
-        self._clock = RemoteClock()
+        self._remote_clock = RemoteClock()
         self._last_id = 0
-        self._ping_sent_boottime = 0.0
+        self._ping_sent_on_age_clock = 0.0
         self._ping_sent_at = 0.0
         self._pending_since = 0.0
-        self._ping_id = 0
+        self._unanswered_ping_id = 0
         self._disconnected: asyncio.Event = asyncio.Event()
         self._hello_received = False
         self._unreachable_logged = False
@@ -140,12 +140,12 @@
     @property
     def has_pending_calls(self) -> bool:
         """Whether requests await its reply."""
-        return bool(self._pending)
+        return bool(self._pending_replies)
 
     @property
     def is_suspect(self) -> bool:
         """Whether calls are pending and a ping has gone unanswered for too long."""
-        if not self._ping_id or not self._pending:
+        if not self._unanswered_ping_id or not self._pending_replies:
             return False
         stream = self._stream
         if stream is None or stream.last_received_at >= self._ping_sent_at:
@@ -180,12 +180,12 @@
         if state.downstream_calls is None:
             state.downstream_calls = self.state.downstream_calls
         self.state = state
-        self.record_load(state.in_flight)
+        self.record_in_flight(state.in_flight)
         self.failure_ratio = state.failure_ratio
         self._host.handle_state(self)
         return True
 
-    def record_load(self, in_flight: float) -> None:
+    def record_in_flight(self, in_flight: float) -> None:
         """Record the number of calls in flight at its backend server."""
         self.in_flight = in_flight
 
@@ -209,10 +209,10 @@
         failed = not isinstance(reply, CallAnswer) or reply.status >= MIN_FAILURE_STATUS
         self.failure_ratio += FAILURE_SMOOTHING * (failed - self.failure_ratio)
         if isinstance(reply, CallAnswer):
-            self.record_load(reply.in_flight)
+            self.record_in_flight(reply.in_flight)
             return reply
         assert isinstance(reply, CallRefused)
-        self.record_load(reply.in_flight)
+        self.record_in_flight(reply.in_flight)
         raise self._build_refusal(reply)
 
     async def fetch_policy(self, timeout: float) -> PolicyAnswer:
@@ -247,7 +247,7 @@
         async with asyncio.timeout(timeout):
             await self._request(DrainNote(0, instance, start_time_ms))
 
-    def request_tokens(self, request: TokenRequest, done: GrantHandler) -> None:
+    def request_tokens(self, request: TokenRequest, on_grant: GrantHandler) -> None:
         """Request tokens of a workspace.
 
         Args:
@@ -255,25 +255,25 @@
             done: Called once with the grant, or with None if there is none.
         """
         if not self.connected:
-            done(None)
+            on_grant(None)
             return
         self._last_id += 1
         request.id = self._last_id
-        self._token_requests.add(request.id, done)
+        self._token_requests.add(request.id, on_grant)
         self._send(request)
 
-    def lend_share(self, seconds: float) -> bool:
+    def lend_share(self, lease_seconds: float) -> bool:
         """Lend this node's share of all rates to the peer for some seconds.
 
         Returns:
             Whether a lease was sent.
         """
-        remote_time = self._clock.estimate(read_age_clock())
+        remote_time = self._remote_clock.estimate(read_age_clock())
         if remote_time is None or not self.connected:
             return False
-        return self.send_ping(int((remote_time + seconds) * 1000))
+        return self.send_ping(int((remote_time + lease_seconds) * 1000))
 
-    def send_ping(self, lease_ms: int = 0) -> bool:
+    def send_ping(self, lease_end_ms: int = 0) -> bool:
         """Send a ping, unless one is unanswered.
 
         The answer carries the age of the peer's configuration.
@@ -285,13 +285,19 @@
             Whether the ping was sent.
         """
         now = time.monotonic()
-        if self._ping_id and not self._may_ping_again(now):
+        if self._unanswered_ping_id and not self._may_ping_again(now):
             return False
         self._last_id += 1
-        self._ping_id = self._last_id
+        self._unanswered_ping_id = self._last_id
         self._ping_sent_at = now
-        self._ping_sent_boottime = read_age_clock()
-        self._send(Ping(self._ping_id, int(self._ping_sent_boottime * 1000), lease_ms))
+        self._ping_sent_on_age_clock = read_age_clock()
+        self._send(
+            Ping(
+                self._unanswered_ping_id,
+                int(self._ping_sent_on_age_clock * 1000),
+                lease_end_ms,
+            )
+        )
         return True
 
     def check_liveness(self, now: float) -> None:
@@ -306,10 +312,10 @@
         stream = self._stream
         if stream is None:
             return
-        if self._ping_id and now - self._ping_sent_at > PING_TIMEOUT_SECONDS:
+        if self._unanswered_ping_id and now - self._ping_sent_at > PING_TIMEOUT_SECONDS:
             if stream.last_received_at < self._ping_sent_at:
                 self._disconnect("silent")
-        elif self._pending:
+        elif self._pending_replies:
             if (
                 now - max(stream.last_received_at, self._pending_since)
                 > IDLE_BEFORE_PING_SECONDS
@@ -341,14 +347,14 @@
         self._last_id += 1
         frame.id = self._last_id
         future: asyncio.Future[Frame] = self._loop.create_future()
-        if not self._pending:
+        if not self._pending_replies:
             self._pending_since = time.monotonic()
-        self._pending[frame.id] = future
+        self._pending_replies[frame.id] = future
         self._stream.send(frame, frame.route if isinstance(frame, Call) else "")
         try:
             return await future
         finally:
-            self._pending.pop(frame.id, None)
+            self._pending_replies.pop(frame.id, None)
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
@@ -375,7 +381,7 @@
 
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
         if isinstance(frame, CallAnswer | CallRefused | PolicyAnswer | DrainNoted):
-            future = self._pending.get(frame.id)
+            future = self._pending_replies.get(frame.id)
             if future is not None and not future.done():
                 future.set_result(frame)
         elif isinstance(frame, TokenGrant):
@@ -404,16 +410,18 @@
             self.apply_state(hello.state)
 
     def _handle_pong(self, pong: Pong) -> None:
-        if pong.id != self._ping_id:
+        if pong.id != self._unanswered_ping_id:
             return
-        self._ping_id = 0
+        self._unanswered_ping_id = 0
         now = read_age_clock()
-        clock_known = self._clock.estimate(now) is not None
-        self._clock.record(pong.clock_ms / 1000, now)
+        clock_known = self._remote_clock.estimate(now) is not None
+        self._remote_clock.record(pong.clock_ms / 1000, now)
         if not clock_known:
             self._host.record_peer_clock()
         age = pong.policy_age_ms / 1000
-        self._host.record_policy_age(pong.policy_version, age, self._ping_sent_boottime)
+        self._host.record_policy_age(
+            pong.policy_version, age, self._ping_sent_on_age_clock
+        )
 
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
         if stream is self._stream:
@@ -428,13 +436,13 @@
                     PEER_LOST,
                     peer=self.entry.name,
                     reason=reason,
-                    in_flight=len(self._pending),
+                    in_flight=len(self._pending_replies),
                 )
         self._disconnected.set()
-        self._ping_id = 0
-        self._clock = RemoteClock()
+        self._unanswered_ping_id = 0
+        self._remote_clock = RemoteClock()
         self._token_requests.fail_all()
         error = ConnectionError(f"the stream to {self.entry.name} was lost: {reason}")
-        for future in self._pending.values():
+        for future in self._pending_replies.values():
             if not future.done():
                 future.set_exception(error)
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -33,16 +33,16 @@
 
     def __init__(
         self,
-        node: str,
+        node_name: str,
         fleet: Fleet,
-        policies: PolicyTracker,
+        policy_tracker: PolicyTracker,
         report_stall: Callable[[bool], None],
     ):
-        self._node = node
+        self._node_name = node_name
         self._fleet = fleet
-        self._policies = policies
+        self._policy_tracker = policy_tracker
         self._report_stall = report_stall
-        self._stalled_until = 0.0
+        self._stall_recovery_ends_at = 0.0
         self._poll_count = 0
 
     def poll_policy_age(self, now: float) -> None:
@@ -55,14 +55,14 @@
             now: Unused; every scheduled function receives the time.
         """
         readers = self._fleet.list_readers()
-        rank = readers.index(self._node) if self._node in readers else None
-        self._policies.set_reader_rank(rank)
+        rank = readers.index(self._node_name) if self._node_name in readers else None
+        self._policy_tracker.set_reader_rank(rank)
         self._poll_count += 1
         if rank is None and self._poll_count % (
             NON_READER_POLL_SECONDS / READER_POLL_SECONDS
         ):
             return
-        overdue = self._policies.is_overdue
+        overdue = self._policy_tracker.is_overdue
         for position, name in enumerate(readers):
             peer = self._fleet.get(name)
             if peer is None:
@@ -74,20 +74,20 @@
     async def run_liveness_checks(self) -> None:
         """Check the liveness of peers until cancelled, and report stalls."""
         while True:
-            interval = (
+            interval_seconds = (
                 LIVENESS_CHECK_SECONDS
                 if self._fleet.has_pending_calls
                 else IDLE_LIVENESS_CHECK_SECONDS
             )
-            due = time.monotonic() + interval
-            await asyncio.sleep(interval)
+            due_at = time.monotonic() + interval_seconds
+            await asyncio.sleep(interval_seconds)
             now = time.monotonic()
             # Checked as of the time when the check was due. If it runs late, this
             # process was stalled, not the peers, and frames sent since are still
             # unread. Skipping late checks instead would disable them on a machine that
             # is always slow, and calls to an unreachable zone would wait for their
             # timeouts.
-            self._fleet.check_liveness(due)
-            if now - due >= STALL_THRESHOLD_SECONDS:
-                self._stalled_until = now + STALL_RECOVERY_SECONDS
-            self._report_stall(now < self._stalled_until)
+            self._fleet.check_liveness(due_at)
+            if now - due_at >= STALL_THRESHOLD_SECONDS:
+                self._stall_recovery_ends_at = now + STALL_RECOVERY_SECONDS
+            self._report_stall(now < self._stall_recovery_ends_at)
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -64,7 +64,7 @@
     def handle_hello(self, entry: NodeEntry) -> None:
         """Handle a node that opened a stream to this one."""
 
-    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
+    def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
         """Record that a node lends its share of all rates.
 
         Args:
@@ -106,14 +106,14 @@
         self._host = host
         self._dispatcher = dispatcher
         self._journal = journal
-        self._streams: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
-        self._introduced_nodes: dict[FrameStream, NodeEntry] = {}
-        self._one_way_delays: dict[FrameStream, OneWayDelay] = {}
+        self._tasks_by_stream: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
+        self._entries_by_stream: dict[FrameStream, NodeEntry] = {}
+        self._delays_by_stream: dict[FrameStream, OneWayDelay] = {}
 
     @property
-    def busy(self) -> int:
+    def calls_in_flight(self) -> int:
         """Number of calls of other nodes in flight here."""
-        return sum(len(tasks) for tasks in self._streams.values())
+        return sum(len(tasks) for tasks in self._tasks_by_stream.values())
 
     async def run(self) -> None:
         """Listen until cancelled."""
@@ -140,7 +140,7 @@
             is_recipient: Returns whether a node receives the frame.
         """
         data = encode_frame(frame)
-        for stream, entry in self._introduced_nodes.items():
+        for stream, entry in self._entries_by_stream.items():
             if not is_recipient(entry):
                 continue
             if stream.is_cross_zone:
@@ -150,16 +150,16 @@
 
     def finish(self) -> None:
         """Close the streams after their write buffers are flushed."""
-        for stream in list(self._streams):
+        for stream in list(self._tasks_by_stream):
             stream.finish()
 
     def abort(self) -> None:
         """Close all streams immediately."""
-        for stream in list(self._streams):
+        for stream in list(self._tasks_by_stream):
             stream.close()
 
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
-        tasks = self._streams.setdefault(stream, {})
+        tasks = self._tasks_by_stream.setdefault(stream, {})
         if isinstance(frame, Call):
             # Time spent queueing on the way here counts against the deadline.
             queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
@@ -181,12 +181,12 @@
                 stream.mark_cross_zone(self._host.cross_zone_bytes)
             state = self._host.build_full_state()
             stream.send(Hello(self._host.entry, state, self._host.drains))
-            self._introduced_nodes[stream] = frame.entry
+            self._entries_by_stream[stream] = frame.entry
             self._host.handle_hello(frame.entry)
         elif isinstance(frame, PolicyRequest):
             stream.send(self._host.build_policy_answer(frame.id))
         elif isinstance(frame, TokenRequest):
-            sender = self._introduced_nodes.get(stream)
+            sender = self._entries_by_stream.get(stream)
             if sender is not None:
                 self._host.answer_token_request(sender.name, frame, stream.send)
         elif isinstance(frame, DrainNote):
@@ -195,22 +195,22 @@
 
     def _measure_queueing_delay(self, stream: FrameStream, sent_ms: int) -> float:
         """Return the seconds that a frame spent queueing on the way here."""
-        one_way_delay = self._one_way_delays.get(stream)
+        one_way_delay = self._delays_by_stream.get(stream)
         if one_way_delay is None:
-            one_way_delay = self._one_way_delays[stream] = OneWayDelay()
+            one_way_delay = self._delays_by_stream[stream] = OneWayDelay()
         return one_way_delay.measure_excess(sent_ms / 1000, read_age_clock())
 
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
-        self._introduced_nodes.pop(stream, None)
-        self._one_way_delays.pop(stream, None)
+        self._entries_by_stream.pop(stream, None)
+        self._delays_by_stream.pop(stream, None)
         # The sender has failed or cannot be reached; nobody waits for these calls.
-        for task in list(self._streams.pop(stream, {}).values()):
+        for task in list(self._tasks_by_stream.pop(stream, {}).values()):
             task.cancel()
 
     def _answer_ping(self, stream: FrameStream, ping: Ping) -> None:
-        lender = self._introduced_nodes.get(stream)
-        if ping.lease_ms and lender is not None:
-            self._host.record_lease(lender, ping.lease_ms)
+        lender = self._entries_by_stream.get(stream)
+        if ping.lease_end_ms and lender is not None:
+            self._host.record_lease(lender, ping.lease_end_ms)
         answer = self._host.build_policy_answer(ping.id)
         clock_ms = int(read_age_clock() * 1000)
         stream.send(Pong(ping.id, answer.version, answer.age_ms, clock_ms))
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -28,7 +28,7 @@
     def __init__(self, rng: random.Random):
         self._rng = rng
         self._tasks: list[tuple[int, PeriodicTask]] = []
-        self._ticks = 0
+        self._tick_count = 0
 
     def add(self, task: PeriodicTask, interval_seconds: float = TICK_SECONDS) -> None:
         """Add a task; its interval is rounded to whole ticks, at least one."""
@@ -47,10 +47,10 @@
 
     def tick(self, now: float) -> None:
         """Run the tasks that are due."""
-        self._ticks += 1
+        self._tick_count += 1
         first_error: Exception | None = None
-        for tick_interval, task in self._tasks:
-            if self._ticks % tick_interval:
+        for interval_ticks, task in self._tasks:
+            if self._tick_count % interval_ticks:
                 continue
             try:
                 task(now)
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -123,11 +123,11 @@
         self._freshness = Freshness()
         self._policy: Policy | None = None
         self._active_since = 0.0
-        self._record = b""
+        self._encoded_policy = b""
         self._next_offset: int | None = None
         self._routes = RouteTable([])
-        self._fetching = False
-        self._store_unavailable = False
+        self._is_fetching = False
+        self._is_store_unavailable = False
         self._schedule = ReadSchedule(apply_seconds, random.Random())
         self._long_polling_enabled = asyncio.Event()
 
@@ -147,9 +147,9 @@
         return self._active_since
 
     @property
-    def record(self) -> bytes:
+    def encoded_policy(self) -> bytes:
         """The active policy as stored; empty before the first."""
-        return self._record
+        return self._encoded_policy
 
     @property
     def routes(self) -> RouteTable:
@@ -174,7 +174,7 @@
     @property
     def is_overdue(self) -> bool:
         """Whether the readers that are usually polled confirm the policy too late."""
-        return self._freshness.age > self._schedule.overdue_age
+        return self._freshness.age > self._schedule.overdue_age_seconds
 
     async def run_long_polls(self) -> None:
         """Long-poll the store for updates until cancelled.
@@ -202,11 +202,11 @@
             if self._policy is not None:
                 # The age grows by at most one second per second, so no read is due
                 # before.
-                until_due = min(
-                    schedule.read_age - self.age, schedule.max_sleep_seconds
+                seconds_until_due = min(
+                    schedule.read_due_age_seconds - self.age, schedule.max_sleep_seconds
                 )
-                await asyncio.sleep(max(MIN_READ_INTERVAL_SECONDS, until_due))
-                if self.age < schedule.read_age:
+                await asyncio.sleep(max(MIN_READ_INTERVAL_SECONDS, seconds_until_due))
+                if self.age < schedule.read_due_age_seconds:
                     continue
             try:
                 await self._read_store()
@@ -221,15 +221,15 @@
 
     async def _wait_for_peer_policy(self) -> None:
         """Wait some time for a peer's policy before the first read of the store."""
-        wait = self._schedule.draw_initial_wait(self._first_start)
+        wait_seconds = self._schedule.draw_initial_wait(self._first_start)
         while (
-            wait > 0
+            wait_seconds > 0
             and self._policy is None
             and not self._long_polling_enabled.is_set()
         ):
-            step = min(INITIAL_WAIT_POLL_SECONDS, wait)
+            step = min(INITIAL_WAIT_POLL_SECONDS, wait_seconds)
             await asyncio.sleep(step)
-            wait -= step
+            wait_seconds -= step
 
     async def _read_store(self) -> None:
         """Read the store once, without waiting for an update."""
@@ -278,13 +278,13 @@
 
     async def fetch_newer(self, peer: Peer) -> None:
         """Fetch and apply a peer's newer policy, unless a fetch is in progress."""
-        if self._fetching:
+        if self._is_fetching:
             return
-        self._fetching = True
+        self._is_fetching = True
         try:
             await self._fetch_policy(peer)
         finally:
-            self._fetching = False
+            self._is_fetching = False
 
     async def _fetch_policy(self, peer: Peer) -> None:
         asked_at = self._freshness.now
@@ -337,7 +337,7 @@
             return
         self._policy = policy
         self._active_since = time.monotonic()
-        self._record = record
+        self._encoded_policy = record
         self._routes = RouteTable(policy.routes)
         self._freshness.confirm(asked_at, age)
         self._journal.emit(
@@ -351,8 +351,8 @@
             self._broadcast_state()
 
     def _record_store_status(self, unavailable: bool, error: str = "") -> None:
-        if unavailable != self._store_unavailable:
-            self._store_unavailable = unavailable
+        if unavailable != self._is_store_unavailable:
+            self._is_store_unavailable = unavailable
             if unavailable:
                 self._journal.emit(LOG_LOST, error=error)
             else:
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -10,17 +10,17 @@
 # Fraction of the time within which a policy must be active, after which a node without
 # confirmation reads the store. The rest is for the response; drawn from this range, so
 # that nodes do not all read at once.
-UNCONFIRMED_READ_AGE_RATIOS = (0.8, 0.92)
+READ_DUE_AGE_RATIO_RANGE = (0.8, 0.92)
 # Age that a confirmation gains between the first reader and a node: readers poll the
 # first one four times a second, nodes poll readers twice a second.
-PROPAGATION_SECONDS = 0.85
+MAX_PROPAGATION_SECONDS = 0.85
 # The second reader reads the store this long after the first one should have, and each
 # further reader one step later.
 FAILOVER_DELAY_SECONDS = 0.4
 FAILOVER_STEP_SECONDS = 0.1
-MIN_READ_AGE_SECONDS = 0.3
+MIN_READ_DUE_AGE_SECONDS = 0.3
 # Number of readers that long-poll the store. The others get broadcasts.
-LONG_POLLING_READERS = 2
+LONG_POLLING_READER_COUNT = 2
 # Backoff between reads while the store fails.
 INITIAL_BACKOFF_SECONDS = 0.2
 MAX_READER_BACKOFF_SECONDS = 1.0
@@ -39,43 +39,49 @@
         rng: Spreads the reads of many nodes.
     """
 
-    __slots__ = ("_apply_seconds", "_backoff", "_rank", "_read_age", "_rng")
+    __slots__ = (
+        "_apply_seconds",
+        "_backoff_seconds",
+        "_rank",
+        "_read_due_age_seconds",
+        "_rng",
+    )
 
     def __init__(self, apply_seconds: float, rng: random.Random):
         self._apply_seconds = apply_seconds
         self._rng = rng
         self._rank: int | None = None
-        self._backoff = 0.0
-        self._read_age = self._draw_read_age()
+        self._backoff_seconds = 0.0
+        self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
     @property
-    def read_age(self) -> float:
+    def read_due_age_seconds(self) -> float:
         """Policy age, in seconds, at which to read the store."""
-        return self._read_age
+        return self._read_due_age_seconds
 
     @property
-    def overdue_age(self) -> float:
+    def overdue_age_seconds(self) -> float:
         """Policy age, in seconds, above which all readers are polled."""
         first_reader_age = self._compute_first_reader_age()
         if self._rank is None:
-            return first_reader_age + PROPAGATION_SECONDS
+            return first_reader_age + MAX_PROPAGATION_SECONDS
         return first_reader_age + FAILOVER_DELAY_SECONDS
 
     @property
     def uses_long_polling(self) -> bool:
         """Whether this node long-polls the store for updates."""
-        return self._rank is not None and self._rank < LONG_POLLING_READERS
+        return self._rank is not None and self._rank < LONG_POLLING_READER_COUNT
 
     @property
     def max_sleep_seconds(self) -> float:
         """Longest sleep, in seconds, before the policy age is checked again."""
-        return UNCONFIRMED_READ_AGE_RATIOS[0] * self._apply_seconds
+        return READ_DUE_AGE_RATIO_RANGE[0] * self._apply_seconds
 
     def set_reader_rank(self, rank: int | None) -> None:
         """Set this node's rank among the readers; None if it is not a reader."""
         if rank != self._rank:
             self._rank = rank
-            self._read_age = self._draw_read_age()
+            self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
     def draw_initial_wait(self, first_start: bool) -> float:
         """Return for how many seconds to wait for a peer's policy after the start."""
@@ -88,23 +94,23 @@
 
     def record_success(self) -> None:
         """Reset the backoff after a successful read."""
-        self._backoff = 0.0
-        self._read_age = self._draw_read_age()
+        self._backoff_seconds = 0.0
+        self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
     def record_failure(self) -> float:
         """Double the backoff after a failed read; return it in seconds, with jitter."""
         max_backoff = MAX_READER_BACKOFF_SECONDS
         if self._rank is None:
             max_backoff = MAX_NON_READER_BACKOFF_SECONDS
-        self._backoff = min(
-            max_backoff, max(INITIAL_BACKOFF_SECONDS, 2.0 * self._backoff)
+        self._backoff_seconds = min(
+            max_backoff, max(INITIAL_BACKOFF_SECONDS, 2.0 * self._backoff_seconds)
         )
-        return self._rng.uniform(0.75, 1.0) * self._backoff
+        return self._rng.uniform(0.75, 1.0) * self._backoff_seconds
 
-    def _draw_read_age(self) -> float:
+    def _draw_read_due_age_seconds(self) -> float:
         if self._rank is None:
             min_age, max_age = (
-                ratio * self._apply_seconds for ratio in UNCONFIRMED_READ_AGE_RATIOS
+                ratio * self._apply_seconds for ratio in READ_DUE_AGE_RATIO_RANGE
             )
             return self._rng.uniform(min_age, max_age)
         first_reader_age = self._compute_first_reader_age()
@@ -118,5 +124,5 @@
 
     def _compute_first_reader_age(self) -> float:
         """Return the policy age, in seconds, at which the first reader reads."""
-        earliest_age = UNCONFIRMED_READ_AGE_RATIOS[0] * self._apply_seconds
-        return max(MIN_READ_AGE_SECONDS, earliest_age - PROPAGATION_SECONDS)
+        earliest_age = READ_DUE_AGE_RATIO_RANGE[0] * self._apply_seconds
+        return max(MIN_READ_DUE_AGE_SECONDS, earliest_age - MAX_PROPAGATION_SECONDS)
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -67,13 +67,13 @@
         entry: NodeEntry,
         fleet: Fleet,
         server: PeerServer,
-        build_load: Callable[[], NodeState],
+        build_load_state: Callable[[], NodeState],
         call_ratios: CallRatioEstimator,
     ):
         self._entry = entry
         self._fleet = fleet
         self._server = server
-        self._build_load = build_load
+        self._build_load_state = build_load_state
         self._call_ratios = call_ratios
         self._relay_buffer = RelayBuffer()
         # The start time exceeds all sequences of this node's earlier processes.
@@ -83,7 +83,7 @@
     def build_full_state(self) -> NodeState:
         """Return the complete state, for a node that has just connected."""
         now = time.monotonic()
-        state = self._build_load()
+        state = self._build_load_state()
         state.sequence = self._sequence
         state.downstream_calls = self._call_ratios.get_ratios(now)
         state.is_full = True
@@ -110,10 +110,10 @@
             self.broadcast_now()
             return
         state = self._build_update()
-        readers = set(self._fleet.list_readers())
-        if self._entry.name in readers:
+        relays = set(self._fleet.list_readers())
+        if self._entry.name in relays:
             self._relay_buffer.add(self._entry.name, state.copy())
-        self._server.send(State(state, relay=True), lambda other: other.name in readers)
+        self._server.send(State(state, relay=True), lambda other: other.name in relays)
 
     def _is_same_zone(self, other: NodeEntry) -> bool:
         return other.zone == self._entry.zone
@@ -122,7 +122,7 @@
         """Return the next state to send, with call ratios if those are due."""
         now = time.monotonic()
         self._sequence += 1
-        state = self._build_load()
+        state = self._build_load_state()
         state.sequence = self._sequence
         if now - self._call_ratios_sent_at > CALL_RATIOS_INTERVAL_SECONDS:
             self._call_ratios_sent_at = now
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -49,7 +49,7 @@
         "_protocol_error",
         "_reader",
         "_transport",
-        "_uncompressed_frames",
+        "_uncompressed_frame_count",
         "last_received_at",
     )
 
@@ -64,7 +64,7 @@
         self._transport: asyncio.Transport | None = None
         self._protocol_error = ""
         self._compressor: FrameCompressor | None = None
-        self._uncompressed_frames = 0
+        self._uncompressed_frame_count = 0
         self._cross_zone_bytes: CrossZoneBytes | None = None
         self.last_received_at = time.monotonic()
 
@@ -133,8 +133,8 @@
     def _get_compressor(self, frame: Frame) -> FrameCompressor | None:
         """Return the compressor; None before enough compressible frames were sent."""
         if self._compressor is None and isinstance(frame, COMPRESSIBLE_FRAMES):
-            self._uncompressed_frames += 1
-            if self._uncompressed_frames > MAX_UNCOMPRESSED_FRAMES:
+            self._uncompressed_frame_count += 1
+            if self._uncompressed_frame_count > MAX_UNCOMPRESSED_FRAMES:
                 self._compressor = FrameCompressor()
         return self._compressor
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -71,7 +71,7 @@
     for number in range(0, 36, 3):
         peer = fleet.get(f"deep-{number:02}")
         assert peer is not None
-        peer.record_load(96.0)
+        peer.record_in_flight(96.0)
     candidate = fleet.choose("deep", None, (), 40.0, 600.0, {})
     assert candidate is not None
     assert not candidate.same_zone
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -301,7 +301,9 @@
     another zone serves them.
     """
     silent_server = mesh.places[1].node._peer_server
-    paused_streams = [(stream, stream._transport) for stream in silent_server._streams]
+    paused_streams = [
+        (stream, stream._transport) for stream in silent_server._tasks_by_stream
+    ]
     for stream, transport in paused_streams:
         transport.pause_reading()
         stream._transport = None
--- a/tests/test_read_schedule.py
+++ b/tests/test_read_schedule.py
@@ -6,7 +6,7 @@
 
 from primroseglade.sidecar.read_schedule import (
     MAX_NON_READER_BACKOFF_SECONDS,
-    PROPAGATION_SECONDS,
+    MAX_PROPAGATION_SECONDS,
     ReadSchedule,
 )
 
@@ -21,14 +21,14 @@
 @pytest.mark.parametrize("apply_seconds", [1.0, 2.0, 3.0])
 def test_nodes_never_read_the_store_while_readers_answer(apply_seconds: float):
     """Guards against reads by every node although the readers confirm the policy."""
-    first_reader_age = build_schedule(0, apply_seconds).read_age
+    first_reader_age = build_schedule(0, apply_seconds).read_due_age_seconds
     if apply_seconds >= 2.0:
         node_read_ages = [
-            build_schedule(None, apply_seconds).read_age for _ in range(20)
+            build_schedule(None, apply_seconds).read_due_age_seconds for _ in range(20)
         ]
-        assert first_reader_age + PROPAGATION_SECONDS <= min(node_read_ages)
+        assert first_reader_age + MAX_PROPAGATION_SECONDS <= min(node_read_ages)
     assert all(
-        first_reader_age + 0.35 < build_schedule(n, apply_seconds).read_age
+        first_reader_age + 0.35 < build_schedule(n, apply_seconds).read_due_age_seconds
         for n in range(1, 6)
     )
 
@@ -39,7 +39,10 @@
     updates: the node must read the store before the time allowed has passed.
     """
     for _ in range(50):
-        assert build_schedule(None, apply_seconds).read_age <= 0.93 * apply_seconds
+        assert (
+            build_schedule(None, apply_seconds).read_due_age_seconds
+            <= 0.93 * apply_seconds
+        )
 
 
 def test_reads_of_a_failing_store_back_off():
