--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -15,8 +15,8 @@
 # A backend server waits 1 s for the acknowledgement of its report.
 ACK_TIMEOUT_SECONDS = 0.8
 # Other nodes asked to record a drain, so that one can fail without losing it.
-DRAIN_REPLICAS = 2
-STORE_POLL_SECONDS = 0.005
+DRAIN_REPLICA_COUNT = 2
+STORED_DRAIN_POLL_SECONDS = 0.005
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
 # Maximum number of drains that a node records for others; the oldest are evicted.
@@ -143,12 +143,12 @@
             asyncio.create_task(
                 peer.replicate_drain(instance, start_time_ms, ACK_TIMEOUT_SECONDS)
             )
-            for peer in peers[:DRAIN_REPLICAS]
+            for peer in peers[:DRAIN_REPLICA_COUNT]
         ]
         try:
             async with asyncio.timeout(ACK_TIMEOUT_SECONDS):
                 while instance not in self._stored_drain_instances:
-                    await asyncio.sleep(STORE_POLL_SECONDS)
+                    await asyncio.sleep(STORED_DRAIN_POLL_SECONDS)
         except TimeoutError:
             # The write continues in the background until the store accepts it.
             pass
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -68,9 +68,11 @@
     """Counts requests, retries and latencies, and renders all metrics of a node."""
 
     def __init__(self) -> None:
-        self._outcomes: collections.Counter[tuple[str, str]] = collections.Counter()
-        self._retries: collections.Counter[str] = collections.Counter()
-        self._histograms: dict[str, LatencyHistogram] = {}
+        self._requests_by_outcome: collections.Counter[tuple[str, str]] = (
+            collections.Counter()
+        )
+        self._retries_by_reason: collections.Counter[str] = collections.Counter()
+        self._histograms_by_route: dict[str, LatencyHistogram] = {}
 
     def record_request(self, route: str, outcome: str, seconds: float) -> None:
         """Record a request of a caller or of the local backend server.
@@ -80,17 +82,20 @@
             outcome: ``served``, a status of the backend server, or a refusal's reason.
             seconds: Time from its arrival to its response.
         """
-        if route not in self._histograms and len(self._histograms) >= MAX_ROUTE_LABELS:
+        if (
+            route not in self._histograms_by_route
+            and len(self._histograms_by_route) >= MAX_ROUTE_LABELS
+        ):
             route = OTHER_ROUTES_LABEL
-        histogram = self._histograms.get(route)
+        histogram = self._histograms_by_route.get(route)
         if histogram is None:
-            histogram = self._histograms[route] = LatencyHistogram()
+            histogram = self._histograms_by_route[route] = LatencyHistogram()
         histogram.observe(seconds)
-        self._outcomes[route, outcome] += 1
+        self._requests_by_outcome[route, outcome] += 1
 
     def record_retry(self, reason: str) -> None:
         """Count a retry."""
-        self._retries[reason] += 1
+        self._retries_by_reason[reason] += 1
 
     def render(self, node: "SidecarNode") -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -109,13 +114,13 @@
             "Requests by outcome.",
             labels=["route", "outcome"],
         )
-        for (route, outcome), count in self._outcomes.items():
+        for (route, outcome), count in self._requests_by_outcome.items():
             requests.add_metric([route, outcome], count)
         yield requests
         retries = core.CounterMetricFamily(
             METRIC_PREFIX + "repeats", "Further attempts, by why.", labels=["reason"]
         )
-        for reason, count in self._retries.items():
+        for reason, count in self._retries_by_reason.items():
             retries.add_metric([reason], count)
         yield retries
         latency = core.HistogramMetricFamily(
@@ -123,7 +128,7 @@
             "Time from arrival to answer.",
             labels=["route"],
         )
-        for route, histogram in self._histograms.items():
+        for route, histogram in self._histograms_by_route.items():
             latency.add_metric(
                 [route], _build_cumulative_buckets(histogram), histogram.total_seconds
             )
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -114,14 +114,14 @@
         self._pending_replies: dict[int, asyncio.Future[Frame]] = {}
         self._token_requests = TokenRequests(self._loop)
         self._remote_clock = RemoteClock()
-        self._last_id = 0
+        self._last_request_id = 0
         self._ping_sent_on_age_clock = 0.0
         self._ping_sent_at = 0.0
         self._pending_since = 0.0
         self._unanswered_ping_id = 0
         self._disconnected: asyncio.Event = asyncio.Event()
         self._hello_received = False
-        self._unreachable_logged = False
+        self._was_unreachable_logged = False
 
     @property
     def connected(self) -> bool:
@@ -167,7 +167,7 @@
                 self._disconnect("peer task ended")
             if self._hello_received:
                 self._hello_received = False
-                self._unreachable_logged = False
+                self._was_unreachable_logged = False
                 backoff = INITIAL_BACKOFF_SECONDS
                 last_connected_at = time.monotonic()
             await asyncio.sleep(random.uniform(backoff / 2, backoff))
@@ -257,8 +257,8 @@
         if not self.connected:
             on_grant(None)
             return
-        self._last_id += 1
-        request.id = self._last_id
+        self._last_request_id += 1
+        request.id = self._last_request_id
         self._token_requests.add(request.id, on_grant)
         self._send(request)
 
@@ -287,8 +287,8 @@
         now = time.monotonic()
         if self._unanswered_ping_id and not self._may_ping_again(now):
             return False
-        self._last_id += 1
-        self._unanswered_ping_id = self._last_id
+        self._last_request_id += 1
+        self._unanswered_ping_id = self._last_request_id
         self._ping_sent_at = now
         self._ping_sent_on_age_clock = read_age_clock()
         self._send(
@@ -344,8 +344,8 @@
     async def _request(self, frame: Call | PolicyRequest | DrainNote) -> Frame:
         if self._stream is None:
             raise ConnectionError("no stream to the node")
-        self._last_id += 1
-        frame.id = self._last_id
+        self._last_request_id += 1
+        frame.id = self._last_request_id
         future: asyncio.Future[Frame] = self._loop.create_future()
         if not self._pending_replies:
             self._pending_since = time.monotonic()
@@ -370,8 +370,8 @@
         self.send_ping()
 
     def _log_unreachable(self, error: Exception) -> None:
-        if not self._unreachable_logged:
-            self._unreachable_logged = True
+        if not self._was_unreachable_logged:
+            self._was_unreachable_logged = True
             reason = str(error) or "timed out"
             self._journal.emit(PEER_UNREACHABLE, peer=self.entry.name, reason=reason)
 
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -23,7 +23,7 @@
 
 MIN_READ_INTERVAL_SECONDS = 0.2
 # How long the store holds a read open for an update. Longer polls need fewer calls.
-LONG_POLL_SECONDS = 20.0
+LONG_POLL_WAIT_SECONDS = 20.0
 # A long poll times out this much after its wait: the connection may be open but dead.
 LONG_POLL_TIMEOUT_MARGIN_SECONDS = 2.0
 READ_TIMEOUT_SECONDS = 1.5
@@ -309,8 +309,8 @@
         if self._next_offset is None:
             await self._read_newest(asked_at)
             return
-        timeout = LONG_POLL_SECONDS + LONG_POLL_TIMEOUT_MARGIN_SECONDS
-        update = await self._read_since(LONG_POLL_SECONDS, timeout)
+        timeout = LONG_POLL_WAIT_SECONDS + LONG_POLL_TIMEOUT_MARGIN_SECONDS
+        update = await self._read_since(LONG_POLL_WAIT_SECONDS, timeout)
         if update is not None:
             self._apply_update(update, asked_at)
 
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -29,7 +29,7 @@
     """States of other nodes that wait to be relayed."""
 
     def __init__(self) -> None:
-        self._pending: dict[str, NodeState] = {}
+        self._pending_states: dict[str, NodeState] = {}
 
     def add(self, name: str, state: NodeState) -> None:
         """Add a node's newest state, with call ratios of a pending one if it has none.
@@ -38,16 +38,16 @@
             name: Name of the node.
             state: Its state; may be modified.
         """
-        previous = self._pending.get(name)
+        previous = self._pending_states.get(name)
         if previous is not None:
             if state.downstream_calls is None:
                 state.downstream_calls = previous.downstream_calls
-        self._pending[name] = state
+        self._pending_states[name] = state
 
     def take(self) -> list[tuple[str, NodeState]]:
         """Return the pending states with their nodes' names, and clear the buffer."""
-        pending = list(self._pending.items())
-        self._pending = {}
+        pending = list(self._pending_states.items())
+        self._pending_states = {}
         return pending
 
 
