--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -1,22 +1,24 @@
 """Compresses frames between availability zones, where traffic is expensive.
 
-The heads of calls and responses on a stream resemble each other, and states repeat
-names. Compressed with the preceding frames as context, they shrink to a quarter. Bodies
-are sent as they are; callers that want them smaller compress them themselves.
+A frame consists of a head and, if it carries a call or an answer, the body of that.
+The heads of calls and answers on a stream resemble each other, and states repeat names.
+Compressed with the preceding frames as context, heads shrink to a quarter. Bodies are
+sent as they are; callers that want smaller bodies compress them themselves.
 """
 
 import struct
 import zlib
 
 LENGTH_PREFIX = struct.Struct(">I")
-# Raw deflate with a window of 2 KiB, enough for some heads; both ends of each stream
-# keep a window in memory.
+# Raw deflate with a window of 2 KiB, which holds a few heads. Both ends of each stream
+# keep such a window in memory.
 WINDOW_BITS = -11
 ZLIB_MEMORY_LEVEL = 4
 COMPRESSION_LEVEL = 3
-# The end of every sync flush, removed before sending (RFC 7692, section 7.2.1).
+# Ends the output of every sync flush; removed before sending and added again before
+# decompression (RFC 7692, section 7.2.1).
 SYNC_FLUSH_MARKER = b"\x00\x00\xff\xff"
-# Limit of a decompressed head, many times the size of a large policy.
+# Maximum size of a decompressed head, many times that of a large policy.
 MAX_HEAD_BYTES = 16 * 1024 * 1024
 
 
@@ -35,7 +37,7 @@
         )
 
     def compress_frame(self, head: bytes, body: bytes = b"") -> bytes:
-        """Return the payload of a frame: compressed head, with its length, and body."""
+        """Return the payload: length of the compressed head, compressed head, body."""
         compressed = self._compressor.compress(head) + self._compressor.flush(
             zlib.Z_SYNC_FLUSH
         )
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -1,7 +1,7 @@
 """Messages between nodes: length-prefixed msgpack frames, multiplexed on one stream.
 
 A unary gRPC call costs both ends several times the processor time of a message on an
-open stream. Each call crosses two nodes, so the cost multiplies over a tree of calls.
+open stream. Each call crosses two nodes, and a request can cause many calls.
 """
 
 import struct
@@ -23,9 +23,10 @@
 
     Attributes:
         entry: Name, address and location of the sender.
-        state: Complete state of the node that accepted the stream; None from the
-            node that opened it.
-        drains: Recorded drains: start times in Unix milliseconds, by instance id.
+        state: Full state of the node that accepted the stream; None from the node
+            that opened the stream.
+        drains: Backend servers that the sender has recorded as draining: start times in
+            Unix milliseconds, by instance id.
     """
 
     entry: NodeEntry
@@ -39,8 +40,9 @@
     Attributes:
         id: Id of the ping, repeated in the answer.
         sent_ms: Milliseconds on the sender's clock, which is not synchronized.
-        lease_ms: Time in milliseconds on the receiver's clock until which the sender
-            lends it its share of all rates; 0 if it lends nothing.
+        lease_end_ms: Time in milliseconds on the receiver's clock until which the
+            sender lends the receiver its share of the workspaces' rate limits; 0 if the
+            sender lends nothing.
     """
 
     id: int
@@ -54,8 +56,8 @@
     Attributes:
         id: Id of the ping.
         policy_version: Version of the configuration in force at the sender.
-        policy_age_ms: Milliseconds for which a newer version may exist unseen, as of
-            sending.
+        policy_age_ms: Milliseconds for which a newer version may have existed unseen by
+            the sender when it sent the answer.
         clock_ms: Milliseconds on the sender's clock.
     """
 
@@ -66,11 +68,11 @@
 
 
 class State(msgspec.Struct, array_like=True, tag=12):
-    """State broadcast of a node, on the streams that others have opened to it.
+    """A node's broadcast state, sent on the streams that other nodes opened to it.
 
     Attributes:
         state: The state.
-        relay: Whether the receiver relays it to its availability zone.
+        relay: Whether the receiver relays the state to its own availability zone.
     """
 
     state: NodeState
@@ -89,12 +91,12 @@
     Attributes:
         id: Id of the call on this stream.
         instance: Id of the expected backend server.
-        route: Name of its route.
+        route: Name of the call's route.
         request_id: Request id, repeated by the backend server in its answer.
         remaining_ms: Milliseconds left until the caller's deadline.
         latency_target_ms: Milliseconds left to the latency target; negative if missed.
-        idempotent: Whether it may run more than once.
-        nested: Whether a backend server makes it while serving another call.
+        idempotent: Whether the call may run more than once.
+        nested: Whether a backend server makes the call while serving another call.
         head: Request line and headers, except those that the receiver sets.
         body: The complete body.
         sent_ms: Milliseconds on the sender's clock, which is not synchronized.
@@ -114,7 +116,7 @@
 
 
 class Cancel(msgspec.Struct, array_like=True, tag=5):
-    """Cancels a call for which nobody waits any longer."""
+    """Cancels a call whose answer nobody waits for any longer."""
 
     id: int
 
@@ -128,7 +130,7 @@
         head: Status line and headers, except hop-by-hop ones.
         body: The complete body.
         signed: Whether the answer carries the backend server's signature.
-        in_flight: Calls running and queued there.
+        in_flight: Calls running and queued at the backend server.
     """
 
     id: int
@@ -145,10 +147,10 @@
     Attributes:
         id: Id of the call.
         reason: Code of a ``verdicts.Reason``.
-        may_have_run: Whether it may have run.
-        reached_backend: Whether the backend server received it and refused it itself.
-        detail: One sentence for people.
-        in_flight: Calls running and queued there.
+        may_have_run: Whether the call may have run.
+        reached_backend: Whether the backend server itself refused the call.
+        detail: Explanation in one sentence, for logs and error messages.
+        in_flight: Calls running and queued at the backend server.
     """
 
     id: int
@@ -170,9 +172,10 @@
 
     Attributes:
         id: Id of the request.
-        version: Version of the configuration; 0 if there is none.
-        age_ms: Milliseconds for which a newer version may exist unseen.
-        record: The record as the platform's store holds it; empty if there is none.
+        version: Version of the configuration; 0 if the sender has none.
+        age_ms: Milliseconds for which a newer version may exist unseen by the sender.
+        record: The configuration as the platform's store holds it; empty if the sender
+            has none.
     """
 
     id: int
@@ -209,7 +212,8 @@
         rate: Calls per second over the whole fleet.
         burst: Token bucket capacity over the whole fleet, in calls.
         version: Version of the configuration that defines the limits.
-        initial: Tokens that all holders together have after the whole fleet restarts.
+        initial: Tokens that all token holders (see ``TokenRequest``) together have
+            after the whole fleet restarts.
     """
 
     workspace: str
@@ -222,16 +226,19 @@
 class TokenRequest(msgspec.Struct, array_like=True, tag=14):
     """Requests tokens of a workspace from a token holder.
 
+    A token admits one call. The token holders are the nodes to which the other nodes
+    lend their shares of the rate limits; they keep the token buckets.
+
     Attributes:
         id: Id of the request on this stream.
         limits: Limits of the workspace.
         needed: Number of waiting calls.
         ahead: Number of further calls expected soon.
-        unspent: Tokens granted ahead of need that the sender still has.
+        unspent: Tokens that the sender was granted ahead of need and still has.
         returned: Tokens granted earlier that will not be spent.
-        loan: Tokens, possibly a fraction, to lend to the sender, which is itself a
-            holder; 0 if it is not. If calls wait, all spare tokens may be lent, else
-            only those above half of the lender's capacity.
+        loan: Tokens, possibly a fraction, that the sender wants to borrow if it is
+            itself a token holder; else 0. The lender lends at most its spare tokens if
+            calls wait, and otherwise at most those above half of its capacity.
     """
 
     id: int
@@ -248,9 +255,9 @@
 
     Attributes:
         id: Id of the request.
-        tokens: Granted tokens, one per call; loans between holders may include
-            fractions.
-        remaining_tokens: Tokens that the sender has left.
+        tokens: Granted tokens, one per call; a loan between token holders may include
+            a fraction.
+        remaining_tokens: Tokens left at the sender of the grant.
     """
 
     id: int
@@ -291,9 +298,9 @@
 
 
 def encode_compressed_frame(frame: Frame, compressor: FrameCompressor) -> bytes:
-    """Return the encoded bytes of a frame for a cross-zone stream.
+    """Return the compressed bytes of a frame for a cross-zone stream.
 
-    The body of a call or an answer is sent uncompressed.
+    The body of a call or an answer stays uncompressed.
     """
     body = b""
     if isinstance(frame, Call | CallAnswer):
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-# Also the default of routes without a priority; 0 is the most urgent.
+# The least urgent priority, and that of routes without one; 0 is the most urgent.
 LOWEST_PRIORITY = 9
 
 
@@ -16,7 +16,7 @@
 
 
 class WeightedService:
-    """A service with the weight of its share of a route's calls."""
+    """One of the services that share a route's calls in proportion to their weights."""
 
     __slots__ = ("name", "weight")
 
@@ -109,7 +109,11 @@
         self.burst = burst
 
     def has_higher_rate_than(self, other: "Tenant") -> bool:
-        """Return whether the rate limit is higher than in another version."""
+        """Return whether the rate limit is higher than in another version.
+
+        Both are versions of one workspace, from different policies. A rate of 0 means
+        no limit, which is higher than any limit.
+        """
         if self.rate <= 0 or other.rate <= 0:
             return self.rate <= 0 < other.rate
         return self.rate > other.rate
@@ -118,8 +122,8 @@
 def rank_request(route: Route, tenant: Tenant | None) -> int:
     """Return a request's rank; 0 is the most urgent.
 
-    The workspace's priority takes precedence; the route's orders the requests of
-    workspaces with equal priority.
+    The workspace's priority takes precedence; the route's priority orders the requests
+    of workspaces with equal priority.
     """
     primary = route.priority
     if tenant is not None and tenant.priority is not None:
@@ -146,10 +150,10 @@
 
 
 class Policy:
-    """One decoded version of the operator's configuration.
+    """A policy: one decoded version of the operator's configuration.
 
     Args:
-        version: Version number; newer versions have higher ones.
+        version: Version number; higher in newer versions.
         routes: All routes.
         tenants: Workspaces by API key; None if no call needs a key.
         limits: Limits on what callers may send.
@@ -181,14 +185,17 @@
     """A status report that a backend server sends to its node.
 
     Args:
-        instance: Instance id, usually a new one after each start.
-        service: Service that it provides.
-        address: Address that it listens on.
-        slots: Maximum number of calls that it processes concurrently.
-        state: Whether it accepts calls.
-        cold_remaining: Remaining seconds of its warm-up, during which it is slow.
-        sequence: Increases with each report of one incarnation.
-        start_time_ms: Unix time of its start, in milliseconds; 0 if not reported.
+        instance: Id of the backend server, usually a new one after each start.
+        service: Service that the backend server provides.
+        address: Address on which the backend server listens.
+        slots: Maximum number of calls that the backend server processes concurrently.
+        state: Whether the backend server accepts calls.
+        cold_remaining_seconds: Remaining time of the warm-up, during which the backend
+            server is slow.
+        sequence: Sequence number, which increases with each report until the backend
+            server restarts.
+        start_time_ms: Unix time of the backend server's start, in milliseconds; 0 if
+            not reported.
     """
 
     __slots__ = (
@@ -227,11 +234,11 @@
     """Address and location of a node, as kept in the platform's store.
 
     Attributes:
-        name: Unique name; a restarted process keeps it.
-        address: ``IP:PORT`` on which it listens for other nodes.
-        zone: Its availability zone.
-        service: Service of the backend server beside it.
-        start_time_ms: Unix time of the process's start, in milliseconds.
+        name: Unique name of the node, kept when its process restarts.
+        address: ``IP:PORT`` on which the node listens for other nodes.
+        zone: Availability zone of the node.
+        service: Service of the backend server beside the node.
+        start_time_ms: Unix time of the start of the node's process, in milliseconds.
     """
 
     name: str
@@ -241,12 +248,16 @@
     start_time_ms: int
 
     def equals_except_start_time(self, other: "NodeEntry") -> bool:
-        """Return whether another entry differs in nothing but the start time.
+        """Return whether another entry is equal, apart from the start time.
 
         >>> entry = NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 2)
-        >>> entry.has_same_location(NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 1))
+        >>> entry.equals_except_start_time(
+        ...     NodeEntry("n-1", "127.0.0.1:1", "a", "deep", 1)
+        ... )
         True
-        >>> entry.has_same_location(NodeEntry("n-1", "127.0.0.1:2", "a", "deep", 1))
+        >>> entry.equals_except_start_time(
+        ...     NodeEntry("n-1", "127.0.0.1:2", "a", "deep", 1)
+        ... )
         False
         """
         return (self.name, self.address, self.zone, self.service) == (
@@ -262,18 +273,21 @@
 
     Attributes:
         instance: Id of the backend server; empty while none is usable.
-        slots: Maximum number of calls that it processes concurrently.
-        in_flight: Calls running and queued there, averaged over a scheduler step.
+        slots: Maximum number of calls that the backend server processes concurrently.
+        in_flight: Calls running and queued at the backend server, averaged over the
+            last tick of the periodic scheduler.
         service_ms: Typical service time of a call, in milliseconds.
-        failure_ratio: Recent fraction of calls that failed there.
+        failure_ratio: Recent fraction of calls that failed at the backend server.
         policy_version: Version of the configuration in force.
-        downstream_calls: Calls made per call served, by the route of the served call
-            and the route of the calls made; the average over all calls served is
-            under ``""``. None if unchanged since the last update.
-        is_full: Whether it is the first state on a stream. It is then accepted with
-            any sequence, as a restarted node begins with a lower one.
-        sequence: Increases with each update, so that an older state delivered late by
-            a relay is discarded.
+        downstream_calls: Call ratios of the backend server: calls made per call served,
+            by the route of the served call and the route of the calls made. The average
+            over all calls served is under ``""``. None if the update leaves the
+            ratios out; those last sent then still apply.
+        is_full: Whether this is the full state, sent first on each stream. It replaces
+            the known state whatever its sequence number, as the number may be lower
+            after a restart of the node.
+        sequence: Sequence number, which increases with each update, so that an older
+            state delivered late by a relay is discarded.
         demand: Calls per second caused by requests of callers, admitted or not, by
             service.
         slot_ms: Typical time for which a call occupies a slot, in milliseconds.
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -23,9 +23,9 @@
 # A stream with more unsent bytes is closed, so that a peer that does not read cannot
 # exhaust this process's memory.
 MAX_UNSENT_BYTES = 32 * 1024 * 1024
-# Compressible frames that a stream sends before it creates a compressor. Compressor and
-# decompressor are most of the memory that a node keeps for a peer, and most streams of
-# a large fleet carry hardly any compressible frames.
+# Number of compressible frames that a stream sends uncompressed before it creates a
+# compressor. Compressor and decompressor take most of the memory that a node keeps for
+# a peer, and most streams of a large fleet carry hardly any compressible frames.
 MAX_UNCOMPRESSED_FRAMES = 8
 COMPRESSIBLE_FRAMES = (Call, CallAnswer, State, States)
 
@@ -91,7 +91,7 @@
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Pass on each complete frame, or close the connection on invalid data."""
+        """Call ``on_frame`` with each complete frame; close on invalid data."""
         self.last_received_at = time.monotonic()
         try:
             frames = self._reader.feed(data)
@@ -108,7 +108,11 @@
         return self._cross_zone_bytes is not None
 
     def mark_cross_zone(self, cross_zone_bytes: CrossZoneBytes) -> None:
-        """Count and compress the frames sent from now on."""
+        """Count the bytes of frames sent from now on, and compress these frames.
+
+        Args:
+            cross_zone_bytes: Counter of the bytes.
+        """
         self._cross_zone_bytes = cross_zone_bytes
 
     def send(self, frame: Frame, route: str = "") -> None:
@@ -116,7 +120,7 @@
 
         Args:
             frame: The frame.
-            route: Route under which the bytes of a cross-zone stream are counted.
+            route: Route under which the frame's bytes are counted if it crosses zones.
         """
         if self._cross_zone_bytes is None:
             self.send_encoded(encode_frame(frame))
@@ -131,7 +135,7 @@
         self.send_encoded(data)
 
     def _get_compressor(self, frame: Frame) -> FrameCompressor | None:
-        """Return the compressor; None before enough compressible frames were sent."""
+        """Return the compressor, or None until enough compressible frames were sent."""
         if self._compressor is None and isinstance(frame, COMPRESSIBLE_FRAMES):
             self._uncompressed_frame_count += 1
             if self._uncompressed_frame_count > MAX_UNCOMPRESSED_FRAMES:
@@ -139,7 +143,7 @@
         return self._compressor
 
     def send_encoded(self, data: bytes) -> None:
-        """Send a frame that is encoded already, once for many streams."""
+        """Send an encoded frame, which the caller may send on several streams."""
         if self._transport is None:
             return
         self._transport.write(data)
