--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -12,8 +12,9 @@
 from .peer import Peer, PeerHost
 from .zone_costs import ZoneCostsMs
 
-# Nodes compared for each call, in this node's zone and in others. The best of a few
-# random ones is nearly as good as the best of all, at a cost independent of fleet size.
+# Number of nodes compared for each call, in this node's zone and in other zones. The
+# best of a few random nodes is nearly as good as the best of all, at a cost independent
+# of fleet size.
 SAME_ZONE_SAMPLE_SIZE = 5
 CROSS_ZONE_SAMPLE_SIZE = 3
 
@@ -23,7 +24,7 @@
 
     Attributes:
         loads: Load of the backend servers.
-        min_costs: Lowest cost of a call in each zone, in milliseconds beyond its
+        min_costs_ms: Lowest cost of a call in each zone, in milliseconds beyond its
             service time.
         demand: Calls per second requested by the nodes' callers.
     """
@@ -57,12 +58,13 @@
 def build_candidate(
     peer: Peer, same_zone: bool = False, downstream_ms: float = 0.0
 ) -> Candidate:
-    """Return a node as a load balancing candidate.
+    """Return a peer as a load balancing candidate.
 
     Args:
-        peer: The node.
-        same_zone: Whether it is in this node's availability zone.
-        downstream_ms: Cost in milliseconds of the calls made below a call there.
+        peer: The peer.
+        same_zone: Whether the peer is in this node's availability zone.
+        downstream_ms: Cost in milliseconds of the further calls that a call makes if
+            the peer serves it.
     """
     state = peer.state
     return Candidate(
@@ -77,7 +79,7 @@
 
 
 class Fleet:
-    """The other nodes: adds and removes them, and picks one for each call.
+    """The other nodes: adds and removes peers, and picks a node for each call.
 
     Args:
         host: This node.
@@ -150,10 +152,12 @@
             peer.check_liveness(now)
 
     def list_readers(self) -> list[str]:
-        """Return the readers, which other nodes ask how old the configuration is.
+        """Return the names of the readers, sorted.
 
         The reader of an availability zone is its first connected node by name, so
-        nodes that see each other agree on it without coordination.
+        nodes that see each other agree on the readers without coordination. The first
+        reader reads the configuration from the platform's store; the other nodes ask
+        readers how old their configuration is.
         """
         first = self.index.list_first(1)
         return sorted(names[0] for names in first.values())
@@ -171,15 +175,17 @@
         failure_cost_ms: float,
         downstream_costs: ZoneCostsMs,
     ) -> Candidate | None:
-        """Return the node for the next attempt of a call, None if none is left.
+        """Return the node for the next attempt of a call, or None if no node is left.
 
         Args:
             service: The called service.
-            own_candidate: This node, if its backend server provides the service.
+            own_candidate: This node, if its backend server provides the service; else
+                None.
             tried: Names of nodes already tried.
             cross_zone_cost_ms: Extra cost of a call to another availability zone.
             failure_cost_ms: Cost of a failed call.
-            downstream_costs: Cost of the calls made below the call, by zone.
+            downstream_costs: Cost in milliseconds of the further calls that the call
+                makes, by the zone in which it is served.
         """
         service_peers = self.index.get_service_peers(service)
         same_zone_candidates = self._sample(
@@ -212,7 +218,7 @@
         tried: Collection[str],
         downstream_costs: ZoneCostsMs,
     ) -> Candidate | None:
-        """Return an untried suspect node, the last resort of a call."""
+        """Return an untried node that leaves pings unanswered, as a last resort."""
         for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
             if peer.usable and peer.entry.name not in tried:
                 return self._build_candidate(peer, downstream_costs)
@@ -225,7 +231,7 @@
         tried: Collection[str],
         downstream_costs: ZoneCostsMs,
     ) -> list[Candidate]:
-        """Return up to ``max_count`` usable nodes, beginning at a random one."""
+        """Return up to ``max_candidates`` usable nodes, beginning at a random one."""
         candidates: list[Candidate] = []
         if len(peers) > max_candidates:
             start = int(self._rng.random() * len(peers))
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -7,7 +7,7 @@
 
 
 class ServicePeers:
-    """The peers that provide one service, in this node's zone and in others."""
+    """The peers that provide one service, in this node's zone and in other zones."""
 
     __slots__ = ("cross_zone_peers", "same_zone_peers")
 
@@ -32,7 +32,7 @@
     def __init__(self, own_entry: NodeEntry, peers: Iterable[Peer]):
         self._own_entry = own_entry
         self._peers_by_service: dict[str, ServicePeers] = {}
-        # Nodes of each zone, sorted by name; the peer is None for this node.
+        # Name and peer of each node, by zone and sorted by name; None for this node.
         self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
             own_entry.zone: [(own_entry.name, None)]
         }
@@ -62,7 +62,7 @@
     def list_first(
         self, name_count: int, connected_only: bool = True
     ) -> dict[str, list[str]]:
-        """Return the names of the first nodes of each zone, in order of name.
+        """Return, by zone, the first names of its nodes in alphabetical order.
 
         Args:
             name_count: Maximum number of nodes per zone.
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -44,15 +44,15 @@
 # do not wait for their timeouts.
 SUSPECT_AFTER_SECONDS = 0.25
 # If nothing is received for this long after a ping, the stream is closed and idempotent
-# calls are retried elsewhere. Long enough for a packet that is lost twice.
+# calls are retried elsewhere. Long enough to retransmit a packet that is lost twice.
 PING_TIMEOUT_SECONDS = 1.0
 CONNECT_TIMEOUT_SECONDS = 1.0
 INITIAL_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 2.0
-# Weight of each call in the moving average of failures, which spans about 30 calls.
+# Weight of a call in the moving average of failures. The average spans about 30 calls.
 FAILURE_SMOOTHING = 1 / 32
-# A node that is unreachable for this long is removed. Longer than restarts and network
-# partitions last; a node that returns later announces itself with a Hello.
+# A node that is unreachable for this long is removed. Restarts and network partitions
+# are shorter; a node that returns later announces itself with a Hello.
 PEER_EXPIRY_SECONDS = 120.0
 
 
@@ -68,7 +68,11 @@
         """Counter of the bytes sent to other availability zones."""
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Apply the drains that a peer has recorded: start times by instance id."""
+        """Drain the backend servers that a peer has recorded as draining.
+
+        Args:
+            drains: Their start times in Unix milliseconds, by instance id.
+        """
 
     def handle_state(self, peer: "Peer") -> None:
         """Handle a new state of a peer."""
@@ -85,19 +89,19 @@
         Args:
             version: Version of the configuration in force there.
             age: Seconds for which a newer version may exist unknown to the peer.
-            asked_at: When the peer was asked, in seconds on the age clock.
+            asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
 
     def record_peer_clock(self) -> None:
-        """Handle the first estimate of a peer's clock on a new stream."""
+        """Handle the first known clock reading of a peer on a new stream."""
 
 
 class Peer:
     """Another node, and the outgoing stream to it.
 
     Args:
-        entry: Its name, address and location.
-        host: The node that this peer belongs to.
+        entry: Name, address and location of the other node.
+        host: This node.
         journal: Logs established and lost streams.
     """
 
@@ -106,7 +110,7 @@
         self.state = NodeState()
         self._loop = asyncio.get_running_loop()
         self.in_flight = 0.0
-        #: Fraction of failed calls: as last reported, updated by calls sent since.
+        #: Fraction of failed calls: as last reported, then updated by each call sent.
         self.failure_ratio = 0.0
         self._host = host
         self._journal = journal
@@ -125,7 +129,7 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the stream is open and the peer has introduced itself."""
+        """Whether the stream is open and the peer's Hello was received."""
         return (
             self._hello_received
             and self._stream is not None
@@ -134,12 +138,12 @@
 
     @property
     def usable(self) -> bool:
-        """Whether calls can be sent to its backend server."""
+        """Whether calls can be sent to the peer's backend server."""
         return bool(self.state.instance) and self.connected
 
     @property
     def has_pending_calls(self) -> bool:
-        """Whether requests await its reply."""
+        """Whether requests await the peer's reply."""
         return bool(self._pending_replies)
 
     @property
@@ -174,7 +178,7 @@
             backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     def apply_state(self, state: NodeState) -> bool:
-        """Apply a state of the node; return False if a newer one is known."""
+        """Apply a state of the peer; return False if a newer state is known."""
         if not state.is_full and state.sequence <= self.state.sequence:
             return False
         if state.downstream_calls is None:
@@ -186,14 +190,15 @@
         return True
 
     def record_in_flight(self, in_flight: float) -> None:
-        """Record the number of calls in flight at its backend server."""
+        """Record the number of calls in flight at the peer's backend server."""
         self.in_flight = in_flight
 
     async def call(self, call: Call) -> CallAnswer:
         """Run a call on the node's backend server and return the answer.
 
         Raises:
-            Refusal: The call got no answer; says whether it may have run.
+            Refusal: The call got no answer. The refusal says whether the call may have
+                run.
         """
         if not self.connected:
             raise not_run(Reason.CONNECTION_LOST, "no stream to the node")
@@ -252,7 +257,8 @@
 
         Args:
             request: The request; its id is set here.
-            done: Called once with the grant, or with None if there is none.
+            on_grant: Called once, with the grant, or with None if the peer is or
+                becomes unreachable or does not answer in time.
         """
         if not self.connected:
             on_grant(None)
@@ -263,7 +269,10 @@
         self._send(request)
 
     def lend_share(self, lease_seconds: float) -> bool:
-        """Lend this node's share of all rates to the peer for some seconds.
+        """Lend this node's share of the workspaces' rate limits to the peer.
+
+        Args:
+            lease_seconds: Length of the lease.
 
         Returns:
             Whether a lease was sent.
@@ -274,12 +283,12 @@
         return self.send_ping(int((remote_time + lease_seconds) * 1000))
 
     def send_ping(self, lease_end_ms: int = 0) -> bool:
-        """Send a ping, unless one is unanswered.
+        """Send a ping, unless the previous ping may still be answered.
 
         The answer carries the age of the peer's configuration.
 
         Args:
-            lease_ms: As in ``Ping``.
+            lease_end_ms: As in ``Ping``.
 
         Returns:
             Whether the ping was sent.
@@ -301,10 +310,10 @@
         return True
 
     def check_liveness(self, now: float) -> None:
-        """Ping the peer if pending calls get no answer; disconnect if it stays silent.
+        """Ping a peer that leaves calls unanswered; disconnect if it stays silent.
 
         The connection can be half-open: the other end, or a middlebox that has lost
-        its state, drops what is sent. A new connection may work.
+        its state, drops what is sent. Only a new connection can help then.
 
         Args:
             now: Seconds on the monotonic clock.
@@ -323,9 +332,9 @@
                 self.send_ping()
 
     def _may_ping_again(self, now: float) -> bool:
-        """Return whether the last ping is old, but other frames arrived since.
+        """Return whether a ping is long unanswered although other frames arrived since.
 
-        While nothing arrives, a new ping would restart the timeout of the first one.
+        While nothing arrives, another ping would restart the timeout of the first.
         """
         stream = self._stream
         received_since = (
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -1,4 +1,9 @@
-"""Periodic checks of other nodes: liveness, and the age of their configuration."""
+"""Periodic checks of other nodes: liveness, and the age of their configuration.
+
+The age is the time for which a newer version may exist unseen. One node in each
+availability zone is its reader (``Fleet.list_readers``); other nodes poll readers for
+the age, instead of reading the platform's store.
+"""
 
 import asyncio
 import time
@@ -7,17 +12,17 @@
 from .fleet import Fleet
 from .policy_tracker import PolicyTracker
 
-# How often the age of the configuration is polled: readers ask the first reader, all
-# other nodes ask the reader of their zone.
+# Intervals at which nodes poll the configuration's age: readers ask the first reader,
+# all other nodes ask the reader of their zone.
 READER_POLL_SECONDS = 0.25
 NON_READER_POLL_SECONDS = 0.5
-# How often the liveness of peers is checked while calls are pending. While none are,
-# the checks only detect stalls of this process.
+# Interval between liveness checks of peers while calls are pending, and while no calls
+# are. In the latter case the checks only detect stalls of this process.
 LIVENESS_CHECK_SECONDS = 0.1
 IDLE_LIVENESS_CHECK_SECONDS = 0.25
 # A check that runs this late shows that this process was stalled.
 STALL_THRESHOLD_SECONDS = 0.1
-# For this long after a stall, data read from sockets may be old.
+# Data read from sockets within this time after a stall may be old.
 STALL_RECOVERY_SECONDS = 0.5
 
 
@@ -27,8 +32,9 @@
     Args:
         node: Name of this node.
         fleet: The other nodes.
-        policies: Receives this node's rank among the readers.
-        report_stall: Called with whether this process was stalled recently.
+        policy_tracker: Receives this node's rank among the readers.
+        report_stall: Called after each check with whether this process was stalled
+            recently.
     """
 
     def __init__(
@@ -48,11 +54,11 @@
     def poll_policy_age(self, now: float) -> None:
         """Ping readers for the age of their configuration.
 
-        The readers of other zones are asked as well while the age known here is
-        overdue.
+        While this node's configuration has been unconfirmed for too long, the readers
+        of all zones are asked.
 
         Args:
-            now: Unused; every scheduled function receives the time.
+            now: Unused; the periodic scheduler passes the time to every task.
         """
         readers = self._fleet.list_readers()
         rank = readers.index(self._node_name) if self._node_name in readers else None
@@ -82,11 +88,11 @@
             due_at = time.monotonic() + interval_seconds
             await asyncio.sleep(interval_seconds)
             now = time.monotonic()
-            # Checked as of the time when the check was due. If it runs late, this
-            # process was stalled, not the peers, and frames sent since are still
-            # unread. Skipping late checks instead would disable them on a machine that
-            # is always slow, and calls to an unreachable zone would wait for their
-            # timeouts.
+            # Liveness is checked as of the time when the check was due. If the check
+            # runs late, this process was stalled, not the peers, and frames that they
+            # sent since are still unread. Skipping late checks instead would disable
+            # them on a machine that is always slow, and calls to an unreachable zone
+            # would wait for their timeouts.
             self._fleet.check_liveness(due_at)
             if now - due_at >= STALL_THRESHOLD_SECONDS:
                 self._stall_recovery_ends_at = now + STALL_RECOVERY_SECONDS
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -46,14 +46,14 @@
 
     @property
     def drains(self) -> dict[str, int]:
-        """Recorded drains of other nodes' backend servers: start times by id."""
+        """Drains recorded for other nodes: start times in Unix ms by instance id."""
 
     @property
     def in_flight(self) -> int:
         """Calls running and queued at the backend server."""
 
     def build_full_state(self) -> NodeState:
-        """Return this node's complete state."""
+        """Return this node's full state, as sent first on a stream."""
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the configuration in force, as an answer to a request."""
@@ -65,11 +65,11 @@
         """Handle a node that opened a stream to this one."""
 
     def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
-        """Record that a node lends its share of all rates.
+        """Record that a node lends its share of the rate limits to this node.
 
         Args:
-            lender: The node.
-            lease_ms: End of the lease on this node's age clock, in milliseconds.
+            lender: The lending node.
+            lease_end_ms: End of the lease on this node's ``read_age_clock``, in ms.
         """
 
     def answer_token_request(
@@ -78,9 +78,9 @@
         """Answer a node's request for tokens, immediately or later.
 
         Args:
-            sender: Name of the node.
-            request: Its request.
-            send: Sends the answer.
+            sender: Name of the requesting node.
+            request: The request.
+            send: Sends the answer to the requesting node.
         """
 
 
@@ -106,13 +106,14 @@
         self._host = host
         self._dispatcher = dispatcher
         self._journal = journal
+        # Tasks of calls by stream, then by the id of the call.
         self._tasks_by_stream: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
         self._entries_by_stream: dict[FrameStream, NodeEntry] = {}
         self._delays_by_stream: dict[FrameStream, OneWayDelay] = {}
 
     @property
     def calls_in_flight(self) -> int:
-        """Number of calls of other nodes in flight here."""
+        """Number of calls from other nodes in flight at this node."""
         return sum(len(tasks) for tasks in self._tasks_by_stream.values())
 
     async def run(self) -> None:
@@ -161,7 +162,8 @@
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
         tasks = self._tasks_by_stream.setdefault(stream, {})
         if isinstance(frame, Call):
-            # Time spent queueing on the way here counts against the deadline.
+            # Time for which the call was queued between the nodes counts against the
+            # deadline.
             queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
             frame.remaining_ms -= queueing_ms
             frame.latency_target_ms -= queueing_ms
@@ -173,7 +175,7 @@
             if task is not None:
                 task.cancel()
         elif isinstance(frame, Ping):
-            # Each stream begins with a ping, the baseline for the first call's delay.
+            # The first ping on a stream is the baseline for the first call's delay.
             self._measure_queueing_delay(stream, frame.sent_ms)
             self._answer_ping(stream, frame)
         elif isinstance(frame, Hello):
@@ -194,7 +196,7 @@
             stream.send(DrainNoted(frame.id))
 
     def _measure_queueing_delay(self, stream: FrameStream, sent_ms: int) -> float:
-        """Return the seconds that a frame spent queueing on the way here."""
+        """Return for how many seconds a frame was queued between the nodes."""
         one_way_delay = self._delays_by_stream.get(stream)
         if one_way_delay is None:
             one_way_delay = self._delays_by_stream[stream] = OneWayDelay()
@@ -203,7 +205,7 @@
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
         self._entries_by_stream.pop(stream, None)
         self._delays_by_stream.pop(stream, None)
-        # The sender has failed or cannot be reached; nobody waits for these calls.
+        # The sender has failed or is unreachable, so nobody waits for these calls.
         for task in list(self._tasks_by_stream.pop(stream, {}).values()):
             task.cancel()
 
