--- a/primroseglade/sidecar/freshness.py
+++ b/primroseglade/sidecar/freshness.py
@@ -6,14 +6,14 @@
 
 
 class Freshness:
-    """Tracks the time up to which all published versions are known here.
+    """Tracks the time up to which this node knows all published versions.
 
-    A newer version does not reset it: everything published up to that time is the
-    version in force or an older one.
+    A newly applied version does not reset that time: everything published up to it is
+    the version in force or an older version.
 
     Clocks of different instances are never compared. An answer carries the age of the
-    sender's knowledge; the time since the question was sent, which is at least the
-    time that the answer took, is added here.
+    sender's knowledge, to which this node adds the time since it sent the question.
+    That is at least the time that the answer took.
 
     Args:
         clock: Returns seconds on a clock that also counts while the machine is
@@ -26,7 +26,7 @@
 
     @property
     def now(self) -> float:
-        """Seconds on the clock; to be read before a question is sent."""
+        """Current time in seconds on the clock; read it before sending a question."""
         return self._clock()
 
     @property
@@ -37,11 +37,12 @@
         return self._clock() - self._confirmed_at
 
     def confirm(self, asked_at: float, reported_age: float = 0.0) -> None:
-        """Record that the version in force was the newest.
+        """Record an answer that the version in force is the newest.
 
         Args:
-            asked_at: When the question was sent.
-            reported_age: Age of the answer, in seconds.
+            asked_at: When the question was sent, in seconds on the clock.
+            reported_age: Age of the answering node's knowledge, in seconds; 0 if the
+                store answered.
         """
         confirmed_at = asked_at - reported_age
         if self._confirmed_at is None or confirmed_at > self._confirmed_at:
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -1,22 +1,24 @@
 """Estimates how long calls were queued between two nodes whose clocks differ.
 
-A call states the time remaining until its deadline when it is sent. On a congested
-link, or at a node short of processor time, it may be queued for longer than that, and
-running it would be wasted work. The offset of two nodes' clocks is unknown, but
-constant: a call was queued for as long as its delay exceeds the recent minimum.
+A call carries the time that remained until its deadline when it was sent. On a
+congested link, or at a node short of processor time, it may be queued for longer than
+that, and running it would be wasted work. The offset of two nodes' clocks is unknown,
+but constant, so the difference of receive and send time, the apparent delay, is too
+large or too small by the same amount for each call. A call was queued for as long as
+its apparent delay exceeds the recent minimum.
 """
 
 import math
 
-# The minimum is taken over the current and the previous window of this length. Clocks
-# drift by less than a millisecond in that time.
+# The minimum is taken over the current and the previous window of this length. In that
+# time, clocks drift by less than a millisecond.
 MIN_DELAY_WINDOW_SECONDS = 10.0
-# A smaller excess is normal jitter of links and event loops, and reported as none.
+# A smaller excess is normal jitter of links and event loops, and reported as 0.
 MIN_REPORTED_SECONDS = 0.02
 
 
 class OneWayDelay:
-    """Tracks the minimum delay of the calls on one stream.
+    """Tracks the minimum apparent delay of the calls on one stream.
 
     >>> delay = OneWayDelay()
     >>> delay.measure_excess(sent_at=100.0, now=7.0)
@@ -36,8 +38,8 @@
         """Return for how many seconds a call was queued between the nodes.
 
         Args:
-            sent_at: When it was sent, in seconds on the sender's age clock.
-            now: When it was received, in seconds on the age clock of this node.
+            sent_at: When the call was sent, by ``read_age_clock`` of the sender.
+            now: When the call was received, by ``read_age_clock`` of this node.
         """
         if now - self._window_start > MIN_DELAY_WINDOW_SECONDS:
             self._previous_window_min_delay, self._window_min_delay = (
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -1,4 +1,10 @@
-"""Keeps the active policy: the configuration, read from the store or from a peer."""
+"""Keeps the active policy: the configuration, read from the store or from a peer.
+
+One node in each availability zone is its reader (``Fleet.list_readers``). The first
+reader reads the platform's store, the other readers ask the first reader whether their
+policy is the newest, and all other nodes ask the reader of their zone. A node without
+an answer in time reads the store itself.
+"""
 
 import asyncio
 import random
@@ -22,19 +28,23 @@
 from .route_table import RouteTable
 
 MIN_READ_INTERVAL_SECONDS = 0.2
-# How long the store holds a read open for an update. Longer polls need fewer calls.
+# How long the store holds a long poll open if there is no update. Longer polls need
+# fewer calls.
 LONG_POLL_WAIT_SECONDS = 20.0
-# A long poll times out this much after its wait: the connection may be open but dead.
+# A long poll times out this long after the store should have answered, in case the
+# connection is open but dead.
 LONG_POLL_TIMEOUT_MARGIN_SECONDS = 2.0
 READ_TIMEOUT_SECONDS = 1.5
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 1.0
+# Interval of checks for a peer's policy before the first read of the store.
 INITIAL_WAIT_POLL_SECONDS = 0.02
 PEER_TIMEOUT_SECONDS = 1.0
 # Logged as the source of a version that did not come from a peer.
 STORE_SOURCE = "store"
-# Fraction of the revocation time up to which a policy is fresh. The rest covers the
-# transmission of a request to this node and pauses of this process.
+# A policy is fresh up to this fraction of the time within which a withdrawn key must
+# stop working. The rest covers the transmission of a request to this node and pauses of
+# this process.
 MAX_AGE_RATIO = 0.9
 
 
@@ -47,11 +57,11 @@
 
 
 class PolicyRecord:
-    """Holds a policy as stored, and the offset of the record after it.
+    """Holds a policy as stored, and the offset of the next record in the store.
 
     Args:
-        record: The encoded policy; None if there is none.
-        next_offset: Where the next read starts.
+        record: The encoded policy; None if the store holds none.
+        next_offset: Offset at which the next read starts.
     """
 
     __slots__ = ("next_offset", "record")
@@ -74,7 +84,7 @@
     async def read_since(
         self, offset: int, wait: float, timeout: float
     ) -> PolicyRecord | None:
-        """Return the newest policy published at or after an offset; None without one.
+        """Return the newest policy published at or after an offset, or None.
 
         Args:
             offset: The offset to read from.
@@ -133,22 +143,22 @@
 
     @property
     def policy(self) -> Policy | None:
-        """The active policy; None before the first."""
+        """The active policy; None until this node has one."""
         return self._policy
 
     @property
     def version(self) -> int:
-        """The active policy's version; 0 before the first."""
+        """Version of the active policy; 0 until this node has one."""
         return self._policy.version if self._policy else 0
 
     @property
     def in_force_since(self) -> float:
-        """When the policy became active at this node, on the loop's clock."""
+        """When the policy became active at this node, in monotonic seconds."""
         return self._active_since
 
     @property
     def encoded_policy(self) -> bytes:
-        """The active policy as stored; empty before the first."""
+        """The active policy as stored; empty until this node has one."""
         return self._encoded_policy
 
     @property
@@ -173,13 +183,13 @@
 
     @property
     def is_overdue(self) -> bool:
-        """Whether the readers that are usually polled confirm the policy too late."""
+        """Whether the readers usually asked have not confirmed the policy in time."""
         return self._freshness.age > self._schedule.overdue_age_seconds
 
     async def run_long_polls(self) -> None:
         """Long-poll the store for updates until cancelled.
 
-        Only the first readers do so: if all nodes did, each version would cost the
+        Only a few readers long-poll: if all nodes did, each version would cost the
         store one call per node.
         """
         delay = INITIAL_RETRY_SECONDS
@@ -200,8 +210,9 @@
         schedule = self._schedule
         while True:
             if self._policy is not None:
-                # The age grows by at most one second per second, so no read is due
-                # before.
+                # The age grows by at most one second per second, so it cannot reach the
+                # age at which a read is due before this sleep ends. After at most
+                # max_sleep_seconds the ages are compared again.
                 seconds_until_due = min(
                     schedule.read_due_age_seconds - self.age, schedule.max_sleep_seconds
                 )
@@ -220,7 +231,7 @@
                     await asyncio.sleep(MIN_READ_INTERVAL_SECONDS)
 
     async def _wait_for_peer_policy(self) -> None:
-        """Wait some time for a peer's policy before the first read of the store."""
+        """Wait for a peer's policy for a limited time before reading the store."""
         wait_seconds = self._schedule.draw_initial_wait(self._first_start)
         while (
             wait_seconds > 0
@@ -257,7 +268,7 @@
         """Set this node's rank among the readers, and start or stop long polls.
 
         Args:
-            rank: 0 for the first reader; None if this node is no reader.
+            rank: 0 for the first reader; None if this node is not a reader.
         """
         self._schedule.set_reader_rank(rank)
         if self._schedule.uses_long_polling:
@@ -269,9 +280,10 @@
         """Confirm the active policy by the age of a peer's policy.
 
         Args:
-            version: The peer's policy version; another than this node's is ignored.
+            version: The peer's policy version. If it differs from this node's, the call
+                has no effect.
             age: Seconds for which a newer version may have existed unseen by the peer.
-            asked_at: When the peer was asked, in seconds on the age clock.
+            asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
         if self.version and version == self.version:
             self._freshness.confirm(asked_at, age)
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -1,38 +1,42 @@
 """When a node reads the platform's store to confirm that its policy is the newest.
 
-To keep calls to the store few, the first reader of the fleet reads it often, the other
-nodes poll readers, and a node reads the store itself only if no reader it polls has
-confirmed the policy in time.
+One node in each availability zone is its reader (``Fleet.list_readers``). To keep calls
+to the store few, only the first reader of the fleet reads the store often. The other
+readers ask the first reader whether its policy is the same, and all other nodes ask
+the reader of their zone. A node reads the store itself only if its policy has not been
+confirmed in time. The policy age is the time for which a newer version may exist
+unseen.
 """
 
 import random
 
-# Fraction of the time within which a policy must be active, after which a node without
-# confirmation reads the store. The rest is for the response; drawn from this range, so
-# that nodes do not all read at once.
+# Policy age at which a node that is not a reader reads the store, as a fraction of the
+# time within which a policy must be active. The rest of that time is for the response.
+# The fraction is drawn from this range, so that nodes do not all read at once.
 READ_DUE_AGE_RATIO_RANGE = (0.8, 0.92)
-# Age that a confirmation gains between the first reader and a node: readers poll the
-# first one four times a second, nodes poll readers twice a second.
+# Age that a confirmation can gain between the first reader and a node: readers poll the
+# first reader four times a second, other nodes poll their reader twice a second.
 MAX_PROPAGATION_SECONDS = 0.85
-# The second reader reads the store this long after the first one should have, and each
-# further reader one step later.
+# If the policy stays unconfirmed, the second reader reads the store this long after the
+# first reader should have, and each further reader one step after the previous one.
 FAILOVER_DELAY_SECONDS = 0.4
 FAILOVER_STEP_SECONDS = 0.1
 MIN_READ_DUE_AGE_SECONDS = 0.3
-# Number of readers that long-poll the store. The others get broadcasts.
+# Number of readers that long-poll the store. The other nodes fetch a new version from a
+# node whose state broadcast shows it.
 LONG_POLLING_READER_COUNT = 2
 # Backoff between reads while the store fails.
 INITIAL_BACKOFF_SECONDS = 0.2
 MAX_READER_BACKOFF_SECONDS = 1.0
 MAX_NON_READER_BACKOFF_SECONDS = 2.0
-# How long a node that just started waits for a peer's policy; longer while the whole
-# fleet starts for the first time and hardly any node has one.
+# How long a node that just started waits for a peer's policy. The wait is longer while
+# the whole fleet starts for the first time, because hardly any node has a policy then.
 INITIAL_WAIT_RANGE_SECONDS = (0.15, 0.6)
 FLEET_START_WAIT_RANGE_SECONDS = (0.6, 1.8)
 
 
 class ReadSchedule:
-    """Decides at which policy age, and after which backoff, a node reads the store.
+    """Decides at which policy age a node reads the store, and how failures back off.
 
     Args:
         apply_seconds: Seconds within which a published policy must be active.
@@ -61,7 +65,7 @@
 
     @property
     def overdue_age_seconds(self) -> float:
-        """Policy age, in seconds, above which all readers are polled."""
+        """Policy age, in seconds, above which this node polls all readers."""
         first_reader_age = self._compute_first_reader_age()
         if self._rank is None:
             return first_reader_age + MAX_PROPAGATION_SECONDS
@@ -93,12 +97,12 @@
         return self._rng.uniform(*wait_range)
 
     def record_success(self) -> None:
-        """Reset the backoff after a successful read."""
+        """Reset the backoff after a successful read, and draw the next read age."""
         self._backoff_seconds = 0.0
         self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
     def record_failure(self) -> float:
-        """Double the backoff after a failed read; return it in seconds, with jitter."""
+        """Double the backoff after a failed read; return it in seconds, jittered."""
         max_backoff = MAX_READER_BACKOFF_SECONDS
         if self._rank is None:
             max_backoff = MAX_NON_READER_BACKOFF_SECONDS
