--- a/primroseglade/sidecar/loop.py
+++ b/primroseglade/sidecar/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of the platform's node."""
+"""The event loop on which a node runs."""
 
 import asyncio
 import os
@@ -10,8 +10,8 @@
 
 
 def build_loop() -> asyncio.AbstractEventLoop:
-    """Return a uvloop event loop, on which calls cost less than on asyncio's own."""
-    # The library reads the variable once, when it creates its first loop.
+    """Return a uvloop event loop; calls cost less on it than on asyncio's own loop."""
+    # uvloop's C library reads the variable once, when it creates its first loop.
     os.environ[IO_URING_VARIABLE] = "0"
     import uvloop
 
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -55,11 +55,13 @@
 
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
-# Callers stop sending after two failed readiness checks, one second apart; a few more
-# requests arrive on connections that were being opened meanwhile.
+# Minimum time for which a node serves requests after it is told to stop. Callers stop
+# sending after two failed readiness checks, one second apart; a few more requests
+# arrive on connections that were being opened meanwhile.
 MIN_LAME_DUCK_SECONDS = 3.2
-# Fraction of the grace period after which a request is accepted only if its deadline
-# lies before the end of the shutdown. Only earlier requests may be cut off.
+# From this fraction of the grace period on, a request is accepted only if its deadline
+# lies before the end of the shutdown, so that only requests accepted before can be cut
+# off.
 DEADLINE_CHECK_GRACE_RATIO = 0.45
 DRAIN_POLL_SECONDS = 0.05
 # Reserved at the end of the grace period for the exit of the process on a machine short
@@ -82,8 +84,9 @@
         dialect: The protocol spoken with callers and backend servers.
         store: Client of the platform's store.
         journal: Receives events.
-        build_ready: Builds the handler of readiness checks.
-        build_control: Builds the handler of the backend server's status reports.
+        build_readiness_handler: Builds the handler of readiness checks.
+        build_control_handler: Builds the handler of the backend server's status
+            reports.
     """
 
     def __init__(
@@ -228,7 +231,7 @@
 
     @property
     def drains(self) -> dict[str, int]:
-        """Draining backend servers of other nodes, with their start times in ms."""
+        """Drains recorded for other nodes: start times in Unix ms by instance id."""
         return self.registration.recorded_drains
 
     @property
@@ -278,7 +281,7 @@
         await self._store.close()
 
     def build_full_state(self) -> NodeState:
-        """Return the full state that this node broadcasts."""
+        """Return the full state, which this node sends first on a new stream."""
         return self._state_broadcaster.build_full_state()
 
     def handle_state(self, peer: Peer) -> None:
@@ -304,7 +307,7 @@
         Args:
             version: The peer's policy version.
             age: Seconds for which a newer version may exist unseen by the peer.
-            asked_at: When the peer was asked, in seconds on the age clock.
+            asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
         self.policies.record_peer_age(version, age, asked_at)
 
@@ -320,23 +323,27 @@
         self.registration.record_drain(instance, start_time_ms)
 
     def count_in_flight(self) -> int:
-        """Return the in-flight requests of callers and of other nodes."""
+        """Return the number of requests in flight at this node.
+
+        These are requests of callers and of the backend server, and calls of other
+        nodes.
+        """
         return self._outbound_server.busy + self._peer_server.calls_in_flight
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Apply the drains of backend servers that a peer has recorded."""
+        """Drain the backend servers that a peer has recorded as draining."""
         self.registration.apply_drains(drains)
 
     def record_peer_clock(self) -> None:
-        """Renew the share lease, now that a peer's clock can be estimated."""
+        """Renew the lease of this node's rate share, which needs the peer's clock."""
         self.rates.renew_lease(time.monotonic())
 
     def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
-        """Record that a node lends its share of all rates to this node.
+        """Record that a node lends its share of the rate limits to this node.
 
         Args:
             lender: The lending node.
-            lease_ms: End of the lease, in milliseconds on this node's clock.
+            lease_end_ms: End of the lease on this node's ``read_age_clock``, in ms.
         """
         self.rates.record_lease(lender, lease_end_ms)
 
@@ -378,8 +385,8 @@
         scheduler.add(self._load_monitor.update)
         scheduler.add(self._state_broadcaster.relay_pending)
         scheduler.add(self._state_broadcaster.broadcast, BROADCAST_SECONDS)
-        # Before the policy poll: the lease travels in a ping, and a peer gets no second
-        # ping while one is unanswered.
+        # Before the poll of the policy age: leases and polls are both sent as pings,
+        # and a peer gets no second ping while one is unanswered.
         scheduler.add(self.rates.renew_lease)
         scheduler.add(self._peer_monitor.poll_policy_age, READER_POLL_SECONDS)
         scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_SECONDS)
@@ -427,9 +434,9 @@
     async def _register_and_discover(self) -> None:
         """Register this node in the store, then connect to the nodes listed there.
 
-        In this order, so that of two nodes starting at once at least one finds the
-        other and opens a stream to it. A restarted node is registered already; its
-        new stream tells the others that the process is a new one.
+        The order ensures that of two nodes starting at once at least one finds the
+        other and opens a stream to it. A restarted node is registered already; the
+        Hello on its new streams shows the other nodes that its process is a new one.
         """
         registered = False
         while True:
@@ -454,7 +461,7 @@
             await asyncio.sleep(self._rng.uniform(0.5, 1.0) * STORE_RETRY_SECONDS)
 
     def _count_nodes(self) -> int:
-        """Return the number of nodes; 0 until the nodes in the store are listed."""
+        """Return the number of known nodes; 0 until those in the store are listed."""
         return len(self.fleet) if self._nodes_listed else 0
 
     def _build_load_state(self) -> NodeState:
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -32,14 +32,14 @@
     5.0,
     10.0,
 )
-# Further routes share one label, so that a configuration of thousands of routes does
-# not exhaust memory.
+# Routes beyond this number share one label, so that a configuration of thousands of
+# routes does not exhaust memory.
 MAX_ROUTE_LABELS = 200
 OTHER_ROUTES_LABEL = "other"
-# Limits the number of time series that workspaces add to the metrics.
+# Maximum number of workspaces in the metrics; each adds time series.
 MAX_WORKSPACE_LABELS = 200
-# An unknown, infinite age is reported as this value of some days: metrics and messages
-# hold finite numbers only.
+# Reported instead of an unknown age, which is infinite: metrics and messages hold only
+# finite numbers. Over 11 days.
 MAX_REPORTED_AGE_SECONDS = 1e6
 METRIC_PREFIX = "primroseglade_"
 
@@ -78,9 +78,9 @@
         """Record a request of a caller or of the local backend server.
 
         Args:
-            route: Name of its route; empty if it has none.
+            route: Name of the request's route; empty if it has none.
             outcome: ``served``, a status of the backend server, or a refusal's reason.
-            seconds: Time from its arrival to its response.
+            seconds: Time from the request's arrival to its response.
         """
         if (
             route not in self._histograms_by_route
@@ -106,7 +106,7 @@
         return generate_latest(registry)
 
     def collect(self, node: "SidecarNode") -> Iterator[Any]:
-        """Yield all metrics as metric families of the library."""
+        """Yield all metrics as metric families of the metrics library."""
         from prometheus_client import core
 
         requests = core.CounterMetricFamily(
@@ -118,14 +118,14 @@
             requests.add_metric([route, outcome], count)
         yield requests
         retries = core.CounterMetricFamily(
-            METRIC_PREFIX + "repeats", "Further attempts, by why.", labels=["reason"]
+            METRIC_PREFIX + "repeats", "Retries by reason.", labels=["reason"]
         )
         for reason, count in self._retries_by_reason.items():
             retries.add_metric([reason], count)
         yield retries
         latency = core.HistogramMetricFamily(
             METRIC_PREFIX + "request_seconds",
-            "Time from arrival to answer.",
+            "Seconds from the arrival of a request to its response.",
             labels=["route"],
         )
         for route, histogram in self._histograms_by_route.items():
@@ -147,7 +147,7 @@
 
 
 class _Collector:
-    """Passes a node's metrics to the library."""
+    """Passes a node's metrics to the metrics library."""
 
     def __init__(self, node_metrics: NodeMetrics, node: "SidecarNode"):
         self._node_metrics = node_metrics
@@ -164,12 +164,12 @@
 
     calls = core.CounterMetricFamily(
         METRIC_PREFIX + "workspace_calls",
-        "Calls of a workspace let through within its rate.",
+        "Calls admitted within the rate limit of the workspace.",
         labels=["workspace"],
     )
     tokens = core.GaugeMetricFamily(
         METRIC_PREFIX + "workspace_tokens",
-        "Left in a workspace's bucket at this node, if it holds tokens.",
+        "Tokens in the workspace's bucket if this node is a token holder.",
         labels=["workspace"],
     )
     admitted = sorted(node.rates.quotas.list_admitted(), key=lambda item: -item[1])
@@ -189,19 +189,39 @@
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
     connected_peers = len(node.fleet.list_connected())
     return [
-        ("occupied", "Calls at work and waiting there.", node.in_flight),
-        ("slots", "Calls that it is given at once.", queue.concurrency_limit),
-        ("service_seconds", "Usual time of work there.", queue.service_seconds),
-        ("failing_ratio", "Share of calls that failed there.", backend.failure_ratio),
-        ("peers", "Nodes to which a stream is open.", connected_peers),
-        ("policy_version", "Configuration in force.", node.policies.version),
-        ("policy_age_seconds", "For which a newer one may exist unseen.", age),
-        ("in_flight", "Requests under way at this node.", node.count_in_flight()),
+        ("occupied", "Calls running and queued at the backend server.", node.in_flight),
+        (
+            "slots",
+            "Maximum concurrent calls to the backend server.",
+            queue.concurrency_limit,
+        ),
+        (
+            "service_seconds",
+            "Typical service time of a call, in seconds.",
+            queue.service_seconds,
+        ),
+        (
+            "failing_ratio",
+            "Recent fraction of calls that failed at the backend server.",
+            backend.failure_ratio,
+        ),
+        ("peers", "Other nodes to which a stream is open.", connected_peers),
+        (
+            "policy_version",
+            "Version of the configuration in force.",
+            node.policies.version,
+        ),
+        (
+            "policy_age_seconds",
+            "Seconds for which a newer configuration may exist unseen.",
+            age,
+        ),
+        ("in_flight", "Requests in flight at this node.", node.count_in_flight()),
     ]
 
 
 def _build_cumulative_buckets(histogram: LatencyHistogram) -> list[tuple[str, float]]:
-    """Return the upper bounds with the number of requests at or below each."""
+    """Return each bucket's upper bound with the number of requests up to it."""
     count = 0
     buckets = []
     for upper_bound, bucket_count in zip(
--- a/primroseglade/sidecar/node_settings.py
+++ b/primroseglade/sidecar/node_settings.py
@@ -7,7 +7,7 @@
     All addresses but that of the backend server are listening addresses.
 
     Args:
-        name: Name of the node.
+        name: Unique name of the node.
         zone: Availability zone of the node.
         service: Service that the backend server provides.
         backend: Address of the backend server.
@@ -21,12 +21,12 @@
         grace: Seconds from SIGTERM to SIGKILL.
         revoke: Seconds within which a withdrawn key must stop working.
         config_apply: Seconds within which a published policy must be active.
-        retry_ratio: Retries allowed for each first attempt, over the whole fleet.
-        retry_fixed: Further retries allowed in each window, over the whole fleet.
+        retry_ratio: Retries allowed per first attempt, over the whole fleet.
+        retry_fixed: Retries allowed in each window in addition, over the whole fleet.
         retry_window: Length of the retry budget's window, in seconds.
-        quota_overshoot: Fraction of a rate and burst that the fleet may admit beyond
-            them in a window.
-        quota_slack: Further calls that the fleet may admit in a window.
+        quota_overshoot: Fraction of a workspace's rate and burst that the fleet may
+            admit beyond both in a window.
+        quota_slack: Number of calls that the fleet may admit in a window in addition.
         quota_window: Length of the rate limits' window, in seconds.
     """
 
--- a/primroseglade/sidecar/node_store.py
+++ b/primroseglade/sidecar/node_store.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's store."""
+"""The interface of the platform's store, as nodes use it."""
 
 from typing import Protocol
 
@@ -21,10 +21,10 @@
     async def write_drain(
         self, instance: str, start_time_ms: int, timeout: float
     ) -> None:
-        """Store the drain of a backend server."""
+        """Record that a backend server, started at a Unix time in ms, is draining."""
 
     async def list_drains(self, timeout: float) -> dict[str, int]:
-        """Return the draining backend servers, with their start times in ms."""
+        """Return start times in Unix ms of draining backend servers, by instance id."""
 
     async def close(self) -> None:
         """Close the connections to the store."""
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -9,12 +9,13 @@
 import time
 from collections.abc import Callable
 
-# As often as admission levels are updated.
+# Length of a tick: the shortest interval of any task, that of the updates of admission
+# levels.
 TICK_SECONDS = 0.25
 # Random deviation of each tick, so that nodes started together do not wake together.
 TICK_JITTER_RATIO = 0.05
 
-# Called with the time in seconds on the loop's clock.
+# A periodic task; called with the current time in monotonic seconds.
 PeriodicTask = Callable[[float], None]
 
 
@@ -27,18 +28,20 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
+        # Each task with its interval in ticks.
         self._tasks: list[tuple[int, PeriodicTask]] = []
         self._tick_count = 0
 
     def add(self, task: PeriodicTask, interval_seconds: float = TICK_SECONDS) -> None:
-        """Add a task; its interval is rounded to whole ticks, at least one."""
+        """Add a task; its interval is rounded to whole ticks, and at least one tick."""
         self._tasks.append((max(1, round(interval_seconds / TICK_SECONDS)), task))
 
     async def run(self) -> None:
         """Run the tasks until cancelled.
 
         Raises:
-            Exception: The first error of a tick, raised after its other tasks have run.
+            Exception: A task failed. The first error of a tick is raised after all
+                tasks of that tick have run.
         """
         while True:
             jitter = self._rng.uniform(1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO)
@@ -46,7 +49,7 @@
             self.tick(time.monotonic())
 
     def tick(self, now: float) -> None:
-        """Run the tasks that are due."""
+        """Run the tasks that are due in the next tick; ``now`` in monotonic seconds."""
         self._tick_count += 1
         first_error: Exception | None = None
         for interval_ticks, task in self._tasks:
@@ -57,5 +60,5 @@
             except Exception as error:
                 first_error = first_error or error
         if first_error is not None:
-            # The supervisor logs it and restarts the scheduler.
+            # The supervisor logs the error and restarts the scheduler.
             raise first_error
