--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -1,4 +1,7 @@
-"""Status reports of the backend server, and drains that survive a node restart."""
+"""Status reports of the backend server, and drains that survive a node restart.
+
+A draining backend server gets no more requests, because it is about to stop.
+"""
 
 import asyncio
 import random
@@ -14,8 +17,10 @@
 
 # A backend server waits 1 s for the acknowledgement of its report.
 ACK_TIMEOUT_SECONDS = 0.8
-# Other nodes asked to record a drain, so that one can fail without losing it.
+# Number of other nodes asked to record a drain, so that one of them can fail without
+# losing the drain.
 DRAIN_REPLICA_COUNT = 2
+# Interval of checks whether the store has accepted a drain.
 STORED_DRAIN_POLL_SECONDS = 0.005
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
@@ -24,16 +29,16 @@
 
 
 class BackendRegistration:
-    """Handles reports of the backend server, and persists its drain.
+    """Handles status reports of the backend server, and persists its drain.
 
     An acknowledged drain is binding: a few seconds later no request may reach the
     backend server. A node that is killed after the acknowledgement and restarted would
-    have lost it, so a drain is acknowledged only once the store or another node has
+    have lost the drain, so it is acknowledged only once the store or another node has
     recorded it.
 
     Args:
         backend: The backend server of this node.
-        fleet: The nodes that can record drains for this one.
+        fleet: The other nodes, which can record drains for this one.
         store: The platform's store.
         supervisor: Runs store writes that take longer than handling a report.
         journal: Logs failures of the store.
@@ -67,7 +72,7 @@
 
     @property
     def recorded_drains(self) -> dict[str, int]:
-        """Drains recorded for other nodes: start times by instance id."""
+        """Drains recorded for other nodes: start times in Unix ms by instance id."""
         return self._recorded_drains
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
@@ -82,7 +87,11 @@
         self._recorded_drains[instance] = start_time_ms
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Apply drains recorded elsewhere: start times by instance id."""
+        """Apply drains that the store or a peer has recorded.
+
+        Args:
+            drains: Start times in Unix milliseconds, by instance id.
+        """
         self._drains_loaded = True
         for instance, start_time_ms in drains.items():
             self._backend.drain(instance, start_time_ms)
@@ -95,7 +104,7 @@
         draining = report.state is BackendState.DRAINING
         if self._backend.is_stale(report):
             if draining:
-                # Stale, but acknowledged below, so the drain must take effect.
+                # The stale report is acknowledged below, so its drain must take effect.
                 self._backend.drain(report.instance, report.start_time_ms)
         elif not self._backend.apply_report(report):
             return False
@@ -124,8 +133,9 @@
         try:
             drains = await self._store.list_drains(ACK_TIMEOUT_SECONDS)
         except StoreError as error:
-            # Peers send their recorded drains when a stream to them opens. Every
-            # acknowledged drain is in the store or at one of them.
+            # The report is handled without the stored drains. Peers send the drains
+            # that they have recorded when a stream to them opens; a drain that only the
+            # store has recorded is missed.
             self._journal.emit(STORE_WRITE_FAILED, what="drains", error=str(error))
             return
         self.apply_drains(drains)
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -1,10 +1,10 @@
 """Broadcast of this node's state, and relay of other nodes' states.
 
-In a small fleet every node sends its state to all others. In a larger one it sends the
-state to one node in each availability zone, including its own, which relays it to its
-zone in a batch with all others received meanwhile. Waking up for a message costs a node
-more than processing it, so each node receives only a few messages per second,
-regardless of the size of the fleet.
+In a small fleet every node sends its state to all other nodes. In a larger fleet it
+sends the state to one relay node in each availability zone, including its own zone. The
+relay node sends the states that it has received to the nodes of its zone, several in
+one batch. Waking up for a message costs a node more than processing it; with batches,
+each node receives only a few messages per second, regardless of the size of the fleet.
 """
 
 import time
@@ -18,10 +18,11 @@
 
 # Interval of broadcasts, short enough that decisions do not rest on outdated states.
 BROADCAST_SECONDS = 0.5
-# Fleets of up to this size broadcast directly: it saves the delay of batching, and the
-# additional messages cost little processor time.
+# Fleets of up to this size broadcast without relays: this saves the delay of batching,
+# and the additional messages cost little processor time.
 MAX_DIRECT_NODES = 24
-# Call ratios change rarely, with the configuration, and are sent at this interval.
+# Interval at which the state includes the call ratios (``NodeState.downstream_calls``).
+# They change rarely, mostly with the configuration.
 CALL_RATIOS_INTERVAL_SECONDS = 2.0
 
 
@@ -32,11 +33,11 @@
         self._pending_states: dict[str, NodeState] = {}
 
     def add(self, name: str, state: NodeState) -> None:
-        """Add a node's newest state, with call ratios of a pending one if it has none.
+        """Replace a node's pending state; keep its call ratios if the new one has none.
 
         Args:
             name: Name of the node.
-            state: Its state; may be modified.
+            state: The node's newest state. The buffer may modify it.
         """
         previous = self._pending_states.get(name)
         if previous is not None:
@@ -45,7 +46,7 @@
         self._pending_states[name] = state
 
     def take(self) -> list[tuple[str, NodeState]]:
-        """Return the pending states with their nodes' names, and clear the buffer."""
+        """Return the pending states with the names of their nodes; clear the buffer."""
         pending = list(self._pending_states.items())
         self._pending_states = {}
         return pending
@@ -58,8 +59,10 @@
         entry: Entry of this node.
         fleet: The other nodes.
         server: Sends on the streams that other nodes opened to this one.
-        build_load: Returns the state without sequence and call ratios.
-        call_ratios: Estimates which calls the local backend server makes.
+        build_load_state: Returns this node's state without sequence number and call
+            ratios.
+        call_ratios: Estimates how many calls the local backend server makes per call
+            that it serves.
     """
 
     def __init__(
@@ -76,12 +79,13 @@
         self._build_load_state = build_load_state
         self._call_ratios = call_ratios
         self._relay_buffer = RelayBuffer()
-        # The start time exceeds all sequences of this node's earlier processes.
+        # Sequence numbers begin at the start time in milliseconds, above all those of
+        # this node's earlier processes.
         self._sequence = entry.start_time_ms
         self._call_ratios_sent_at = 0.0
 
     def build_full_state(self) -> NodeState:
-        """Return the complete state, for a node that has just connected."""
+        """Return the full state, with call ratios, for a node that just connected."""
         now = time.monotonic()
         state = self._build_load_state()
         state.sequence = self._sequence
@@ -94,8 +98,8 @@
         self._server.send(State(self._build_update(), relay=False))
 
     def relay_state(self, name: str, state: NodeState) -> None:
-        """Add another node's state to those that are relayed to this node's zone."""
-        # A copy, since the buffer modifies states and the original is in use here.
+        """Add another node's state to the next batch for this node's zone."""
+        # A copy, since the buffer may modify it and the original is in use.
         self._relay_buffer.add(name, state.copy())
 
     def relay_pending(self, now: float) -> None:
@@ -110,6 +114,7 @@
             self.broadcast_now()
             return
         state = self._build_update()
+        # The readers serve as relays: one node per zone, on which all nodes agree.
         relays = set(self._fleet.list_readers())
         if self._entry.name in relays:
             self._relay_buffer.add(self._entry.name, state.copy())
@@ -119,7 +124,7 @@
         return other.zone == self._entry.zone
 
     def _build_update(self) -> NodeState:
-        """Return the next state to send, with call ratios if those are due."""
+        """Return the next state to send, with call ratios if they are due."""
         now = time.monotonic()
         self._sequence += 1
         state = self._build_load_state()
