--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -101,16 +101,16 @@
         previous_instance = self._backend.instance
         if not previous_instance and not self._drains_loaded:
             await self._load_drains()
-        draining = report.state is BackendState.DRAINING
+        is_draining = report.state is BackendState.DRAINING
         if self._backend.is_stale(report):
-            if draining:
+            if is_draining:
                 # The stale report is acknowledged below, so its drain must take effect.
                 self._backend.drain(report.instance, report.start_time_ms)
         elif not self._backend.apply_report(report):
             return False
         if self._backend.instance != previous_instance:
             self._broadcast_state()
-        if draining:
+        if is_draining:
             return await self._persist_drain(report.instance, report.start_time_ms)
         return True
 
@@ -149,7 +149,7 @@
         )
         peers = self._fleet.list_connected()
         self._rng.shuffle(peers)
-        replications = [
+        replication_tasks = [
             asyncio.create_task(
                 peer.replicate_drain(instance, start_time_ms, ACK_TIMEOUT_SECONDS)
             )
@@ -162,9 +162,9 @@
         except TimeoutError:
             # The write continues in the background until the store accepts it.
             pass
-        results = await asyncio.gather(*replications, return_exceptions=True)
-        replicated = any(not isinstance(result, BaseException) for result in results)
-        return replicated or instance in self._stored_drain_instances
+        results = await asyncio.gather(*replication_tasks, return_exceptions=True)
+        is_replicated = any(not isinstance(result, BaseException) for result in results)
+        return is_replicated or instance in self._stored_drain_instances
 
     async def _write_drain(self, instance: str, start_time_ms: int) -> None:
         while True:
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -39,8 +39,8 @@
     def add(self, peer: Peer) -> None:
         """Add the state of a connected node."""
         state = peer.state
-        for service, calls in state.demand.items():
-            self.demand[service] = self.demand.get(service, 0.0) + calls
+        for service, calls_per_second in state.demand.items():
+            self.demand[service] = self.demand.get(service, 0.0) + calls_per_second
         if state.instance:
             service = peer.entry.service
             load = self.loads.setdefault(service, ServiceLoad())
@@ -51,8 +51,8 @@
 
     def record_cost(self, service: str, zone: str, cost_ms: float) -> None:
         """Record the cost in milliseconds of a call at one backend server."""
-        zones = self.min_costs.setdefault(service, {})
-        zones[zone] = min(cost_ms, zones.get(zone, cost_ms))
+        costs_by_zone = self.min_costs.setdefault(service, {})
+        costs_by_zone[zone] = min(cost_ms, costs_by_zone.get(zone, cost_ms))
 
 
 def build_candidate(
@@ -129,10 +129,10 @@
         """Add a node, or update its entry if it was started more recently."""
         if entry.name == self._host.entry.name:
             return
-        known = self._peers.get(entry.name)
-        if known is not None:
-            if entry.start_time_ms > known.entry.start_time_ms:
-                known.entry = entry
+        known_peer = self._peers.get(entry.name)
+        if known_peer is not None:
+            if entry.start_time_ms > known_peer.entry.start_time_ms:
+                known_peer.entry = entry
                 self._index = None
             return
         peer = Peer(entry, self._host, self._journal)
@@ -159,8 +159,8 @@
         reader reads the configuration from the platform's store; the other nodes ask
         readers how old their configuration is.
         """
-        first = self.index.list_first(1)
-        return sorted(names[0] for names in first.values())
+        names_by_zone = self.index.list_first(1)
+        return sorted(names[0] for names in names_by_zone.values())
 
     def list_connected(self) -> list[Peer]:
         """Return the peers to which a stream is open."""
@@ -170,10 +170,10 @@
         self,
         service: str,
         own_candidate: Candidate | None,
-        tried: Collection[str],
+        tried_names: Collection[str],
         cross_zone_cost_ms: float,
         failure_cost_ms: float,
-        downstream_costs: ZoneCostsMs,
+        downstream_costs_ms: ZoneCostsMs,
     ) -> Candidate | None:
         """Return the node for the next attempt of a call, or None if no node is left.
 
@@ -181,72 +181,78 @@
             service: The called service.
             own_candidate: This node, if its backend server provides the service; else
                 None.
-            tried: Names of nodes already tried.
+            tried_names: Names of nodes already tried.
             cross_zone_cost_ms: Extra cost of a call to another availability zone.
             failure_cost_ms: Cost of a failed call.
-            downstream_costs: Cost in milliseconds of the further calls that the call
+            downstream_costs_ms: Cost in milliseconds of the further calls that the call
                 makes, by the zone in which it is served.
         """
         service_peers = self.index.get_service_peers(service)
         same_zone_candidates = self._sample(
             service_peers.same_zone_peers,
             SAME_ZONE_SAMPLE_SIZE,
-            tried,
-            downstream_costs,
+            tried_names,
+            downstream_costs_ms,
         )
-        if own_candidate is not None and own_candidate.name not in tried:
+        if own_candidate is not None and own_candidate.name not in tried_names:
             same_zone_candidates.append(own_candidate)
-        min_cross_zone_downstream_ms = min(downstream_costs.values(), default=0.0)
+        min_cross_zone_downstream_ms = min(downstream_costs_ms.values(), default=0.0)
         chosen = choose(
             same_zone_candidates,
             lambda: self._sample(
                 service_peers.cross_zone_peers,
                 CROSS_ZONE_SAMPLE_SIZE,
-                tried,
-                downstream_costs,
+                tried_names,
+                downstream_costs_ms,
             ),
             cross_zone_cost_ms,
             min_cross_zone_downstream_ms,
             failure_cost_ms,
             self._rng,
         )
-        return chosen or self._find_suspect_peer(service_peers, tried, downstream_costs)
+        return chosen or self._find_suspect_peer(
+            service_peers, tried_names, downstream_costs_ms
+        )
 
     def _find_suspect_peer(
         self,
         service_peers: ServicePeers,
-        tried: Collection[str],
-        downstream_costs: ZoneCostsMs,
+        tried_names: Collection[str],
+        downstream_costs_ms: ZoneCostsMs,
     ) -> Candidate | None:
         """Return an untried node that leaves pings unanswered, as a last resort."""
         for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
-            if peer.usable and peer.entry.name not in tried:
-                return self._build_candidate(peer, downstream_costs)
+            if peer.usable and peer.entry.name not in tried_names:
+                return self._build_candidate(peer, downstream_costs_ms)
         return None
 
     def _sample(
         self,
         peers: list[Peer],
         max_candidates: int,
-        tried: Collection[str],
-        downstream_costs: ZoneCostsMs,
+        tried_names: Collection[str],
+        downstream_costs_ms: ZoneCostsMs,
     ) -> list[Candidate]:
         """Return up to ``max_candidates`` usable nodes, beginning at a random one."""
         candidates: list[Candidate] = []
         if len(peers) > max_candidates:
-            start = int(self._rng.random() * len(peers))
-            peers = peers[start:] + peers[:start]
+            start_index = int(self._rng.random() * len(peers))
+            peers = peers[start_index:] + peers[:start_index]
         for peer in peers:
-            if not peer.usable or peer.entry.name in tried or peer.is_suspect:
+            if not peer.usable or peer.entry.name in tried_names or peer.is_suspect:
                 continue
-            candidates.append(self._build_candidate(peer, downstream_costs))
+            candidates.append(self._build_candidate(peer, downstream_costs_ms))
             if len(candidates) == max_candidates:
                 break
         return candidates
 
-    def _build_candidate(self, peer: Peer, downstream_costs: ZoneCostsMs) -> Candidate:
+    def _build_candidate(
+        self, peer: Peer, downstream_costs_ms: ZoneCostsMs
+    ) -> Candidate:
         zone = peer.entry.zone
-        return build_candidate(peer, zone == self.zone, downstream_costs.get(zone, 0.0))
+        return build_candidate(
+            peer, zone == self.zone, downstream_costs_ms.get(zone, 0.0)
+        )
 
     def get_failure_ratio(self, service: str) -> float:
         """Return the average fraction of failed calls over a service's nodes."""
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -68,7 +68,7 @@
             name_count: Maximum number of nodes per zone.
             connected_only: Whether to leave out peers to which no stream is open.
         """
-        first: dict[str, list[str]] = {}
+        names_by_zone: dict[str, list[str]] = {}
         for zone, nodes in self._nodes_by_zone.items():
             names: list[str] = []
             for name, peer in nodes:
@@ -77,5 +77,5 @@
                     if len(names) == name_count:
                         break
             if names:
-                first[zone] = names
-        return first
+                names_by_zone[zone] = names
+        return names_by_zone
--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -38,11 +38,11 @@
 
     def compress_frame(self, head: bytes, body: bytes = b"") -> bytes:
         """Return the payload: length of the compressed head, compressed head, body."""
-        compressed = self._compressor.compress(head) + self._compressor.flush(
+        compressed_head = self._compressor.compress(head) + self._compressor.flush(
             zlib.Z_SYNC_FLUSH
         )
-        compressed = compressed[: -len(SYNC_FLUSH_MARKER)]
-        return LENGTH_PREFIX.pack(len(compressed)) + compressed + body
+        compressed_head = compressed_head[: -len(SYNC_FLUSH_MARKER)]
+        return LENGTH_PREFIX.pack(len(compressed_head)) + compressed_head + body
 
 
 class FrameDecompressor:
@@ -69,15 +69,15 @@
             raise DecompressionError(
                 f"compressed frame of {len(payload)} bytes lacks its length prefix"
             )
-        (length,) = LENGTH_PREFIX.unpack_from(payload)
-        end = LENGTH_PREFIX.size + length
+        (head_length,) = LENGTH_PREFIX.unpack_from(payload)
+        end = LENGTH_PREFIX.size + head_length
         if end > len(payload):
             raise DecompressionError(
                 f"compressed frame truncated: {len(payload)} of at least {end} bytes"
             )
         try:
-            compressed = payload[LENGTH_PREFIX.size : end] + SYNC_FLUSH_MARKER
-            head = self._decompressor.decompress(compressed, MAX_HEAD_BYTES)
+            compressed_head = payload[LENGTH_PREFIX.size : end] + SYNC_FLUSH_MARKER
+            head = self._decompressor.decompress(compressed_head, MAX_HEAD_BYTES)
         except zlib.error as error:
             raise DecompressionError(str(error)) from error
         if self._decompressor.unconsumed_tail or self._decompressor.eof:
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -342,7 +342,7 @@
         start = 0
         while len(buffer) - start >= LENGTH_PREFIX.size:
             (length,) = LENGTH_PREFIX.unpack_from(buffer, start)
-            compressed = bool(length & COMPRESSED_FLAG)
+            is_compressed = bool(length & COMPRESSED_FLAG)
             length &= ~COMPRESSED_FLAG
             if length > MAX_FRAME_BYTES:
                 raise FrameError(
@@ -352,15 +352,15 @@
             if len(buffer) < end:
                 break
             payload = bytes(memoryview(buffer)[start + LENGTH_PREFIX.size : end])
-            frames.append(self._decode(payload, compressed))
+            frames.append(self._decode(payload, is_compressed))
             start = end
         if start:
             del buffer[:start]
         return frames
 
-    def _decode(self, payload: bytes, compressed: bool) -> Frame:
+    def _decode(self, payload: bytes, is_compressed: bool) -> Frame:
         try:
-            if not compressed:
+            if not is_compressed:
                 return _decoder.decode(payload)
             if self._decompressor is None:
                 self._decompressor = FrameDecompressor()
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -125,10 +125,12 @@
     The workspace's priority takes precedence; the route's priority orders the requests
     of workspaces with equal priority.
     """
-    primary = route.priority
+    primary_priority = route.priority
     if tenant is not None and tenant.priority is not None:
-        primary = tenant.priority
-    return primary * (LOWEST_PRIORITY + 1) + min(route.priority, LOWEST_PRIORITY)
+        primary_priority = tenant.priority
+    return primary_priority * (LOWEST_PRIORITY + 1) + min(
+        route.priority, LOWEST_PRIORITY
+    )
 
 
 class CallerLimits:
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -244,18 +244,18 @@
         """Whether callers should send requests to this node."""
         return self.policies.policy is not None and not self._stopping
 
-    async def run(self, stopping: asyncio.Event) -> None:
+    async def run(self, stop_requested: asyncio.Event) -> None:
         """Serve until asked to stop or until a task fails for good, then shut down.
 
         Args:
-            stopping: Set to request the shutdown.
+            stop_requested: Set to request the shutdown.
 
         Raises:
             ExceptionGroup: A supervised task failed too often.
         """
         self._start()
         waiters = [
-            asyncio.create_task(stopping.wait()),
+            asyncio.create_task(stop_requested.wait()),
             asyncio.create_task(self._supervisor.wait_failed()),
         ]
         done, pending = await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
@@ -313,9 +313,9 @@
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the active policy with its version and age."""
-        age = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
+        age_ms = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
         return PolicyAnswer(
-            request_id, self.policies.version, age, self.policies.encoded_policy
+            request_id, self.policies.version, age_ms, self.policies.encoded_policy
         )
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
@@ -334,7 +334,7 @@
         """Drain the backend servers that a peer has recorded as draining."""
         self.registration.apply_drains(drains)
 
-    def record_peer_clock(self) -> None:
+    def handle_peer_clock_known(self) -> None:
         """Renew the lease of this node's rate share, which needs the peer's clock."""
         self.rates.renew_lease(time.monotonic())
 
@@ -403,16 +403,16 @@
         here. Requests that callers and the backend server still send are served, and
         the responses ask them to close the connection.
         """
-        started = time.monotonic()
+        stop_started_at = time.monotonic()
         self._stopping = True
         self._journal.emit(NODE_STOPPING, in_flight=self.count_in_flight())
         self.backend.stop()
         self._broadcast_state()
         self._outbound_server.request_connection_close()
-        stop_deadline = started + self._settings.grace - STOP_MARGIN_SECONDS
-        earliest_stop = min(started + MIN_LAME_DUCK_SECONDS, stop_deadline)
+        stop_deadline = stop_started_at + self._settings.grace - STOP_MARGIN_SECONDS
+        earliest_stop = min(stop_started_at + MIN_LAME_DUCK_SECONDS, stop_deadline)
         deadline_check_after = (
-            started + DEADLINE_CHECK_GRACE_RATIO * self._settings.grace
+            stop_started_at + DEADLINE_CHECK_GRACE_RATIO * self._settings.grace
         )
         self.request_handler.stop(deadline_check_after, stop_deadline)
         while time.monotonic() < stop_deadline:
@@ -425,7 +425,7 @@
         self._journal.emit(
             NODE_STOPPED,
             cut=self.count_in_flight(),
-            seconds=round(time.monotonic() - started, 2),
+            seconds=round(time.monotonic() - stop_started_at, 2),
         )
         await self._supervisor.close()
         self._deadlines.close()
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -48,19 +48,19 @@
     """Latency histogram of one route.
 
     Attributes:
-        counts: Requests in each bucket; the last one is unbounded.
+        bucket_counts: Requests in each bucket; the last one is unbounded.
         total_seconds: Sum of the latencies.
     """
 
-    __slots__ = ("counts", "total_seconds")
+    __slots__ = ("bucket_counts", "total_seconds")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(LATENCY_BUCKETS_SECONDS) + 1)
+        self.bucket_counts = [0] * (len(LATENCY_BUCKETS_SECONDS) + 1)
         self.total_seconds = 0.0
 
     def observe(self, seconds: float) -> None:
         """Add the latency of one request."""
-        self.counts[bisect.bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
+        self.bucket_counts[bisect.bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
         self.total_seconds += seconds
 
 
@@ -138,12 +138,12 @@
             "Bytes sent to other availability zones.",
             labels=["frame", "route"],
         )
-        for frame, route, size in node.cross_zone_bytes.list_all():
-            cross_zone_bytes.add_metric([frame, route], size)
+        for frame, route, byte_count in node.cross_zone_bytes.list_all():
+            cross_zone_bytes.add_metric([frame, route], byte_count)
         yield cross_zone_bytes
         yield from _collect_workspaces(node)
-        for name, text, value in _list_gauges(node):
-            yield core.GaugeMetricFamily(METRIC_PREFIX + name, text, value=value)
+        for name, help_text, value in _list_gauges(node):
+            yield core.GaugeMetricFamily(METRIC_PREFIX + name, help_text, value=value)
 
 
 class _Collector:
@@ -225,7 +225,9 @@
     count = 0
     buckets = []
     for upper_bound, bucket_count in zip(
-        (*map(str, LATENCY_BUCKETS_SECONDS), "+Inf"), histogram.counts, strict=True
+        (*map(str, LATENCY_BUCKETS_SECONDS), "+Inf"),
+        histogram.bucket_counts,
+        strict=True,
     ):
         count += bucket_count
         buckets.append((upper_bound, float(count)))
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -14,7 +14,7 @@
 # time, clocks drift by less than a millisecond.
 MIN_DELAY_WINDOW_SECONDS = 10.0
 # A smaller excess is normal jitter of links and event loops, and reported as 0.
-MIN_REPORTED_SECONDS = 0.02
+MIN_REPORTED_EXCESS_SECONDS = 0.02
 
 
 class OneWayDelay:
@@ -27,12 +27,16 @@
     1.5
     """
 
-    __slots__ = ("_previous_window_min_delay", "_window_min_delay", "_window_start")
+    __slots__ = (
+        "_previous_window_min_delay",
+        "_window_min_delay",
+        "_window_started_at",
+    )
 
     def __init__(self) -> None:
         self._window_min_delay = math.inf
         self._previous_window_min_delay = math.inf
-        self._window_start = 0.0
+        self._window_started_at = 0.0
 
     def measure_excess(self, sent_at: float, now: float) -> float:
         """Return for how many seconds a call was queued between the nodes.
@@ -41,15 +45,15 @@
             sent_at: When the call was sent, by ``read_age_clock`` of the sender.
             now: When the call was received, by ``read_age_clock`` of this node.
         """
-        if now - self._window_start > MIN_DELAY_WINDOW_SECONDS:
+        if now - self._window_started_at > MIN_DELAY_WINDOW_SECONDS:
             self._previous_window_min_delay, self._window_min_delay = (
                 self._window_min_delay,
                 math.inf,
             )
-            self._window_start = now
+            self._window_started_at = now
         apparent_delay = now - sent_at
         self._window_min_delay = min(self._window_min_delay, apparent_delay)
-        excess = apparent_delay - min(
+        excess_seconds = apparent_delay - min(
             self._window_min_delay, self._previous_window_min_delay
         )
-        return excess if excess >= MIN_REPORTED_SECONDS else 0.0
+        return excess_seconds if excess_seconds >= MIN_REPORTED_EXCESS_SECONDS else 0.0
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -92,7 +92,7 @@
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
 
-    def record_peer_clock(self) -> None:
+    def handle_peer_clock_known(self) -> None:
         """Handle the first known clock reading of a peer on a new stream."""
 
 
@@ -121,7 +121,7 @@
         self._last_request_id = 0
         self._ping_sent_on_age_clock = 0.0
         self._ping_sent_at = 0.0
-        self._pending_since = 0.0
+        self._replies_pending_since = 0.0
         self._unanswered_ping_id = 0
         self._disconnected: asyncio.Event = asyncio.Event()
         self._hello_received = False
@@ -326,7 +326,7 @@
                 self._disconnect("silent")
         elif self._pending_replies:
             if (
-                now - max(stream.last_received_at, self._pending_since)
+                now - max(stream.last_received_at, self._replies_pending_since)
                 > IDLE_BEFORE_PING_SECONDS
             ):
                 self.send_ping()
@@ -337,10 +337,10 @@
         While nothing arrives, another ping would restart the timeout of the first.
         """
         stream = self._stream
-        received_since = (
+        has_received_since = (
             stream is not None and stream.last_received_at >= self._ping_sent_at
         )
-        return received_since and now - self._ping_sent_at >= PING_TIMEOUT_SECONDS
+        return has_received_since and now - self._ping_sent_at >= PING_TIMEOUT_SECONDS
 
     def _build_refusal(self, reply: CallRefused) -> Refusal:
         reason = Reason.from_code(reply.reason) or Reason.OVERLOADED
@@ -357,7 +357,7 @@
         frame.id = self._last_request_id
         future: asyncio.Future[Frame] = self._loop.create_future()
         if not self._pending_replies:
-            self._pending_since = time.monotonic()
+            self._replies_pending_since = time.monotonic()
         self._pending_replies[frame.id] = future
         self._stream.send(frame, frame.route if isinstance(frame, Call) else "")
         try:
@@ -423,10 +423,10 @@
             return
         self._unanswered_ping_id = 0
         now = read_age_clock()
-        clock_known = self._remote_clock.estimate(now) is not None
+        was_clock_known = self._remote_clock.estimate(now) is not None
         self._remote_clock.record(pong.clock_ms / 1000, now)
-        if not clock_known:
-            self._host.record_peer_clock()
+        if not was_clock_known:
+            self._host.handle_peer_clock_known()
         age = pong.policy_age_ms / 1000
         self._host.record_policy_age(
             pong.policy_version, age, self._ping_sent_on_age_clock
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -44,8 +44,10 @@
                 tasks of that tick have run.
         """
         while True:
-            jitter = self._rng.uniform(1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO)
-            await asyncio.sleep(TICK_SECONDS * jitter)
+            jitter_factor = self._rng.uniform(
+                1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO
+            )
+            await asyncio.sleep(TICK_SECONDS * jitter_factor)
             self.tick(time.monotonic())
 
     def tick(self, now: float) -> None:
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -192,17 +192,19 @@
         Only a few readers long-poll: if all nodes did, each version would cost the
         store one call per node.
         """
-        delay = INITIAL_RETRY_SECONDS
+        backoff_seconds = INITIAL_RETRY_SECONDS
         while True:
             await self._long_polling_enabled.wait()
             try:
                 await self._long_poll_once()
-                self._record_store_status(unavailable=False)
-                delay = INITIAL_RETRY_SECONDS
+                self._record_store_status(is_unavailable=False)
+                backoff_seconds = INITIAL_RETRY_SECONDS
             except StoreError as error:
-                self._record_store_status(unavailable=True, error=str(error))
-                await asyncio.sleep(random.uniform(delay / 2, delay))
-                delay = min(MAX_RETRY_SECONDS, delay * 2)
+                self._record_store_status(is_unavailable=True, error=str(error))
+                await asyncio.sleep(
+                    random.uniform(backoff_seconds / 2, backoff_seconds)
+                )
+                backoff_seconds = min(MAX_RETRY_SECONDS, backoff_seconds * 2)
 
     async def run_periodic_reads(self) -> None:
         """Read the store whenever no peer has confirmed the policy lately."""
@@ -222,10 +224,10 @@
             try:
                 await self._read_store()
             except StoreError as error:
-                self._record_store_status(unavailable=True, error=str(error))
+                self._record_store_status(is_unavailable=True, error=str(error))
                 await asyncio.sleep(schedule.record_failure())
             else:
-                self._record_store_status(unavailable=False)
+                self._record_store_status(is_unavailable=False)
                 schedule.record_success()
                 if self._policy is None:
                     await asyncio.sleep(MIN_READ_INTERVAL_SECONDS)
@@ -362,10 +364,10 @@
         if source == STORE_SOURCE:
             self._broadcast_state()
 
-    def _record_store_status(self, unavailable: bool, error: str = "") -> None:
-        if unavailable != self._is_store_unavailable:
-            self._is_store_unavailable = unavailable
-            if unavailable:
+    def _record_store_status(self, is_unavailable: bool, error: str = "") -> None:
+        if is_unavailable != self._is_store_unavailable:
+            self._is_store_unavailable = is_unavailable
+            if is_unavailable:
                 self._journal.emit(LOG_LOST, error=error)
             else:
                 self._journal.emit(LOG_BACK)
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -66,10 +66,10 @@
     @property
     def overdue_age_seconds(self) -> float:
         """Policy age, in seconds, above which this node polls all readers."""
-        first_reader_age = self._compute_first_reader_age()
+        first_reader_due_age = self._compute_first_reader_due_age()
         if self._rank is None:
-            return first_reader_age + MAX_PROPAGATION_SECONDS
-        return first_reader_age + FAILOVER_DELAY_SECONDS
+            return first_reader_due_age + MAX_PROPAGATION_SECONDS
+        return first_reader_due_age + FAILOVER_DELAY_SECONDS
 
     @property
     def uses_long_polling(self) -> bool:
@@ -103,11 +103,12 @@
 
     def record_failure(self) -> float:
         """Double the backoff after a failed read; return it in seconds, jittered."""
-        max_backoff = MAX_READER_BACKOFF_SECONDS
+        max_backoff_seconds = MAX_READER_BACKOFF_SECONDS
         if self._rank is None:
-            max_backoff = MAX_NON_READER_BACKOFF_SECONDS
+            max_backoff_seconds = MAX_NON_READER_BACKOFF_SECONDS
         self._backoff_seconds = min(
-            max_backoff, max(INITIAL_BACKOFF_SECONDS, 2.0 * self._backoff_seconds)
+            max_backoff_seconds,
+            max(INITIAL_BACKOFF_SECONDS, 2.0 * self._backoff_seconds),
         )
         return self._rng.uniform(0.75, 1.0) * self._backoff_seconds
 
@@ -117,16 +118,16 @@
                 ratio * self._apply_seconds for ratio in READ_DUE_AGE_RATIO_RANGE
             )
             return self._rng.uniform(min_age, max_age)
-        first_reader_age = self._compute_first_reader_age()
+        first_reader_due_age = self._compute_first_reader_due_age()
         if self._rank == 0:
-            return first_reader_age
+            return first_reader_due_age
         return (
-            first_reader_age
+            first_reader_due_age
             + FAILOVER_DELAY_SECONDS
             + (self._rank - 1) * FAILOVER_STEP_SECONDS
         )
 
-    def _compute_first_reader_age(self) -> float:
+    def _compute_first_reader_due_age(self) -> float:
         """Return the policy age, in seconds, at which the first reader reads."""
         earliest_age = READ_DUE_AGE_RATIO_RANGE[0] * self._apply_seconds
         return max(MIN_READ_DUE_AGE_SECONDS, earliest_age - MAX_PROPAGATION_SECONDS)
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -39,13 +39,13 @@
             name: Name of the node.
             state: The node's newest state. The buffer may modify it.
         """
-        previous = self._pending_states.get(name)
-        if previous is not None:
+        previous_state = self._pending_states.get(name)
+        if previous_state is not None:
             if state.downstream_calls is None:
-                state.downstream_calls = previous.downstream_calls
+                state.downstream_calls = previous_state.downstream_calls
         self._pending_states[name] = state
 
-    def take(self) -> list[tuple[str, NodeState]]:
+    def take_all(self) -> list[tuple[str, NodeState]]:
         """Return the pending states with the names of their nodes; clear the buffer."""
         pending = list(self._pending_states.items())
         self._pending_states = {}
@@ -104,7 +104,7 @@
 
     def relay_pending(self, now: float) -> None:
         """Relay the pending states to this node's zone."""
-        pending = self._relay_buffer.take()
+        pending = self._relay_buffer.take_all()
         if pending:
             self._server.send(States(pending), self._is_same_zone)
 
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -44,10 +44,10 @@
     __slots__ = (
         "_compressor",
         "_cross_zone_bytes",
+        "_frame_reader",
         "_on_frame",
         "_on_lost",
         "_protocol_error",
-        "_reader",
         "_transport",
         "_uncompressed_frame_count",
         "last_received_at",
@@ -60,7 +60,7 @@
     ):
         self._on_frame = on_frame
         self._on_lost = on_lost
-        self._reader = FrameReader()
+        self._frame_reader = FrameReader()
         self._transport: asyncio.Transport | None = None
         self._protocol_error = ""
         self._compressor: FrameCompressor | None = None
@@ -94,7 +94,7 @@
         """Call ``on_frame`` with each complete frame; close on invalid data."""
         self.last_received_at = time.monotonic()
         try:
-            frames = self._reader.feed(data)
+            frames = self._frame_reader.feed(data)
         except FrameError as error:
             self._protocol_error = str(error)
             self.close()
--- a/tests/test_state_broadcast.py
+++ b/tests/test_state_broadcast.py
@@ -104,11 +104,11 @@
     buffer = RelayBuffer()
     buffer.add("b-01", NodeState(downstream_calls={"": {"x": 1.0}}))
     buffer.add("b-01", NodeState(in_flight=3.0))
-    ((name, state),) = buffer.take()
+    ((name, state),) = buffer.take_all()
     assert name == "b-01"
     assert state.in_flight == 3.0
     assert state.downstream_calls == {"": {"x": 1.0}}
-    assert buffer.take() == []
+    assert buffer.take_all() == []
 
 
 def test_states_round_trip_through_frames():
