--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -1,4 +1,4 @@
-"""The other nodes that this one knows, and the choice of a node for a call."""
+"""The other nodes that a node knows, and the choice of a node for a call."""
 
 import random
 from collections.abc import Collection, Iterator
@@ -157,7 +157,7 @@
         The reader of an availability zone is its first connected node by name, so
         nodes that see each other agree on the readers without coordination. The first
         reader reads the configuration from the platform's store; the other nodes ask
-        readers how old their configuration is.
+        readers how old their knowledge of the configuration is.
         """
         names_by_zone = self.index.list_first(1)
         return sorted(names[0] for names in names_by_zone.values())
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -32,7 +32,8 @@
     def __init__(self, own_entry: NodeEntry, peers: Iterable[Peer]):
         self._own_entry = own_entry
         self._peers_by_service: dict[str, ServicePeers] = {}
-        # Name and peer of each node, by zone and sorted by name; None for this node.
+        # By zone, the name and peer of each node, sorted by name. The peer is None for
+        # this node.
         self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
             own_entry.zone: [(own_entry.name, None)]
         }
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -401,7 +401,7 @@
 
         Broadcasts the stop to the other nodes first, so that they send no more calls
         here. Requests that callers and the backend server still send are served, and
-        the responses ask them to close the connection.
+        the responses ask the senders to close their connections.
         """
         stop_started_at = time.monotonic()
         self._stopping = True
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -183,7 +183,7 @@
 
 
 def _list_gauges(node: "SidecarNode") -> list[tuple[str, str, float]]:
-    """Return name, help text and current value of each gauge."""
+    """Return the name, help text and current value of each gauge."""
     backend = node.backend
     queue = backend.queue
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -162,7 +162,7 @@
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
         tasks = self._tasks_by_stream.setdefault(stream, {})
         if isinstance(frame, Call):
-            # Time for which the call was queued between the nodes counts against the
+            # The time that the call was queued between the nodes counts against its
             # deadline.
             queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
             frame.remaining_ms -= queueing_ms
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -51,7 +51,7 @@
             self.tick(time.monotonic())
 
     def tick(self, now: float) -> None:
-        """Run the tasks that are due in the next tick; ``now`` in monotonic seconds."""
+        """Count a tick and run the tasks due in it; ``now`` in monotonic seconds."""
         self._tick_count += 1
         first_error: Exception | None = None
         for interval_ticks, task in self._tasks:
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -99,7 +99,7 @@
 
     def relay_state(self, name: str, state: NodeState) -> None:
         """Add another node's state to the next batch for this node's zone."""
-        # A copy, since the buffer may modify it and the original is in use.
+        # A copy, because the buffer may modify a state, and the original is in use.
         self._relay_buffer.add(name, state.copy())
 
     def relay_pending(self, now: float) -> None:
