--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -7,7 +7,7 @@
 
 
 class ServicePeers:
-    """The peers that provide one service, in this node's zone and in others."""
+    """The peers that provide one service, in this node's zone and in other zones."""
 
     __slots__ = ("cross_zone_peers", "same_zone_peers")
 
@@ -32,7 +32,8 @@
     def __init__(self, own_entry: NodeEntry, peers: Iterable[Peer]):
         self._own_entry = own_entry
         self._peers_by_service: dict[str, ServicePeers] = {}
-        # Nodes of each zone, sorted by name; the peer is None for this node.
+        # By zone, the name and peer of each node, sorted by name. The peer is None for
+        # this node.
         self._nodes_by_zone: dict[str, list[tuple[str, Peer | None]]] = {
             own_entry.zone: [(own_entry.name, None)]
         }
@@ -59,21 +60,23 @@
         """Return the peers that provide a service."""
         return self._peers_by_service.get(service, NO_PEERS)
 
-    def list_first(self, count: int, connected: bool = True) -> dict[str, list[str]]:
-        """Return the names of the first nodes of each zone, in order of name.
+    def list_first(
+        self, name_count: int, connected_only: bool = True
+    ) -> dict[str, list[str]]:
+        """Return, by zone, the first names of its nodes in alphabetical order.
 
         Args:
-            count: Maximum number of nodes per zone.
-            connected: Whether to leave out peers to which no stream is open.
+            name_count: Maximum number of nodes per zone.
+            connected_only: Whether to leave out peers to which no stream is open.
         """
-        first: dict[str, list[str]] = {}
+        names_by_zone: dict[str, list[str]] = {}
         for zone, nodes in self._nodes_by_zone.items():
             names: list[str] = []
             for name, peer in nodes:
-                if peer is None or peer.connected or not connected:
+                if peer is None or peer.connected or not connected_only:
                     names.append(name)
-                    if len(names) == count:
+                    if len(names) == name_count:
                         break
             if names:
-                first[zone] = names
-        return first
+                names_by_zone[zone] = names
+        return names_by_zone
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -36,7 +36,7 @@
     NodeEntry,
     NodeState,
 )
-from .node_metrics import build_metrics, MAX_REPORTED_AGE_SECONDS, NodeMetrics
+from .node_metrics import build_metrics_handler, MAX_REPORTED_AGE_SECONDS, NodeMetrics
 from .node_settings import NodeSettings
 from .node_store import NodeStore
 from .peer import Peer
@@ -55,11 +55,13 @@
 
 STORE_RETRY_SECONDS = 0.5
 STORE_TIMEOUT_SECONDS = 1.5
-# Callers stop sending after two failed readiness checks, one second apart; a few more
-# requests arrive on connections that were being opened meanwhile.
+# Minimum time for which a node serves requests after it is told to stop. Callers stop
+# sending after two failed readiness checks, one second apart; a few more requests
+# arrive on connections that were being opened meanwhile.
 MIN_LAME_DUCK_SECONDS = 3.2
-# Fraction of the grace period after which a request is accepted only if its deadline
-# lies before the end of the shutdown. Only earlier requests may be cut off.
+# From this fraction of the grace period on, a request is accepted only if its deadline
+# lies before the end of the shutdown, so that only requests accepted before can be cut
+# off.
 DEADLINE_CHECK_GRACE_RATIO = 0.45
 DRAIN_POLL_SECONDS = 0.05
 # Reserved at the end of the grace period for the exit of the process on a machine short
@@ -82,8 +84,9 @@
         dialect: The protocol spoken with callers and backend servers.
         store: Client of the platform's store.
         journal: Receives events.
-        build_ready: Builds the handler of readiness checks.
-        build_control: Builds the handler of the backend server's status reports.
+        build_readiness_handler: Builds the handler of readiness checks.
+        build_control_handler: Builds the handler of the backend server's status
+            reports.
     """
 
     def __init__(
@@ -92,8 +95,8 @@
         dialect: NodeDialect,
         store: NodeStore,
         journal: Journal,
-        build_ready: HandlerFactory,
-        build_control: HandlerFactory,
+        build_readiness_handler: HandlerFactory,
+        build_control_handler: HandlerFactory,
     ):
         self._settings = settings
         self._store = store
@@ -211,9 +214,15 @@
             self.request_handler.handle,
             lambda: self.policies.limits,
         )
-        self._readiness_server = build_local_server(settings.ready, build_ready(self))
-        self._control_server = build_local_server(settings.control, build_control(self))
-        self._metrics_server = build_local_server(settings.metrics, build_metrics(self))
+        self._readiness_server = build_local_server(
+            settings.ready, build_readiness_handler(self)
+        )
+        self._control_server = build_local_server(
+            settings.control, build_control_handler(self)
+        )
+        self._metrics_server = build_local_server(
+            settings.metrics, build_metrics_handler(self)
+        )
 
     @property
     def entry(self) -> NodeEntry:
@@ -222,7 +231,7 @@
 
     @property
     def drains(self) -> dict[str, int]:
-        """Draining backend servers of other nodes, with their start times in ms."""
+        """Drains recorded for other nodes: start times in Unix ms by instance id."""
         return self.registration.recorded_drains
 
     @property
@@ -235,18 +244,18 @@
         """Whether callers should send requests to this node."""
         return self.policies.policy is not None and not self._stopping
 
-    async def run(self, stopping: asyncio.Event) -> None:
+    async def run(self, stop_requested: asyncio.Event) -> None:
         """Serve until asked to stop or until a task fails for good, then shut down.
 
         Args:
-            stopping: Set to request the shutdown.
+            stop_requested: Set to request the shutdown.
 
         Raises:
             ExceptionGroup: A supervised task failed too often.
         """
         self._start()
         waiters = [
-            asyncio.create_task(stopping.wait()),
+            asyncio.create_task(stop_requested.wait()),
             asyncio.create_task(self._supervisor.wait_failed()),
         ]
         done, pending = await asyncio.wait(waiters, return_when=asyncio.FIRST_COMPLETED)
@@ -272,7 +281,7 @@
         await self._store.close()
 
     def build_full_state(self) -> NodeState:
-        """Return the full state that this node broadcasts."""
+        """Return the full state, which this node sends first on a new stream."""
         return self._state_broadcaster.build_full_state()
 
     def handle_state(self, peer: Peer) -> None:
@@ -298,15 +307,15 @@
         Args:
             version: The peer's policy version.
             age: Seconds for which a newer version may exist unseen by the peer.
-            asked_at: When the peer was asked, in seconds on the age clock.
+            asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
         self.policies.record_peer_age(version, age, asked_at)
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the active policy with its version and age."""
-        age = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
+        age_ms = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
         return PolicyAnswer(
-            request_id, self.policies.version, age, self.policies.record
+            request_id, self.policies.version, age_ms, self.policies.encoded_policy
         )
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
@@ -314,25 +323,29 @@
         self.registration.record_drain(instance, start_time_ms)
 
     def count_in_flight(self) -> int:
-        """Return the in-flight requests of callers and of other nodes."""
-        return self._outbound_server.busy + self._peer_server.busy
+        """Return the number of requests in flight at this node.
+
+        These are requests of callers and of the backend server, and calls of other
+        nodes.
+        """
+        return self._outbound_server.busy + self._peer_server.calls_in_flight
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Apply the drains of backend servers that a peer has recorded."""
+        """Drain the backend servers that a peer has recorded as draining."""
         self.registration.apply_drains(drains)
 
-    def record_peer_clock(self) -> None:
-        """Renew the share lease, now that a peer's clock can be estimated."""
+    def handle_peer_clock_known(self) -> None:
+        """Renew the lease of this node's rate share, which needs the peer's clock."""
         self.rates.renew_lease(time.monotonic())
 
-    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Record that a node lends its share of all rates to this node.
+    def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
+        """Record that a node lends its share of the rate limits to this node.
 
         Args:
             lender: The lending node.
-            lease_ms: End of the lease, in milliseconds on this node's clock.
+            lease_end_ms: End of the lease on this node's ``read_age_clock``, in ms.
         """
-        self.rates.record_lease(lender, lease_ms)
+        self.rates.record_lease(lender, lease_end_ms)
 
     def answer_token_request(
         self, sender: str, request: TokenRequest, send: Callable[[TokenGrant], None]
@@ -372,8 +385,8 @@
         scheduler.add(self._load_monitor.update)
         scheduler.add(self._state_broadcaster.relay_pending)
         scheduler.add(self._state_broadcaster.broadcast, BROADCAST_SECONDS)
-        # Before the policy poll: the lease travels in a ping, and a peer gets no second
-        # ping while one is unanswered.
+        # Before the poll of the policy age: leases and polls are both sent as pings,
+        # and a peer gets no second ping while one is unanswered.
         scheduler.add(self.rates.renew_lease)
         scheduler.add(self._peer_monitor.poll_policy_age, READER_POLL_SECONDS)
         scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_SECONDS)
@@ -388,18 +401,18 @@
 
         Broadcasts the stop to the other nodes first, so that they send no more calls
         here. Requests that callers and the backend server still send are served, and
-        the responses ask them to close the connection.
+        the responses ask the senders to close their connections.
         """
-        started = time.monotonic()
+        stop_started_at = time.monotonic()
         self._stopping = True
         self._journal.emit(NODE_STOPPING, in_flight=self.count_in_flight())
         self.backend.stop()
         self._broadcast_state()
         self._outbound_server.request_connection_close()
-        stop_deadline = started + self._settings.grace - STOP_MARGIN_SECONDS
-        earliest_stop = min(started + MIN_LAME_DUCK_SECONDS, stop_deadline)
+        stop_deadline = stop_started_at + self._settings.grace - STOP_MARGIN_SECONDS
+        earliest_stop = min(stop_started_at + MIN_LAME_DUCK_SECONDS, stop_deadline)
         deadline_check_after = (
-            started + DEADLINE_CHECK_GRACE_RATIO * self._settings.grace
+            stop_started_at + DEADLINE_CHECK_GRACE_RATIO * self._settings.grace
         )
         self.request_handler.stop(deadline_check_after, stop_deadline)
         while time.monotonic() < stop_deadline:
@@ -412,7 +425,7 @@
         self._journal.emit(
             NODE_STOPPED,
             cut=self.count_in_flight(),
-            seconds=round(time.monotonic() - started, 2),
+            seconds=round(time.monotonic() - stop_started_at, 2),
         )
         await self._supervisor.close()
         self._deadlines.close()
@@ -421,9 +434,9 @@
     async def _register_and_discover(self) -> None:
         """Register this node in the store, then connect to the nodes listed there.
 
-        In this order, so that of two nodes starting at once at least one finds the
-        other and opens a stream to it. A restarted node is registered already; its
-        new stream tells the others that the process is a new one.
+        The order ensures that of two nodes starting at once at least one finds the
+        other and opens a stream to it. A restarted node is registered already; the
+        Hello on its new streams shows the other nodes that its process is a new one.
         """
         registered = False
         while True:
@@ -433,7 +446,7 @@
                     registered = True
                 entries = await self._store.list_nodes(STORE_TIMEOUT_SECONDS)
                 if not registered and not any(
-                    map(self._entry.has_same_location, entries)
+                    map(self._entry.equals_except_start_time, entries)
                 ):
                     await self._store.write_node(self._entry, STORE_TIMEOUT_SECONDS)
                     registered = True
@@ -448,7 +461,7 @@
             await asyncio.sleep(self._rng.uniform(0.5, 1.0) * STORE_RETRY_SECONDS)
 
     def _count_nodes(self) -> int:
-        """Return the number of nodes; 0 until the nodes in the store are listed."""
+        """Return the number of known nodes; 0 until those in the store are listed."""
         return len(self.fleet) if self._nodes_listed else 0
 
     def _build_load_state(self) -> NodeState:
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -32,14 +32,14 @@
     5.0,
     10.0,
 )
-# Further routes share one label, so that a configuration of thousands of routes does
-# not exhaust memory.
+# Routes beyond this number share one label, so that a configuration of thousands of
+# routes does not exhaust memory.
 MAX_ROUTE_LABELS = 200
 OTHER_ROUTES_LABEL = "other"
-# Limits the number of time series that workspaces add to the metrics.
+# Maximum number of workspaces in the metrics; each adds time series.
 MAX_WORKSPACE_LABELS = 200
-# An unknown, infinite age is reported as this value of some days: metrics and messages
-# hold finite numbers only.
+# Reported instead of an unknown age, which is infinite: metrics and messages hold only
+# finite numbers. Over 11 days.
 MAX_REPORTED_AGE_SECONDS = 1e6
 METRIC_PREFIX = "primroseglade_"
 
@@ -48,19 +48,19 @@
     """Latency histogram of one route.
 
     Attributes:
-        counts: Requests in each bucket; the last one is unbounded.
+        bucket_counts: Requests in each bucket; the last one is unbounded.
         total_seconds: Sum of the latencies.
     """
 
-    __slots__ = ("counts", "total_seconds")
+    __slots__ = ("bucket_counts", "total_seconds")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(LATENCY_BUCKETS_SECONDS) + 1)
+        self.bucket_counts = [0] * (len(LATENCY_BUCKETS_SECONDS) + 1)
         self.total_seconds = 0.0
 
     def observe(self, seconds: float) -> None:
         """Add the latency of one request."""
-        self.counts[bisect.bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
+        self.bucket_counts[bisect.bisect_left(LATENCY_BUCKETS_SECONDS, seconds)] += 1
         self.total_seconds += seconds
 
 
@@ -68,29 +68,34 @@
     """Counts requests, retries and latencies, and renders all metrics of a node."""
 
     def __init__(self) -> None:
-        self._outcomes: collections.Counter[tuple[str, str]] = collections.Counter()
-        self._retries: collections.Counter[str] = collections.Counter()
-        self._histograms: dict[str, LatencyHistogram] = {}
+        self._requests_by_outcome: collections.Counter[tuple[str, str]] = (
+            collections.Counter()
+        )
+        self._retries_by_reason: collections.Counter[str] = collections.Counter()
+        self._histograms_by_route: dict[str, LatencyHistogram] = {}
 
     def record_request(self, route: str, outcome: str, seconds: float) -> None:
         """Record a request of a caller or of the local backend server.
 
         Args:
-            route: Name of its route; empty if it has none.
+            route: Name of the request's route; empty if it has none.
             outcome: ``served``, a status of the backend server, or a refusal's reason.
-            seconds: Time from its arrival to its response.
+            seconds: Time from the request's arrival to its response.
         """
-        if route not in self._histograms and len(self._histograms) >= MAX_ROUTE_LABELS:
+        if (
+            route not in self._histograms_by_route
+            and len(self._histograms_by_route) >= MAX_ROUTE_LABELS
+        ):
             route = OTHER_ROUTES_LABEL
-        histogram = self._histograms.get(route)
+        histogram = self._histograms_by_route.get(route)
         if histogram is None:
-            histogram = self._histograms[route] = LatencyHistogram()
+            histogram = self._histograms_by_route[route] = LatencyHistogram()
         histogram.observe(seconds)
-        self._outcomes[route, outcome] += 1
+        self._requests_by_outcome[route, outcome] += 1
 
     def record_retry(self, reason: str) -> None:
         """Count a retry."""
-        self._retries[reason] += 1
+        self._retries_by_reason[reason] += 1
 
     def render(self, node: "SidecarNode") -> bytes:
         """Return all metrics in the Prometheus text format."""
@@ -101,7 +106,7 @@
         return generate_latest(registry)
 
     def collect(self, node: "SidecarNode") -> Iterator[Any]:
-        """Yield all metrics as metric families of the library."""
+        """Yield all metrics as metric families of the metrics library."""
         from prometheus_client import core
 
         requests = core.CounterMetricFamily(
@@ -109,21 +114,21 @@
             "Requests by outcome.",
             labels=["route", "outcome"],
         )
-        for (route, outcome), count in self._outcomes.items():
+        for (route, outcome), count in self._requests_by_outcome.items():
             requests.add_metric([route, outcome], count)
         yield requests
         retries = core.CounterMetricFamily(
-            METRIC_PREFIX + "repeats", "Further attempts, by why.", labels=["reason"]
+            METRIC_PREFIX + "repeats", "Retries by reason.", labels=["reason"]
         )
-        for reason, count in self._retries.items():
+        for reason, count in self._retries_by_reason.items():
             retries.add_metric([reason], count)
         yield retries
         latency = core.HistogramMetricFamily(
             METRIC_PREFIX + "request_seconds",
-            "Time from arrival to answer.",
+            "Seconds from the arrival of a request to its response.",
             labels=["route"],
         )
-        for route, histogram in self._histograms.items():
+        for route, histogram in self._histograms_by_route.items():
             latency.add_metric(
                 [route], _build_cumulative_buckets(histogram), histogram.total_seconds
             )
@@ -133,16 +138,16 @@
             "Bytes sent to other availability zones.",
             labels=["frame", "route"],
         )
-        for frame, route, size in node.cross_zone_bytes.list_all():
-            cross_zone_bytes.add_metric([frame, route], size)
+        for frame, route, byte_count in node.cross_zone_bytes.list_all():
+            cross_zone_bytes.add_metric([frame, route], byte_count)
         yield cross_zone_bytes
         yield from _collect_workspaces(node)
-        for name, text, value in _list_gauges(node):
-            yield core.GaugeMetricFamily(METRIC_PREFIX + name, text, value=value)
+        for name, help_text, value in _list_gauges(node):
+            yield core.GaugeMetricFamily(METRIC_PREFIX + name, help_text, value=value)
 
 
 class _Collector:
-    """Passes a node's metrics to the library."""
+    """Passes a node's metrics to the metrics library."""
 
     def __init__(self, node_metrics: NodeMetrics, node: "SidecarNode"):
         self._node_metrics = node_metrics
@@ -159,12 +164,12 @@
 
     calls = core.CounterMetricFamily(
         METRIC_PREFIX + "workspace_calls",
-        "Calls of a workspace let through within its rate.",
+        "Calls admitted within the rate limit of the workspace.",
         labels=["workspace"],
     )
     tokens = core.GaugeMetricFamily(
         METRIC_PREFIX + "workspace_tokens",
-        "Left in a workspace's bucket at this node, if it holds tokens.",
+        "Tokens in the workspace's bucket if this node is a token holder.",
         labels=["workspace"],
     )
     admitted = sorted(node.rates.quotas.list_admitted(), key=lambda item: -item[1])
@@ -178,36 +183,58 @@
 
 
 def _list_gauges(node: "SidecarNode") -> list[tuple[str, str, float]]:
-    """Return name, help text and current value of each gauge."""
+    """Return the name, help text and current value of each gauge."""
     backend = node.backend
     queue = backend.queue
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
     connected_peers = len(node.fleet.list_connected())
     return [
-        ("occupied", "Calls at work and waiting there.", node.in_flight),
-        ("slots", "Calls that it is given at once.", queue.concurrency_limit),
-        ("service_seconds", "Usual time of work there.", queue.service_seconds),
-        ("failing_ratio", "Share of calls that failed there.", backend.failure_ratio),
-        ("peers", "Nodes to which a stream is open.", connected_peers),
-        ("policy_version", "Configuration in force.", node.policies.version),
-        ("policy_age_seconds", "For which a newer one may exist unseen.", age),
-        ("in_flight", "Requests under way at this node.", node.count_in_flight()),
+        ("occupied", "Calls running and queued at the backend server.", node.in_flight),
+        (
+            "slots",
+            "Maximum concurrent calls to the backend server.",
+            queue.concurrency_limit,
+        ),
+        (
+            "service_seconds",
+            "Typical service time of a call, in seconds.",
+            queue.service_seconds,
+        ),
+        (
+            "failing_ratio",
+            "Recent fraction of calls that failed at the backend server.",
+            backend.failure_ratio,
+        ),
+        ("peers", "Other nodes to which a stream is open.", connected_peers),
+        (
+            "policy_version",
+            "Version of the configuration in force.",
+            node.policies.version,
+        ),
+        (
+            "policy_age_seconds",
+            "Seconds for which a newer configuration may exist unseen.",
+            age,
+        ),
+        ("in_flight", "Requests in flight at this node.", node.count_in_flight()),
     ]
 
 
 def _build_cumulative_buckets(histogram: LatencyHistogram) -> list[tuple[str, float]]:
-    """Return the upper bounds with the number of requests at or below each."""
+    """Return each bucket's upper bound with the number of requests up to it."""
     count = 0
     buckets = []
     for upper_bound, bucket_count in zip(
-        (*map(str, LATENCY_BUCKETS_SECONDS), "+Inf"), histogram.counts, strict=True
+        (*map(str, LATENCY_BUCKETS_SECONDS), "+Inf"),
+        histogram.bucket_counts,
+        strict=True,
     ):
         count += bucket_count
         buckets.append((upper_bound, float(count)))
     return buckets
 
 
-def build_metrics(node: "SidecarNode") -> Any:
+def build_metrics_handler(node: "SidecarNode") -> Any:
     """Return the handler of metrics requests."""
 
     async def handle(request: Request) -> Reply:
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -44,15 +44,15 @@
 # do not wait for their timeouts.
 SUSPECT_AFTER_SECONDS = 0.25
 # If nothing is received for this long after a ping, the stream is closed and idempotent
-# calls are retried elsewhere. Long enough for a packet that is lost twice.
+# calls are retried elsewhere. Long enough to retransmit a packet that is lost twice.
 PING_TIMEOUT_SECONDS = 1.0
 CONNECT_TIMEOUT_SECONDS = 1.0
 INITIAL_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 2.0
-# Weight of each call in the moving average of failures, which spans about 30 calls.
+# Weight of a call in the moving average of failures. The average spans about 30 calls.
 FAILURE_SMOOTHING = 1 / 32
-# A node that is unreachable for this long is removed. Longer than restarts and network
-# partitions last; a node that returns later announces itself with a Hello.
+# A node that is unreachable for this long is removed. Restarts and network partitions
+# are shorter; a node that returns later announces itself with a Hello.
 PEER_EXPIRY_SECONDS = 120.0
 
 
@@ -68,7 +68,11 @@
         """Counter of the bytes sent to other availability zones."""
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Apply the drains that a peer has recorded: start times by instance id."""
+        """Drain the backend servers that a peer has recorded as draining.
+
+        Args:
+            drains: Their start times in Unix milliseconds, by instance id.
+        """
 
     def handle_state(self, peer: "Peer") -> None:
         """Handle a new state of a peer."""
@@ -85,19 +89,19 @@
         Args:
             version: Version of the configuration in force there.
             age: Seconds for which a newer version may exist unknown to the peer.
-            asked_at: When the peer was asked, in seconds on the age clock.
+            asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
 
-    def record_peer_clock(self) -> None:
-        """Handle the first estimate of a peer's clock on a new stream."""
+    def handle_peer_clock_known(self) -> None:
+        """Handle the first known clock reading of a peer on a new stream."""
 
 
 class Peer:
     """Another node, and the outgoing stream to it.
 
     Args:
-        entry: Its name, address and location.
-        host: The node that this peer belongs to.
+        entry: Name, address and location of the other node.
+        host: This node.
         journal: Logs established and lost streams.
     """
 
@@ -106,26 +110,26 @@
         self.state = NodeState()
         self._loop = asyncio.get_running_loop()
         self.in_flight = 0.0
-        #: Fraction of failed calls: as last reported, updated by calls sent since.
+        #: Fraction of failed calls: as last reported, then updated by each call sent.
         self.failure_ratio = 0.0
         self._host = host
         self._journal = journal
         self._stream: FrameStream | None = None
-        self._pending: dict[int, asyncio.Future[Frame]] = {}
+        self._pending_replies: dict[int, asyncio.Future[Frame]] = {}
         self._token_requests = TokenRequests(self._loop)
-        self._clock = RemoteClock()
-        self._last_id = 0
-        self._ping_sent_boottime = 0.0
+        self._remote_clock = RemoteClock()
+        self._last_request_id = 0
+        self._ping_sent_on_age_clock = 0.0
         self._ping_sent_at = 0.0
-        self._pending_since = 0.0
-        self._ping_id = 0
+        self._replies_pending_since = 0.0
+        self._unanswered_ping_id = 0
         self._disconnected: asyncio.Event = asyncio.Event()
         self._hello_received = False
-        self._unreachable_logged = False
+        self._was_unreachable_logged = False
 
     @property
     def connected(self) -> bool:
-        """Whether the stream is open and the peer has introduced itself."""
+        """Whether the stream is open and the peer's Hello was received."""
         return (
             self._hello_received
             and self._stream is not None
@@ -134,18 +138,18 @@
 
     @property
     def usable(self) -> bool:
-        """Whether calls can be sent to its backend server."""
+        """Whether calls can be sent to the peer's backend server."""
         return bool(self.state.instance) and self.connected
 
     @property
     def has_pending_calls(self) -> bool:
-        """Whether requests await its reply."""
-        return bool(self._pending)
+        """Whether requests await the peer's reply."""
+        return bool(self._pending_replies)
 
     @property
     def is_suspect(self) -> bool:
         """Whether calls are pending and a ping has gone unanswered for too long."""
-        if not self._ping_id or not self._pending:
+        if not self._unanswered_ping_id or not self._pending_replies:
             return False
         stream = self._stream
         if stream is None or stream.last_received_at >= self._ping_sent_at:
@@ -167,33 +171,34 @@
                 self._disconnect("peer task ended")
             if self._hello_received:
                 self._hello_received = False
-                self._unreachable_logged = False
+                self._was_unreachable_logged = False
                 backoff = INITIAL_BACKOFF_SECONDS
                 last_connected_at = time.monotonic()
             await asyncio.sleep(random.uniform(backoff / 2, backoff))
             backoff = min(MAX_BACKOFF_SECONDS, backoff * 2)
 
     def apply_state(self, state: NodeState) -> bool:
-        """Apply a state of the node; return False if a newer one is known."""
+        """Apply a state of the peer; return False if a newer state is known."""
         if not state.is_full and state.sequence <= self.state.sequence:
             return False
         if state.downstream_calls is None:
             state.downstream_calls = self.state.downstream_calls
         self.state = state
-        self.record_load(state.in_flight)
+        self.record_in_flight(state.in_flight)
         self.failure_ratio = state.failure_ratio
         self._host.handle_state(self)
         return True
 
-    def record_load(self, in_flight: float) -> None:
-        """Record the number of calls in flight at its backend server."""
+    def record_in_flight(self, in_flight: float) -> None:
+        """Record the number of calls in flight at the peer's backend server."""
         self.in_flight = in_flight
 
     async def call(self, call: Call) -> CallAnswer:
         """Run a call on the node's backend server and return the answer.
 
         Raises:
-            Refusal: The call got no answer; says whether it may have run.
+            Refusal: The call got no answer. The refusal says whether the call may have
+                run.
         """
         if not self.connected:
             raise not_run(Reason.CONNECTION_LOST, "no stream to the node")
@@ -209,10 +214,10 @@
         failed = not isinstance(reply, CallAnswer) or reply.status >= MIN_FAILURE_STATUS
         self.failure_ratio += FAILURE_SMOOTHING * (failed - self.failure_ratio)
         if isinstance(reply, CallAnswer):
-            self.record_load(reply.in_flight)
+            self.record_in_flight(reply.in_flight)
             return reply
         assert isinstance(reply, CallRefused)
-        self.record_load(reply.in_flight)
+        self.record_in_flight(reply.in_flight)
         raise self._build_refusal(reply)
 
     async def fetch_policy(self, timeout: float) -> PolicyAnswer:
@@ -247,58 +252,68 @@
         async with asyncio.timeout(timeout):
             await self._request(DrainNote(0, instance, start_time_ms))
 
-    def request_tokens(self, request: TokenRequest, done: GrantHandler) -> None:
+    def request_tokens(self, request: TokenRequest, on_grant: GrantHandler) -> None:
         """Request tokens of a workspace.
 
         Args:
             request: The request; its id is set here.
-            done: Called once with the grant, or with None if there is none.
+            on_grant: Called once, with the grant, or with None if the peer is or
+                becomes unreachable or does not answer in time.
         """
         if not self.connected:
-            done(None)
+            on_grant(None)
             return
-        self._last_id += 1
-        request.id = self._last_id
-        self._token_requests.add(request.id, done)
+        self._last_request_id += 1
+        request.id = self._last_request_id
+        self._token_requests.add(request.id, on_grant)
         self._send(request)
 
-    def lend_share(self, seconds: float) -> bool:
-        """Lend this node's share of all rates to the peer for some seconds.
+    def lend_share(self, lease_seconds: float) -> bool:
+        """Lend this node's share of the workspaces' rate limits to the peer.
+
+        Args:
+            lease_seconds: Length of the lease.
 
         Returns:
             Whether a lease was sent.
         """
-        remote_time = self._clock.estimate(read_age_clock())
+        remote_time = self._remote_clock.estimate(read_age_clock())
         if remote_time is None or not self.connected:
             return False
-        return self.send_ping(int((remote_time + seconds) * 1000))
+        return self.send_ping(int((remote_time + lease_seconds) * 1000))
 
-    def send_ping(self, lease_ms: int = 0) -> bool:
-        """Send a ping, unless one is unanswered.
+    def send_ping(self, lease_end_ms: int = 0) -> bool:
+        """Send a ping, unless the previous ping may still be answered.
 
         The answer carries the age of the peer's configuration.
 
         Args:
-            lease_ms: As in ``Ping``.
+            lease_end_ms: As in ``Ping``.
 
         Returns:
             Whether the ping was sent.
         """
         now = time.monotonic()
-        if self._ping_id and not self._may_ping_again(now):
+        if self._unanswered_ping_id and not self._may_ping_again(now):
             return False
-        self._last_id += 1
-        self._ping_id = self._last_id
+        self._last_request_id += 1
+        self._unanswered_ping_id = self._last_request_id
         self._ping_sent_at = now
-        self._ping_sent_boottime = read_age_clock()
-        self._send(Ping(self._ping_id, int(self._ping_sent_boottime * 1000), lease_ms))
+        self._ping_sent_on_age_clock = read_age_clock()
+        self._send(
+            Ping(
+                self._unanswered_ping_id,
+                int(self._ping_sent_on_age_clock * 1000),
+                lease_end_ms,
+            )
+        )
         return True
 
     def check_liveness(self, now: float) -> None:
-        """Ping the peer if pending calls get no answer; disconnect if it stays silent.
+        """Ping a peer that leaves calls unanswered; disconnect if it stays silent.
 
         The connection can be half-open: the other end, or a middlebox that has lost
-        its state, drops what is sent. A new connection may work.
+        its state, drops what is sent. Only a new connection can help then.
 
         Args:
             now: Seconds on the monotonic clock.
@@ -306,26 +321,26 @@
         stream = self._stream
         if stream is None:
             return
-        if self._ping_id and now - self._ping_sent_at > PING_TIMEOUT_SECONDS:
+        if self._unanswered_ping_id and now - self._ping_sent_at > PING_TIMEOUT_SECONDS:
             if stream.last_received_at < self._ping_sent_at:
                 self._disconnect("silent")
-        elif self._pending:
+        elif self._pending_replies:
             if (
-                now - max(stream.last_received_at, self._pending_since)
+                now - max(stream.last_received_at, self._replies_pending_since)
                 > IDLE_BEFORE_PING_SECONDS
             ):
                 self.send_ping()
 
     def _may_ping_again(self, now: float) -> bool:
-        """Return whether the last ping is old, but other frames arrived since.
+        """Return whether a ping is long unanswered although other frames arrived since.
 
-        While nothing arrives, a new ping would restart the timeout of the first one.
+        While nothing arrives, another ping would restart the timeout of the first.
         """
         stream = self._stream
-        received_since = (
+        has_received_since = (
             stream is not None and stream.last_received_at >= self._ping_sent_at
         )
-        return received_since and now - self._ping_sent_at >= PING_TIMEOUT_SECONDS
+        return has_received_since and now - self._ping_sent_at >= PING_TIMEOUT_SECONDS
 
     def _build_refusal(self, reply: CallRefused) -> Refusal:
         reason = Reason.from_code(reply.reason) or Reason.OVERLOADED
@@ -338,17 +353,17 @@
     async def _request(self, frame: Call | PolicyRequest | DrainNote) -> Frame:
         if self._stream is None:
             raise ConnectionError("no stream to the node")
-        self._last_id += 1
-        frame.id = self._last_id
+        self._last_request_id += 1
+        frame.id = self._last_request_id
         future: asyncio.Future[Frame] = self._loop.create_future()
-        if not self._pending:
-            self._pending_since = time.monotonic()
-        self._pending[frame.id] = future
+        if not self._pending_replies:
+            self._replies_pending_since = time.monotonic()
+        self._pending_replies[frame.id] = future
         self._stream.send(frame, frame.route if isinstance(frame, Call) else "")
         try:
             return await future
         finally:
-            self._pending.pop(frame.id, None)
+            self._pending_replies.pop(frame.id, None)
 
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
@@ -364,8 +379,8 @@
         self.send_ping()
 
     def _log_unreachable(self, error: Exception) -> None:
-        if not self._unreachable_logged:
-            self._unreachable_logged = True
+        if not self._was_unreachable_logged:
+            self._was_unreachable_logged = True
             reason = str(error) or "timed out"
             self._journal.emit(PEER_UNREACHABLE, peer=self.entry.name, reason=reason)
 
@@ -375,7 +390,7 @@
 
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
         if isinstance(frame, CallAnswer | CallRefused | PolicyAnswer | DrainNoted):
-            future = self._pending.get(frame.id)
+            future = self._pending_replies.get(frame.id)
             if future is not None and not future.done():
                 future.set_result(frame)
         elif isinstance(frame, TokenGrant):
@@ -404,16 +419,18 @@
             self.apply_state(hello.state)
 
     def _handle_pong(self, pong: Pong) -> None:
-        if pong.id != self._ping_id:
+        if pong.id != self._unanswered_ping_id:
             return
-        self._ping_id = 0
+        self._unanswered_ping_id = 0
         now = read_age_clock()
-        clock_known = self._clock.estimate(now) is not None
-        self._clock.record(pong.clock_ms / 1000, now)
-        if not clock_known:
-            self._host.record_peer_clock()
+        was_clock_known = self._remote_clock.estimate(now) is not None
+        self._remote_clock.record(pong.clock_ms / 1000, now)
+        if not was_clock_known:
+            self._host.handle_peer_clock_known()
         age = pong.policy_age_ms / 1000
-        self._host.record_policy_age(pong.policy_version, age, self._ping_sent_boottime)
+        self._host.record_policy_age(
+            pong.policy_version, age, self._ping_sent_on_age_clock
+        )
 
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
         if stream is self._stream:
@@ -428,13 +445,13 @@
                     PEER_LOST,
                     peer=self.entry.name,
                     reason=reason,
-                    in_flight=len(self._pending),
+                    in_flight=len(self._pending_replies),
                 )
         self._disconnected.set()
-        self._ping_id = 0
-        self._clock = RemoteClock()
+        self._unanswered_ping_id = 0
+        self._remote_clock = RemoteClock()
         self._token_requests.fail_all()
         error = ConnectionError(f"the stream to {self.entry.name} was lost: {reason}")
-        for future in self._pending.values():
+        for future in self._pending_replies.values():
             if not future.done():
                 future.set_exception(error)
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -46,14 +46,14 @@
 
     @property
     def drains(self) -> dict[str, int]:
-        """Recorded drains of other nodes' backend servers: start times by id."""
+        """Drains recorded for other nodes: start times in Unix ms by instance id."""
 
     @property
     def in_flight(self) -> int:
         """Calls running and queued at the backend server."""
 
     def build_full_state(self) -> NodeState:
-        """Return this node's complete state."""
+        """Return this node's full state, as sent first on a stream."""
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the configuration in force, as an answer to a request."""
@@ -64,12 +64,12 @@
     def handle_hello(self, entry: NodeEntry) -> None:
         """Handle a node that opened a stream to this one."""
 
-    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
-        """Record that a node lends its share of all rates.
+    def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
+        """Record that a node lends its share of the rate limits to this node.
 
         Args:
-            lender: The node.
-            lease_ms: End of the lease on this node's age clock, in milliseconds.
+            lender: The lending node.
+            lease_end_ms: End of the lease on this node's ``read_age_clock``, in ms.
         """
 
     def answer_token_request(
@@ -78,9 +78,9 @@
         """Answer a node's request for tokens, immediately or later.
 
         Args:
-            sender: Name of the node.
-            request: Its request.
-            send: Sends the answer.
+            sender: Name of the requesting node.
+            request: The request.
+            send: Sends the answer to the requesting node.
         """
 
 
@@ -106,14 +106,15 @@
         self._host = host
         self._dispatcher = dispatcher
         self._journal = journal
-        self._streams: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
-        self._introduced_nodes: dict[FrameStream, NodeEntry] = {}
-        self._one_way_delays: dict[FrameStream, OneWayDelay] = {}
+        # Tasks of calls by stream, then by the id of the call.
+        self._tasks_by_stream: dict[FrameStream, dict[int, asyncio.Task[None]]] = {}
+        self._entries_by_stream: dict[FrameStream, NodeEntry] = {}
+        self._delays_by_stream: dict[FrameStream, OneWayDelay] = {}
 
     @property
-    def busy(self) -> int:
-        """Number of calls of other nodes in flight here."""
-        return sum(len(tasks) for tasks in self._streams.values())
+    def calls_in_flight(self) -> int:
+        """Number of calls from other nodes in flight at this node."""
+        return sum(len(tasks) for tasks in self._tasks_by_stream.values())
 
     async def run(self) -> None:
         """Listen until cancelled."""
@@ -140,7 +141,7 @@
             is_recipient: Returns whether a node receives the frame.
         """
         data = encode_frame(frame)
-        for stream, entry in self._introduced_nodes.items():
+        for stream, entry in self._entries_by_stream.items():
             if not is_recipient(entry):
                 continue
             if stream.is_cross_zone:
@@ -150,18 +151,19 @@
 
     def finish(self) -> None:
         """Close the streams after their write buffers are flushed."""
-        for stream in list(self._streams):
+        for stream in list(self._tasks_by_stream):
             stream.finish()
 
     def abort(self) -> None:
         """Close all streams immediately."""
-        for stream in list(self._streams):
+        for stream in list(self._tasks_by_stream):
             stream.close()
 
     def _receive(self, stream: FrameStream, frame: Frame) -> None:
-        tasks = self._streams.setdefault(stream, {})
+        tasks = self._tasks_by_stream.setdefault(stream, {})
         if isinstance(frame, Call):
-            # Time spent queueing on the way here counts against the deadline.
+            # The time that the call was queued between the nodes counts against its
+            # deadline.
             queueing_ms = self._measure_queueing_delay(stream, frame.sent_ms) * 1000
             frame.remaining_ms -= queueing_ms
             frame.latency_target_ms -= queueing_ms
@@ -173,7 +175,7 @@
             if task is not None:
                 task.cancel()
         elif isinstance(frame, Ping):
-            # Each stream begins with a ping, the baseline for the first call's delay.
+            # The first ping on a stream is the baseline for the first call's delay.
             self._measure_queueing_delay(stream, frame.sent_ms)
             self._answer_ping(stream, frame)
         elif isinstance(frame, Hello):
@@ -181,12 +183,12 @@
                 stream.mark_cross_zone(self._host.cross_zone_bytes)
             state = self._host.build_full_state()
             stream.send(Hello(self._host.entry, state, self._host.drains))
-            self._introduced_nodes[stream] = frame.entry
+            self._entries_by_stream[stream] = frame.entry
             self._host.handle_hello(frame.entry)
         elif isinstance(frame, PolicyRequest):
             stream.send(self._host.build_policy_answer(frame.id))
         elif isinstance(frame, TokenRequest):
-            sender = self._introduced_nodes.get(stream)
+            sender = self._entries_by_stream.get(stream)
             if sender is not None:
                 self._host.answer_token_request(sender.name, frame, stream.send)
         elif isinstance(frame, DrainNote):
@@ -194,23 +196,23 @@
             stream.send(DrainNoted(frame.id))
 
     def _measure_queueing_delay(self, stream: FrameStream, sent_ms: int) -> float:
-        """Return the seconds that a frame spent queueing on the way here."""
-        one_way_delay = self._one_way_delays.get(stream)
+        """Return for how many seconds a frame was queued between the nodes."""
+        one_way_delay = self._delays_by_stream.get(stream)
         if one_way_delay is None:
-            one_way_delay = self._one_way_delays[stream] = OneWayDelay()
+            one_way_delay = self._delays_by_stream[stream] = OneWayDelay()
         return one_way_delay.measure_excess(sent_ms / 1000, read_age_clock())
 
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
-        self._introduced_nodes.pop(stream, None)
-        self._one_way_delays.pop(stream, None)
-        # The sender has failed or cannot be reached; nobody waits for these calls.
-        for task in list(self._streams.pop(stream, {}).values()):
+        self._entries_by_stream.pop(stream, None)
+        self._delays_by_stream.pop(stream, None)
+        # The sender has failed or is unreachable, so nobody waits for these calls.
+        for task in list(self._tasks_by_stream.pop(stream, {}).values()):
             task.cancel()
 
     def _answer_ping(self, stream: FrameStream, ping: Ping) -> None:
-        lender = self._introduced_nodes.get(stream)
-        if ping.lease_ms and lender is not None:
-            self._host.record_lease(lender, ping.lease_ms)
+        lender = self._entries_by_stream.get(stream)
+        if ping.lease_end_ms and lender is not None:
+            self._host.record_lease(lender, ping.lease_end_ms)
         answer = self._host.build_policy_answer(ping.id)
         clock_ms = int(read_age_clock() * 1000)
         stream.send(Pong(ping.id, answer.version, answer.age_ms, clock_ms))
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -9,12 +9,13 @@
 import time
 from collections.abc import Callable
 
-# As often as admission levels are updated.
+# Length of a tick: the shortest interval of any task, that of the updates of admission
+# levels.
 TICK_SECONDS = 0.25
 # Random deviation of each tick, so that nodes started together do not wake together.
 TICK_JITTER_RATIO = 0.05
 
-# Called with the time in seconds on the loop's clock.
+# A periodic task; called with the current time in monotonic seconds.
 PeriodicTask = Callable[[float], None]
 
 
@@ -27,35 +28,39 @@
 
     def __init__(self, rng: random.Random):
         self._rng = rng
+        # Each task with its interval in ticks.
         self._tasks: list[tuple[int, PeriodicTask]] = []
-        self._ticks = 0
+        self._tick_count = 0
 
     def add(self, task: PeriodicTask, interval_seconds: float = TICK_SECONDS) -> None:
-        """Add a task; its interval is rounded to whole ticks, at least one."""
+        """Add a task; its interval is rounded to whole ticks, and at least one tick."""
         self._tasks.append((max(1, round(interval_seconds / TICK_SECONDS)), task))
 
     async def run(self) -> None:
         """Run the tasks until cancelled.
 
         Raises:
-            Exception: The first error of a tick, raised after its other tasks have run.
+            Exception: A task failed. The first error of a tick is raised after all
+                tasks of that tick have run.
         """
         while True:
-            jitter = self._rng.uniform(1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO)
-            await asyncio.sleep(TICK_SECONDS * jitter)
+            jitter_factor = self._rng.uniform(
+                1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO
+            )
+            await asyncio.sleep(TICK_SECONDS * jitter_factor)
             self.tick(time.monotonic())
 
     def tick(self, now: float) -> None:
-        """Run the tasks that are due."""
-        self._ticks += 1
+        """Count a tick and run the tasks due in it; ``now`` in monotonic seconds."""
+        self._tick_count += 1
         first_error: Exception | None = None
-        for tick_interval, task in self._tasks:
-            if self._ticks % tick_interval:
+        for interval_ticks, task in self._tasks:
+            if self._tick_count % interval_ticks:
                 continue
             try:
                 task(now)
             except Exception as error:
                 first_error = first_error or error
         if first_error is not None:
-            # The supervisor logs it and restarts the scheduler.
+            # The supervisor logs the error and restarts the scheduler.
             raise first_error
