--- a/primroseglade/announcing.py
+++ b/primroseglade/announcing.py
@@ -8,7 +8,7 @@
 from .calls.backend import Announcement, BackendServer
 from .errors import InputError
 from .listener import as_handler, build_application
-from .settings.node import ADDRESS, NAME
+from .settings.node import ADDRESS_SCHEMA, NAME_SCHEMA
 from .settings.reader import build_validator, check
 
 ANNOUNCEMENT_PATH_PREFIX = b"/-/"
@@ -20,8 +20,8 @@
         "additionalProperties": False,
         "required": ["service", "address"],
         "properties": {
-            "service": NAME,
-            "address": ADDRESS,
+            "service": NAME_SCHEMA,
+            "address": ADDRESS_SCHEMA,
             "slots": {"type": "integer", "minimum": 1},
             "connections": {"type": "integer", "minimum": 1},
             "draining": {"type": "boolean"},
--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -11,7 +11,7 @@
     BACKEND_ANNOUNCED,
     BACKEND_DRAINING,
     BACKEND_REFUSED,
-    BACKEND_SILENT,
+    BACKEND_UNRESPONSIVE,
     BACKEND_WITHDRAWN,
     Journal,
 )
@@ -286,7 +286,7 @@
     def _report_unresponsive(self, pool: Pool, idle_closed: int) -> None:
         self._metrics.silent_connections.inc()
         self._journal.emit(
-            BACKEND_SILENT, address=pool.address, idle_closed=idle_closed
+            BACKEND_UNRESPONSIVE, address=pool.address, idle_closed=idle_closed
         )
 
     def _record_latency(self, response: Response, started: float) -> None:
--- a/primroseglade/document/schema.py
+++ b/primroseglade/document/schema.py
@@ -3,14 +3,14 @@
 from typing import Any
 
 from ..errors import InputError
-from ..settings.node import ADDRESS, NAME
+from ..settings.node import ADDRESS_SCHEMA, NAME_SCHEMA
 from ..settings.reader import build_validator, check
 
 IMPORTANCE_NAMES = ("critical", "high", "normal", "low")
 SECTION_NAME_PATTERN = r"^[a-z0-9][a-z0-9._-]{0,62}$"
 DIGEST_PATTERN = "^sha256:[0-9a-f]{64}$"
 
-_NAME_LIST_SCHEMA = {"type": "array", "items": NAME, "default": []}
+_NAME_LIST_SCHEMA = {"type": "array", "items": NAME_SCHEMA, "default": []}
 _IMPORTANCE_SCHEMA = {"enum": list(IMPORTANCE_NAMES)}
 
 
@@ -38,7 +38,7 @@
             "description": "Share of each workspace's rate that accrues here; the "
             "shares of all zones add up to 1 at the most.",
         },
-        region=NAME | {"description": "Region that the zone is in."},
+        region=NAME_SCHEMA | {"description": "Region that the zone is in."},
     ),
     "workspaces": _object_schema(
         "A workspace and the digests of its keys.",
@@ -49,13 +49,15 @@
             "items": _object_schema(
                 "One key.",
                 ["id", "digest"],
-                id=NAME | {"description": "Name of the key, unique in the document."},
+                id=NAME_SCHEMA
+                | {"description": "Name of the key, unique in the document."},
                 digest={
                     "type": "string",
                     "pattern": DIGEST_PATTERN,
                     "description": "sha256: and the key's SHA-256 in hex.",
                 },
-                batch=NAME | {"description": "Batch that the key was issued in."},
+                batch=NAME_SCHEMA
+                | {"description": "Batch that the key was issued in."},
             ),
         },
         stale_after={
@@ -96,7 +98,7 @@
                     "format": "network",
                     "description": "IP network in CIDR form.",
                 },
-                batch=NAME | {"description": "Batch that they were built in."},
+                batch=NAME_SCHEMA | {"description": "Batch that they were built in."},
             ),
         },
         timeout={
@@ -141,7 +143,7 @@
         workspaces=_NAME_LIST_SCHEMA | {"description": "Withdrawn workspaces."},
         backend_servers={
             "type": "array",
-            "items": ADDRESS,
+            "items": ADDRESS_SCHEMA,
             "default": [],
             "description": "Withdrawn backend servers, IP:PORT.",
         },
--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -10,8 +10,8 @@
     MEMBER_DEAD,
     MEMBER_JOINED,
     MEMBER_LEFT,
-    MEMBER_REFUTED,
     MEMBER_SUSPECT,
+    SUSPICION_REFUTED,
 )
 from ..observe.metrics import Metrics
 from ..proto import control_pb2 as pb
@@ -295,7 +295,7 @@
             self._neighbors_outdated.set()
         if member.instance == self._members.own.instance:
             if previous is not None and previous.sequence + 1 < member.sequence:
-                self._journal.emit(MEMBER_REFUTED)
+                self._journal.emit(SUSPICION_REFUTED)
             self.exchange_now()
             return
         before = previous.state if previous else None
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -8,11 +8,11 @@
 from ..document.records import is_snapshot, SnapshotPart
 from ..errors import InputError
 from ..observe.events import (
+    CONFIGURATION_UNAVAILABLE,
     Journal,
-    LOG_BACK,
-    LOG_LOST,
+    LOG_RECOVERED,
+    LOG_UNAVAILABLE,
     SNAPSHOT_REFUSED,
-    STATE_UNREACHABLE,
 )
 from ..platform.log import (
     CONFIGURATION_TOPIC,
@@ -160,7 +160,7 @@
             offset = batch[-1].offset + 1
         parts = self._find_snapshot(records, first)
         if parts is None:
-            self._journal.emit(STATE_UNREACHABLE, first=first)
+            self._journal.emit(CONFIGURATION_UNAVAILABLE, first=first)
             raise LogUnavailableError(
                 f"no complete snapshot in the log from offset {first}"
             )
@@ -192,10 +192,10 @@
 
     def _record_unavailable(self, error: Exception) -> None:
         if not self._log_unavailable:
-            self._journal.emit(LOG_LOST, error=str(error))
+            self._journal.emit(LOG_UNAVAILABLE, error=str(error))
         self._log_unavailable = True
 
     def _record_available(self) -> None:
         if self._log_unavailable:
-            self._journal.emit(LOG_BACK)
+            self._journal.emit(LOG_RECOVERED)
         self._log_unavailable = False
--- a/primroseglade/observe/events.py
+++ b/primroseglade/observe/events.py
@@ -36,14 +36,14 @@
         self.meaning = meaning
 
 
-CATALOGUE: dict[int, Event] = {}
+EVENT_CATALOG: dict[int, Event] = {}
 
 
 def _define(number: int, level: str, text: str, meaning: str) -> Event:
-    if number in CATALOGUE:
+    if number in EVENT_CATALOG:
         raise ValueError(f"event number {number} is already defined")
-    CATALOGUE[number] = Event(number, level, text, meaning)
-    return CATALOGUE[number]
+    EVENT_CATALOG[number] = Event(number, level, text, meaning)
+    return EVENT_CATALOG[number]
 
 
 # 1xx: the process.
@@ -86,13 +86,13 @@
     "edit refused",
     "The record changes nothing on any instance; the field reason says why.",
 )
-LOG_LOST = _define(
+LOG_UNAVAILABLE = _define(
     210,
     "warning",
     "configuration log unavailable",
     "The instance keeps the configuration it has and retries.",
 )
-LOG_BACK = _define(
+LOG_RECOVERED = _define(
     211, "info", "configuration log available again", "No action is needed."
 )
 SNAPSHOT_LOADED = _define(
@@ -110,7 +110,7 @@
     "snapshot refused",
     "The snapshot does not carry the fleet's signature: someone else wrote it.",
 )
-STATE_UNREACHABLE = _define(
+CONFIGURATION_UNAVAILABLE = _define(
     223,
     "error",
     "configuration records deleted before they were applied",
@@ -140,7 +140,7 @@
     303, "warning", "member dead", "It did not refute the suspicion in time."
 )
 MEMBER_LEFT = _define(304, "info", "member left", "A planned stop.")
-MEMBER_REFUTED = _define(
+SUSPICION_REFUTED = _define(
     305,
     "warning",
     "suspicion of this instance refuted",
@@ -167,13 +167,13 @@
 BACKEND_WITHDRAWN = _define(
     323, "warning", "backend server withdrawn", "A recall or an edit revoked its trust."
 )
-BACKEND_GONE = _define(
+BACKEND_UNAVAILABLE = _define(
     325,
     "warning",
     "backend server unavailable",
     "Nothing listens at its address; it receives no calls until it reports again.",
 )
-BACKEND_SILENT = _define(
+BACKEND_UNRESPONSIVE = _define(
     324,
     "warning",
     "connection to the backend server unresponsive",
@@ -192,7 +192,7 @@
     "status report refused",
     "It is malformed or from another service; the backend server in use stays.",
 )
-PEER_LEARNT = _define(
+PEER_DISCOVERED = _define(
     350, "info", "node discovered", "A stream to it is opened and kept open."
 )
 PEER_CONNECTED = _define(
@@ -204,7 +204,7 @@
     "stream to a node lost",
     "Calls in flight on it may have run; those that are safe to repeat are retried.",
 )
-PEER_FORGOTTEN = _define(
+PEER_REMOVED = _define(
     353, "info", "node removed", "It could not be reached for too long."
 )
 PEER_UNREACHABLE = _define(
@@ -213,7 +213,7 @@
     "node unreachable",
     "No stream to it could be opened; it is retried until it is removed. Logged once.",
 )
-PEER_SILENT = _define(
+PEER_REQUEST_FAILED = _define(
     355,
     "warning",
     "node did not answer a request",
@@ -227,7 +227,7 @@
 )
 
 # 4xx: rates.
-LEASE_TAKEN = _define(
+LEASE_ACQUIRED = _define(
     401, "info", "rate lease acquired", "This instance holds a partition's tokens."
 )
 LEASE_LOST = _define(
@@ -247,7 +247,7 @@
     "call failed in the node",
     "A bug in the program; the caller was told that the call may have run.",
 )
-CALL_REPEATED = _define(
+CALL_RETRIED = _define(
     503,
     "info",
     "call retried",
@@ -259,7 +259,7 @@
     "call answered with a failure",
     "The backend server's own failure was returned to the caller.",
 )
-LEVELS_SET = _define(
+ADMISSION_LEVELS = _define(
     505,
     "info",
     "admission levels",
@@ -267,7 +267,7 @@
     "refused at their entry, lowest priority first, until the given fraction of the "
     "demand is admitted.",
 )
-ZONE_BYTES = _define(
+CROSS_ZONE_BYTES = _define(
     506,
     "info",
     "bytes sent to other zones",
--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -10,12 +10,12 @@
 from typing import Any
 
 from .events import (
+    ADMISSION_LEVELS,
     CALL_ANSWERED,
     CALL_FAILED,
     CALL_REFUSED,
-    CALL_REPEATED,
-    CATALOGUE,
-    LEVELS_SET,
+    CALL_RETRIED,
+    EVENT_CATALOG,
     LINES_DROPPED,
     PEER_LOST,
     POLICY_IN_FORCE,
@@ -26,7 +26,7 @@
 CONTEXT_WINDOW_SECONDS = 2.0
 # Events that name a request, in the order in which they occur.
 EVENT_ORDER = (
-    CALL_REPEATED.number,
+    CALL_RETRIED.number,
     CALL_FAILED.number,
     CALL_REFUSED.number,
     CALL_ANSWERED.number,
@@ -154,7 +154,7 @@
 def _explain_overload(
     last: LogLine, nearby: list[LogLine], lines: list[LogLine]
 ) -> Cause:
-    level_lines = [line for line in nearby if line.number == LEVELS_SET.number]
+    level_lines = [line for line in nearby if line.number == ADMISSION_LEVELS.number]
     if not level_lines:
         return [], f"The request was refused as overloaded: {last.get('detail')}."
     nearest = min(level_lines, key=lambda line: abs(line.time - last.time))
@@ -228,7 +228,7 @@
 
 
 def _explain_other(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
-    event = CATALOGUE.get(last.number)
+    event = EVENT_CATALOG.get(last.number)
     meaning = event.meaning if event is not None else "Unknown event."
     detail = last.get("detail") or last.get("error") or last.get("reason")
     return [], f"{meaning} {detail}".strip()
--- a/primroseglade/platform/__main__.py
+++ b/primroseglade/platform/__main__.py
@@ -12,7 +12,7 @@
 from ..sidecar.loop import build_loop
 from ..sidecar.node import SidecarNode
 from .dialect import PlatformDialect
-from .reports import build_control, build_ready
+from .reports import build_control_handler, build_readiness_handler
 from .settings import load_settings, PlatformSettings
 from .store import StoreClient
 
@@ -38,8 +38,8 @@
         PlatformDialect(),
         StoreClient(settings.store, journal),
         journal,
-        build_ready,
-        lambda node: build_control(node, journal),
+        build_readiness_handler,
+        lambda node: build_control_handler(node, journal),
     )
     gc.collect()
     gc.freeze()
--- a/primroseglade/platform/reports.py
+++ b/primroseglade/platform/reports.py
@@ -61,7 +61,7 @@
         return 0
 
 
-def build_ready(node: SidecarNode) -> Handler:
+def build_readiness_handler(node: SidecarNode) -> Handler:
     """Return the handler of readiness checks."""
 
     async def handle(request: Request) -> Reply:
@@ -70,7 +70,7 @@
     return handle
 
 
-def build_control(node: SidecarNode, journal: Journal) -> Handler:
+def build_control_handler(node: SidecarNode, journal: Journal) -> Handler:
     """Return the handler of status reports and deregistrations."""
 
     async def handle(request: Request) -> Reply:
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -14,7 +14,7 @@
 from ..fleet.control import ControlClient, ControlServer, PeerError
 from ..fleet.hashing import ZoneRanking
 from ..fleet.members import Members
-from ..observe.events import Journal, LEASE_LOST, LEASE_TAKEN
+from ..observe.events import Journal, LEASE_ACQUIRED, LEASE_LOST
 from ..observe.metrics import Metrics
 from ..proto import control_pb2 as pb
 from .clock import read_clock
@@ -329,7 +329,7 @@
             return
         lease = Lease(partition, epoch, read_clock(), expires_at)
         self._leases[partition] = lease
-        self._journal.emit(LEASE_TAKEN, partition=partition, epoch=epoch)
+        self._journal.emit(LEASE_ACQUIRED, partition=partition, epoch=epoch)
         self._on_acquired(lease)
 
     def _drop_expired(self) -> None:
--- a/primroseglade/reference.py
+++ b/primroseglade/reference.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .document.schema import SCHEMAS
-from .observe.events import CATALOGUE
+from .observe.events import EVENT_CATALOG
 from .observe.metrics import Metrics
 from .settings.node import SCHEMA
 from .verdicts import Reason
@@ -25,7 +25,7 @@
         "`log/format`). Numbers are stable.\n"
     )
     lines += ["| number | level | text | meaning |", "| --- | --- | --- | --- |"]
-    for event in sorted(CATALOGUE.values(), key=lambda item: item.number):
+    for event in sorted(EVENT_CATALOG.values(), key=lambda item: item.number):
         lines.append(
             f"| {event.number} | {event.level} | {event.text} | {event.meaning} |"
         )
--- a/primroseglade/settings/node.py
+++ b/primroseglade/settings/node.py
@@ -6,8 +6,8 @@
 from ..addresses import join_address, parse_address
 from .reader import build_validator, check, fill_defaults, read_file
 
-ADDRESS = {"type": "string", "format": "address"}
-NAME = {"type": "string", "pattern": "^[a-z0-9][a-z0-9._-]{0,62}$"}
+ADDRESS_SCHEMA = {"type": "string", "format": "address"}
+NAME_SCHEMA = {"type": "string", "pattern": "^[a-z0-9][a-z0-9._-]{0,62}$"}
 LOOPBACK_ANY_PORT = "127.0.0.1:0"
 
 
@@ -32,7 +32,7 @@
 
 
 def _listener(description: str) -> dict[str, Any]:
-    return ADDRESS | {"default": LOOPBACK_ANY_PORT, "description": description}
+    return ADDRESS_SCHEMA | {"default": LOOPBACK_ANY_PORT, "description": description}
 
 
 def _group(description: str, **properties: Any) -> dict[str, Any]:
@@ -50,10 +50,11 @@
     "additionalProperties": False,
     "required": ["instance", "zone", "platform", "fleet_secret"],
     "properties": {
-        "instance": NAME
+        "instance": NAME_SCHEMA
         | {"description": "Name of this instance, unique in the fleet; never reused."},
-        "zone": NAME | {"description": "Availability zone of this instance."},
-        "platform": ADDRESS | {"description": "IP:PORT of the platform's log service."},
+        "zone": NAME_SCHEMA | {"description": "Availability zone of this instance."},
+        "platform": ADDRESS_SCHEMA
+        | {"description": "IP:PORT of the platform's log service."},
         "fleet_secret": {
             "type": "string",
             "minLength": 32,
@@ -61,7 +62,7 @@
         },
         "seeds": {
             "type": "array",
-            "items": ADDRESS,
+            "items": ADDRESS_SCHEMA,
             "default": [],
             "description": "Control addresses of nodes to contact first at the start.",
         },
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -8,8 +8,8 @@
 from ..observe.events import (
     BACKEND_ANNOUNCED,
     BACKEND_DRAINING,
-    BACKEND_GONE,
     BACKEND_REPORT_REFUSED,
+    BACKEND_UNAVAILABLE,
     Journal,
 )
 from ..verdicts import may_have_run, not_run, Reason, Refusal
@@ -338,7 +338,7 @@
         self._pool.close_idle()
         self._draining = True
         self._failure_ratio = 0.0
-        self._cold_until = time.monotonic() + report.cold_remaining
+        self._cold_until = time.monotonic() + report.cold_remaining_seconds
         self.queue.resize(report.slots)
 
     def _mark_unavailable(self) -> None:
@@ -354,7 +354,9 @@
             return
         self._unavailable = True
         self._pool.close_idle()
-        self._journal.emit(BACKEND_GONE, backend=self._report and self._report.instance)
+        self._journal.emit(
+            BACKEND_UNAVAILABLE, backend=self._report and self._report.instance
+        )
         self._broadcast_state()
 
     def _check_instance(self, call: Call) -> None:
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from ..observe.events import Journal, ZONE_BYTES
+from ..observe.events import CROSS_ZONE_BYTES, Journal
 
 # Maximum number of routes counted by name; all others are counted together.
 MAX_NAMED_ROUTES = 200
@@ -55,4 +55,4 @@
     """Log the largest counts of cross-zone bytes."""
     largest_counts = cross_zone_bytes.list_all()[:MAX_LOGGED_ENTRIES]
     if largest_counts:
-        journal.emit(ZONE_BYTES, most=largest_counts)
+        journal.emit(CROSS_ZONE_BYTES, most=largest_counts)
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -4,7 +4,7 @@
 import random
 import time
 
-from ..observe.events import CALL_REPEATED, Journal
+from ..observe.events import CALL_RETRIED, Journal
 from ..verdicts import not_run, Reason, Refusal, Verdict
 from .answer_sizes import AnswerSizes
 from .backend import Backend, BackendRefusal, ServedAnswer
@@ -282,7 +282,7 @@
     ) -> None:
         self._node_metrics.record_retry(attempts.reason)
         self._journal.emit(
-            CALL_REPEATED,
+            CALL_RETRIED,
             request=call.request_id.decode("latin-1"),
             service=call.service,
             node=candidate.name,
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -3,7 +3,7 @@
 import random
 from collections.abc import Collection, Iterator
 
-from ..observe.events import Journal, PEER_FORGOTTEN, PEER_LEARNT
+from ..observe.events import Journal, PEER_DISCOVERED, PEER_REMOVED
 from ..supervisor import Supervisor
 from .admission import ServiceLoad
 from .fleet_index import FleetIndex, ServicePeers
@@ -29,11 +29,11 @@
         demand: Calls per second requested by the nodes' callers.
     """
 
-    __slots__ = ("demand", "loads", "min_costs")
+    __slots__ = ("demand", "loads", "min_costs_ms")
 
     def __init__(self) -> None:
         self.loads: dict[str, ServiceLoad] = {}
-        self.min_costs: dict[str, ZoneCostsMs] = {}
+        self.min_costs_ms: dict[str, ZoneCostsMs] = {}
         self.demand: dict[str, float] = {}
 
     def add(self, peer: Peer) -> None:
@@ -51,7 +51,7 @@
 
     def record_cost(self, service: str, zone: str, cost_ms: float) -> None:
         """Record the cost in milliseconds of a call at one backend server."""
-        costs_by_zone = self.min_costs.setdefault(service, {})
+        costs_by_zone = self.min_costs_ms.setdefault(service, {})
         costs_by_zone[zone] = min(cost_ms, costs_by_zone.get(zone, cost_ms))
 
 
@@ -138,7 +138,7 @@
         peer = Peer(entry, self._host, self._journal)
         self._peers[entry.name] = peer
         self._index = None
-        self._journal.emit(PEER_LEARNT, peer=entry.name, address=entry.address)
+        self._journal.emit(PEER_DISCOVERED, peer=entry.name, address=entry.address)
         self._supervisor.start(f"peer {entry.name}", lambda: self._run(peer))
 
     @property
@@ -159,7 +159,7 @@
         reader reads the configuration from the platform's store; the other nodes ask
         readers how old their knowledge of the configuration is.
         """
-        names_by_zone = self.index.list_first(1)
+        names_by_zone = self.index.list_first_by_zone(1)
         return sorted(names[0] for names in names_by_zone.values())
 
     def list_connected(self) -> list[Peer]:
@@ -196,7 +196,7 @@
         )
         if own_candidate is not None and own_candidate.name not in tried_names:
             same_zone_candidates.append(own_candidate)
-        min_cross_zone_downstream_ms = min(downstream_costs_ms.values(), default=0.0)
+        min_downstream_ms = min(downstream_costs_ms.values(), default=0.0)
         chosen = choose(
             same_zone_candidates,
             lambda: self._sample(
@@ -206,7 +206,7 @@
                 downstream_costs_ms,
             ),
             cross_zone_cost_ms,
-            min_cross_zone_downstream_ms,
+            min_downstream_ms,
             failure_cost_ms,
             self._rng,
         )
@@ -276,4 +276,4 @@
         await peer.run()
         self._peers.pop(peer.entry.name, None)
         self._index = None
-        self._journal.emit(PEER_FORGOTTEN, peer=peer.entry.name)
+        self._journal.emit(PEER_REMOVED, peer=peer.entry.name)
--- a/primroseglade/sidecar/fleet_index.py
+++ b/primroseglade/sidecar/fleet_index.py
@@ -60,7 +60,7 @@
         """Return the peers that provide a service."""
         return self._peers_by_service.get(service, NO_PEERS)
 
-    def list_first(
+    def list_first_by_zone(
         self, name_count: int, connected_only: bool = True
     ) -> dict[str, list[str]]:
         """Return, by zone, the first names of its nodes in alphabetical order.
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -63,7 +63,7 @@
         return self._handler
 
     @property
-    def busy(self) -> int:
+    def busy_connection_count(self) -> int:
         """Number of connections on which a request is being read or answered."""
         return sum(connection.busy for connection in self._connections)
 
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -1,6 +1,6 @@
 """Collects the load of all services, for admission and for load balancing."""
 
-from ..observe.events import Journal, LEVELS_SET
+from ..observe.events import ADMISSION_LEVELS, Journal
 from .admission import Admission, ServiceLoad
 from .backend import Backend
 from .call_graph import CallGraph
@@ -67,7 +67,7 @@
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
         self._log_levels(survey, now)
-        self._zone_costs.refresh(survey.min_costs)
+        self._zone_costs.refresh(survey.min_costs_ms)
         if now - self._graph_built_at > GRAPH_REBUILD_SECONDS:
             self._graph_built_at = now
             self._rebuild_graph(now)
@@ -100,7 +100,7 @@
         self._last_log_had_levels = bool(admission_levels)
         loads = survey.loads
         self._journal.emit(
-            LEVELS_SET,
+            ADMISSION_LEVELS,
             levels={name: round(level, 2) for name, level in admission_levels.items()},
             pressure={name: round(load.utilization, 2) for name, load in loads.items()},
             capacity={name: round(load.capacity) for name, load in loads.items()},
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -202,7 +202,7 @@
 
     __slots__ = (
         "address",
-        "cold_remaining",
+        "cold_remaining_seconds",
         "instance",
         "sequence",
         "service",
@@ -218,7 +218,7 @@
         address: str,
         slots: int,
         state: BackendState,
-        cold_remaining: float,
+        cold_remaining_seconds: float,
         sequence: int,
         start_time_ms: int,
     ):
@@ -227,7 +227,7 @@
         self.address = address
         self.slots = slots
         self.state = state
-        self.cold_remaining = cold_remaining
+        self.cold_remaining_seconds = cold_remaining_seconds
         self.sequence = sequence
         self.start_time_ms = start_time_ms
 
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -328,7 +328,10 @@
         These are requests of callers and of the backend server, and calls of other
         nodes.
         """
-        return self._outbound_server.busy + self._peer_server.calls_in_flight
+        return (
+            self._outbound_server.busy_connection_count
+            + self._peer_server.calls_in_flight
+        )
 
     def apply_drains(self, drains: dict[str, int]) -> None:
         """Drain the backend servers that a peer has recorded as draining."""
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -16,9 +16,9 @@
 from ..observe.events import (
     EDIT_REFUSED,
     Journal,
-    LOG_BACK,
-    LOG_LOST,
-    PEER_SILENT,
+    LOG_RECOVERED,
+    LOG_UNAVAILABLE,
+    PEER_REQUEST_FAILED,
     POLICY_IN_FORCE,
 )
 from .freshness import Freshness
@@ -152,7 +152,7 @@
         return self._policy.version if self._policy else 0
 
     @property
-    def in_force_since(self) -> float:
+    def active_since(self) -> float:
         """When the policy became active at this node, in monotonic seconds."""
         return self._active_since
 
@@ -177,7 +177,7 @@
         return self._freshness.age
 
     @property
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether the policy is so recent that a withdrawn key would be known."""
         return self._freshness.age < self._max_age_seconds
 
@@ -307,7 +307,7 @@
         except (ConnectionError, TimeoutError) as error:
             # The next state broadcast triggers another attempt.
             self._journal.emit(
-                PEER_SILENT,
+                PEER_REQUEST_FAILED,
                 peer=peer.entry.name,
                 what="configuration",
                 reason=str(error) or "timed out",
@@ -368,6 +368,6 @@
         if is_unavailable != self._is_store_unavailable:
             self._is_store_unavailable = is_unavailable
             if is_unavailable:
-                self._journal.emit(LOG_LOST, error=error)
+                self._journal.emit(LOG_UNAVAILABLE, error=error)
             else:
-                self._journal.emit(LOG_BACK)
+                self._journal.emit(LOG_RECOVERED)
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -126,16 +126,16 @@
             # to another holder.
             self._lender.record_lease_sent(holder, time.monotonic())
 
-    def record_lease(self, lender: NodeEntry, lease_ms: int) -> None:
+    def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
         """Record that a node lends its share to this node.
 
         Args:
             lender: The lending node.
-            lease_ms: End of the lease, in milliseconds on this node's clock.
+            lease_end_ms: End of the lease, in milliseconds on this node's clock.
         """
         now = time.monotonic()
         self._lender_starts[lender.name] = lender.start_time_ms
-        until = now + lease_ms / 1000 - read_age_clock()
+        until = now + lease_end_ms / 1000 - read_age_clock()
         self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
 
     def record_node_start(self, entry: NodeEntry) -> None:
@@ -156,7 +156,7 @@
 
     def _list_holders_by_zone(self, connected: bool = True) -> dict[str, list[str]]:
         index = self._fleet.index
-        return index.list_first(count_zone_holders(index.zone_count), connected)
+        return index.list_first_by_zone(count_zone_holders(index.zone_count), connected)
 
     def _find_expected_holder(self) -> str:
         """Return the holder assigned to this node if all known nodes are reachable."""
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -296,7 +296,7 @@
         return tenant
 
     def _check_configuration_fresh(self) -> None:
-        if not self._policies.fresh:
+        if not self._policies.is_fresh:
             age = self._policies.age
             detail = f"the configuration may be out of date by {age:.1f} s"
             raise not_run(Reason.CONFIGURATION_STALE, detail, 0.5)
@@ -322,7 +322,7 @@
         now = time.monotonic()
         # Whether all connected nodes have this version of the configuration by now.
         rolled_out = (
-            now - self._policies.in_force_since > CONFIGURATION_PROPAGATION_SECONDS
+            now - self._policies.active_since > CONFIGURATION_PROPAGATION_SECONDS
         )
         future: asyncio.Future[TokenDecision] = self._loop.create_future()
 
--- a/tests/mesh.py
+++ b/tests/mesh.py
@@ -9,7 +9,10 @@
 
 from primroseglade.observe.events import Journal
 from primroseglade.platform.dialect import PlatformDialect
-from primroseglade.platform.reports import build_control, build_ready
+from primroseglade.platform.reports import (
+    build_control_handler,
+    build_readiness_handler,
+)
 from primroseglade.platform.store import StoreClient
 from primroseglade.sidecar.http_client import ConnectionPool, Response
 from primroseglade.sidecar.node import SidecarNode
@@ -124,12 +127,12 @@
         PlatformDialect(),
         StoreClient(store, journal),
         journal,
-        build_ready,
-        lambda node: build_control(node, journal),
+        build_readiness_handler,
+        lambda node: build_control_handler(node, journal),
     )
 
 
-class Place:
+class MeshInstance:
     """A node and its backend server, which run and fail separately."""
 
     def __init__(self, settings: NodeSettings, store: str):
@@ -155,7 +158,7 @@
         await asyncio.wait({self.task})
         await self.node.abort()
 
-    def start_node_again(self, **changes: Any) -> None:
+    def restart_node(self, **changes: Any) -> None:
         """Start the node anew, as a new process would.
 
         Args:
@@ -180,21 +183,23 @@
     def __init__(self) -> None:
         self.store_address = find_address()
         self.store = StoreStandIn(self.store_address)
-        self.places: list[Place] = []
+        self.instances: list[MeshInstance] = []
 
-    def add(self, service: str, **changes: Any) -> Place:
+    def add(self, service: str, **changes: Any) -> MeshInstance:
         """Add an instance without starting it."""
-        name = f"{service}-{len(self.places)}"
-        instance = Place(build_settings(name, service, **changes), self.store_address)
-        self.places.append(instance)
+        name = f"{service}-{len(self.instances)}"
+        instance = MeshInstance(
+            build_settings(name, service, **changes), self.store_address
+        )
+        self.instances.append(instance)
         return instance
 
-    async def wait_usable(self, seconds: float = 5.0) -> None:
+    async def wait_until_connected(self, seconds: float = 5.0) -> None:
         """Wait until each node knows the others with their backend servers."""
         try:
             async with asyncio.timeout(seconds):
                 while not all(
-                    self._knows_all_peers(instance) for instance in self.places
+                    self._knows_all_peers(instance) for instance in self.instances
                 ):
                     await asyncio.sleep(0.02)
         except TimeoutError:
@@ -203,7 +208,7 @@
     def describe(self) -> str:
         """Return each node's view of the mesh, for the report of a failed test."""
         lines = []
-        for instance in self.places:
+        for instance in self.instances:
             node = instance.node
             lines.append(
                 f"{instance.settings.name}: version {node.policies.version}, "
@@ -212,10 +217,10 @@
             )
         return "\n".join(lines)
 
-    def _knows_all_peers(self, instance: Place) -> bool:
+    def _knows_all_peers(self, instance: MeshInstance) -> bool:
         node = instance.node
         peers = [peer for peer in node.fleet if peer.connected and peer.state.instance]
-        expected_peers = len(self.places) - 1
+        expected_peers = len(self.instances) - 1
         return (
             node.ready and bool(node.backend.instance) and len(peers) == expected_peers
         )
@@ -226,19 +231,19 @@
     """Run a mesh's store and instances."""
     store = asyncio.create_task(mesh.store.run())
     await asyncio.sleep(0.05)
-    for instance in mesh.places:
+    for instance in mesh.instances:
         instance.start()
     try:
-        await mesh.wait_usable()
+        await mesh.wait_until_connected()
         yield mesh
     finally:
-        for instance in mesh.places:
+        for instance in mesh.instances:
             await instance.close()
         store.cancel()
 
 
-async def ask(
-    instance: Place,
+async def send_request(
+    instance: MeshInstance,
     path: str,
     request_id: str = "r1",
     key: str | None = "key-1",
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -8,7 +8,6 @@
 from primroseglade.sidecar.http_messages import render_status_line, Reply, Request
 
 from .mesh import (
-    ask,
     build_configuration,
     build_path,
     find_address,
@@ -16,23 +15,24 @@
     HOST,
     Mesh,
     PATHS,
+    send_request,
 )
 
 
 def count_executions(mesh: Mesh, request_id: str) -> int:
     """Return how many times backend servers ran a request."""
-    return sum(place.backend.ran.count(request_id) for place in mesh.places)
+    return sum(instance.backend.ran.count(request_id) for instance in mesh.instances)
 
 
 async def test_a_request_reaches_the_service_of_its_route(mesh: Mesh):
     """The backend server answers, and receives the calling service and workspace."""
-    front = mesh.places[0]
+    front = mesh.instances[0]
     spoofed = "X-Primroseglade-Tenant: south\r\nX-Primroseglade-Caller-Service: x\r\n"
-    answer = await ask(front, "/deep/a?b=c", headers=spoofed)
+    answer = await send_request(front, "/deep/a?b=c", headers=spoofed)
     assert answer.status == 200
     assert answer.body.startswith(b"served by i-deep")
     assert get_header(answer, "x-primroseglade-upstream-seal") == "s1"
-    (seen,) = [seen for place in mesh.places for seen in place.backend.seen]
+    (seen,) = [seen for instance in mesh.instances for seen in instance.backend.seen]
     assert seen["x-primroseglade-tenant"] == "north"
     assert seen["x-primroseglade-caller-service"] == "front"
     assert 0 < int(seen["x-primroseglade-deadline-ms"]) <= 2000
@@ -41,12 +41,12 @@
 
 async def test_requests_that_are_not_allowed_do_not_run(mesh: Mesh):
     """Unknown keys and paths get different statuses; public routes need no key."""
-    front = mesh.places[0]
-    assert (await ask(front, "/deep/a", key="stranger")).status == 401
-    assert (await ask(front, "/deep/a", key=None)).status == 401
-    assert (await ask(front, "/nowhere/a")).status == 404
-    assert not any(place.backend.ran for place in mesh.places)
-    assert (await ask(front, "/inner/a", key=None)).status == 200
+    front = mesh.instances[0]
+    assert (await send_request(front, "/deep/a", key="stranger")).status == 401
+    assert (await send_request(front, "/deep/a", key=None)).status == 401
+    assert (await send_request(front, "/nowhere/a")).status == 404
+    assert not any(instance.backend.ran for instance in mesh.instances)
+    assert (await send_request(front, "/inner/a", key=None)).status == 200
 
 
 async def test_duplicate_answer_is_not_used_for_next_request(mesh: Mesh):
@@ -54,9 +54,9 @@
     server answers one request twice, the second time after the next request has been
     sent on the same connection.
     """
-    deep = mesh.places[1]
-    mesh.places[2].backend.state = "draining"
-    await mesh.places[2].backend.report()
+    deep = mesh.instances[1]
+    mesh.instances[2].backend.state = "draining"
+    await mesh.instances[2].backend.report()
     backend = deep.backend
 
     def answer_twice(request: Request, headers: dict[str, str]) -> Reply:
@@ -72,7 +72,7 @@
 
     backend.answer = answer_twice
     for request_id in ("first", "second", "third"):
-        answer = await ask(mesh.places[0], "/deep/a", request_id)
+        answer = await send_request(mesh.instances[0], "/deep/a", request_id)
         assert answer.status == 200
         assert answer.body == request_id.encode()
 
@@ -83,8 +83,8 @@
     then retried at another backend server; for any other, the caller gets an error that
     says that the request may have run.
     """
-    breaking = mesh.places[1].backend
-    healthy = mesh.places[2].backend
+    breaking = mesh.instances[1].backend
+    healthy = mesh.instances[2].backend
 
     def break_off(request: Request, headers: dict[str, str]) -> Reply:
         head = render_status_line(200) + b"X-Primroseglade-Upstream-Seal: s\r\n"
@@ -94,14 +94,14 @@
     breaking.answer = break_off
     for number in range(12):
         request_id = f"safe-{number}"
-        answer = await ask(mesh.places[0], "/deep/a", request_id)
+        answer = await send_request(mesh.instances[0], "/deep/a", request_id)
         assert answer.status == 200
         assert healthy.ran.count(request_id) == 1
         assert count_executions(mesh, request_id) <= 2
     for number in range(12):
         request_id = f"once-{number}"
-        answer = await ask(
-            mesh.places[0], "/once/a", request_id, method="POST", body=b"x"
+        answer = await send_request(
+            mesh.instances[0], "/once/a", request_id, method="POST", body=b"x"
         )
         assert answer.status in (200, 502)
         assert count_executions(mesh, request_id) == 1
@@ -115,9 +115,9 @@
         head = render_status_line(200) + b"X-Primroseglade-Request-Id: %b\r\n"
         return Reply(head % request_id, b"forged")
 
-    for place in mesh.places[1:]:
-        place.backend.answer = forge
-    answer = await ask(mesh.places[0], "/once/a", "forged", method="POST")
+    for instance in mesh.instances[1:]:
+        instance.backend.answer = forge
+    answer = await send_request(mesh.instances[0], "/once/a", "forged", method="POST")
     assert answer.status == 502
 
 
@@ -133,9 +133,9 @@
         )
         return Reply(head, b"", close=True, framed=False)
 
-    for place in mesh.places[1:]:
-        place.backend.answer = answer_unframed
-    answer = await ask(mesh.places[0], "/deep/a", "unframed")
+    for instance in mesh.instances[1:]:
+        instance.backend.answer = answer_unframed
+    answer = await send_request(mesh.instances[0], "/deep/a", "unframed")
     assert answer.status == 200
     assert answer.body == b"all of it"
 
@@ -145,15 +145,15 @@
     node beside the backend server must be notified when a caller closes its connection
     to another node.
     """
-    for place in mesh.places[1:]:
-        place.backend.work = 5.0
-    asking = asyncio.create_task(ask(mesh.places[0], "/deep/a", "left"))
+    for instance in mesh.instances[1:]:
+        instance.backend.work = 5.0
+    asking = asyncio.create_task(send_request(mesh.instances[0], "/deep/a", "left"))
     await asyncio.sleep(0.3)
     assert count_executions(mesh, "left") == 1
     asking.cancel()
     await asyncio.sleep(0.4)
-    assert sum(place.backend.cancelled for place in mesh.places) == 1
-    assert all(place.node.in_flight == 0 for place in mesh.places)
+    assert sum(instance.backend.cancelled for instance in mesh.instances) == 1
+    assert all(instance.node.in_flight == 0 for instance in mesh.instances)
 
 
 async def test_route_timeout_ends_request(mesh: Mesh):
@@ -161,10 +161,10 @@
     paths = [build_path("short", "deep", timeout="300ms"), *PATHS]
     mesh.store.publish(build_configuration(2, *paths))
     await asyncio.sleep(0.3)
-    for place in mesh.places[1:]:
-        place.backend.work = 5.0
+    for instance in mesh.instances[1:]:
+        instance.backend.work = 5.0
     started = asyncio.get_running_loop().time()
-    answer = await ask(mesh.places[0], "/short/a", remaining_ms=5000)
+    answer = await send_request(mesh.instances[0], "/short/a", remaining_ms=5000)
     assert answer.status in (502, 504)
     assert asyncio.get_running_loop().time() - started < 0.8
 
@@ -176,9 +176,9 @@
         head = render_status_line(503) + b"X-Primroseglade-Not-Executed: 1\r\n"
         return Reply(head, b"")
 
-    for place in mesh.places[1:]:
-        place.backend.answer = refuse
-    answer = await ask(mesh.places[0], "/once/a", "refused", method="POST")
+    for instance in mesh.instances[1:]:
+        instance.backend.answer = refuse
+    answer = await send_request(mesh.instances[0], "/once/a", "refused", method="POST")
     assert answer.status == 503
     assert 0 < float(get_header(answer, "retry-after")) < 2.0 / 3
 
@@ -188,7 +188,7 @@
     answers with a failure; the other is draining and refuses the retry. That refusal
     covers only the retry and must not be forwarded.
     """
-    failing, draining = mesh.places[1:]
+    failing, draining = mesh.instances[1:]
 
     def fail(request: Request, headers: dict[str, str]) -> Reply:
         request_id = headers["x-primroseglade-request-id"].encode()
@@ -199,7 +199,7 @@
     failing.backend.answer = fail
     draining.node.backend.stop()
     for number in range(10):
-        answer = await ask(mesh.places[0], "/deep/a", f"f{number}")
+        answer = await send_request(mesh.instances[0], "/deep/a", f"f{number}")
         assert (answer.status, answer.body) == (500, b"it failed")
 
 
@@ -209,20 +209,22 @@
 
     def record_body(request: Request, headers: dict[str, str]) -> Reply:
         received.append(request.body)
-        backend = mesh.places[1].backend
+        backend = mesh.instances[1].backend
         return backend.build_answer(headers["x-primroseglade-request-id"], b"ok")
 
-    for place in mesh.places[1:]:
-        place.backend.answer = record_body
+    for instance in mesh.instances[1:]:
+        instance.backend.answer = record_body
     body = bytes(range(256)) * 1500
-    answer = await ask(mesh.places[0], "/once/a", "large", method="POST", body=body)
+    answer = await send_request(
+        mesh.instances[0], "/once/a", "large", method="POST", body=body
+    )
     assert answer.status == 200
     assert received == [body]
 
 
 async def test_a_connection_carries_many_requests(mesh: Mesh):
     """Each of many requests on one connection gets its own answer."""
-    pool = ConnectionPool(mesh.places[0].settings.outbound, 1.0)
+    pool = ConnectionPool(mesh.instances[0].settings.outbound, 1.0)
     connection = await pool.acquire()
     for number in range(20):
         head = (
@@ -247,13 +249,13 @@
 )
 async def test_malformed_requests_are_refused(mesh: Mesh, text: bytes):
     """A malformed or smuggled request never reaches a backend server."""
-    host, port = mesh.places[0].settings.outbound.split(":")
+    host, port = mesh.instances[0].settings.outbound.split(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(text)
     answer = await asyncio.wait_for(reader.read(), 2.0)
     assert answer.startswith((b"HTTP/1.1 400", b"HTTP/1.1 431"))
     writer.close()
-    assert not any(place.backend.ran for place in mesh.places)
+    assert not any(instance.backend.ran for instance in mesh.instances)
 
 
 def test_free_addresses_differ():
@@ -276,9 +278,9 @@
     }
     mesh.store.publish(build_configuration(2, *PATHS, tenants=[tenant]))
     await asyncio.sleep(2.0)
-    place = mesh.places[0]
-    answers = [await ask(place, "/deep/a", f"over-{n}") for n in range(60)]
+    instance = mesh.instances[0]
+    answers = [await send_request(instance, "/deep/a", f"over-{n}") for n in range(60)]
     refused = sum(answer.status == 429 for answer in answers)
     assert refused > 30
-    demand = place.node.admission.measure_demand(asyncio.get_running_loop().time())
+    demand = instance.node.admission.measure_demand(asyncio.get_running_loop().time())
     assert demand.get("deep", 0.0) <= len(answers) - refused
--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -12,7 +12,7 @@
 from primroseglade.sidecar.http_server import HttpServer
 from primroseglade.sidecar.pipeline import MAX_CONCURRENT_REQUESTS, Pipeline
 
-from .mesh import ask, find_address, Mesh
+from .mesh import find_address, Mesh, send_request
 
 
 class Handler:
@@ -168,7 +168,7 @@
         await asyncio.sleep(0.2)
         assert await caller.read() == (200, b"/a", True)
         assert harness.handler.started == [b"/a"]
-        assert not harness.server.busy
+        assert not harness.server.busy_connection_count
 
 
 async def test_disconnect_cancels_all_requests_of_the_connection():
@@ -213,9 +213,9 @@
 
 async def test_stopping_node_answers_pipelined_requests(mesh: Mesh):
     """Requests that a node has forwarded are answered while it shuts down."""
-    for place in mesh.places[1:]:
-        place.backend.work = 0.3
-    node = mesh.places[0]
+    for instance in mesh.instances[1:]:
+        instance.backend.work = 0.3
+    node = mesh.instances[0]
     reader, writer = await asyncio.open_connection(
         *parse_address(node.settings.outbound)
     )
@@ -236,7 +236,7 @@
 async def test_sequential_requests_are_served_on_one_connection(mesh: Mesh):
     """Each request is sent after the response to the one before, as usual."""
     for number in range(3):
-        answer = await ask(mesh.places[0], "/deep/a", f"one-{number}")
+        answer = await send_request(mesh.instances[0], "/deep/a", f"one-{number}")
         assert answer.status == 200
 
 
--- a/tests/test_mesh_rates.py
+++ b/tests/test_mesh_rates.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import AsyncIterator
 
-from .mesh import ask, build_configuration, Mesh, PATHS, Place, run_mesh
+from .mesh import build_configuration, Mesh, MeshInstance, PATHS, run_mesh, send_request
 
 
 @contextlib.asynccontextmanager
@@ -29,7 +29,7 @@
 
 def get_shares(mesh: Mesh) -> list[float]:
     """Return the shares lent to each node, the largest first."""
-    shares = [place.node.rates.pool.share for place in mesh.places]
+    shares = [instance.node.rates.pool.share for instance in mesh.instances]
     return sorted(shares, reverse=True)
 
 
@@ -40,9 +40,11 @@
             await asyncio.sleep(0.02)
 
 
-def find_holder(mesh: Mesh) -> Place:
+def find_holder(mesh: Mesh) -> MeshInstance:
     """Return a token holder."""
-    return next(place for place in mesh.places if place.node.rates.pool.share)
+    return next(
+        instance for instance in mesh.instances if instance.node.rates.pool.share
+    )
 
 
 async def test_nodes_keep_a_rate_together():
@@ -52,7 +54,7 @@
     async with run_two_zones(20.0) as mesh:
         await asyncio.sleep(1.5)
         calls = [
-            ask(mesh.places[number % 4], "/deep/a", f"r{number}")
+            send_request(mesh.instances[number % 4], "/deep/a", f"r{number}")
             for number in range(80)
         ]
         statuses = [answer.status for answer in await asyncio.gather(*calls)]
@@ -66,7 +68,7 @@
     async with run_two_zones(50.0) as mesh:
         holder = find_holder(mesh)
         await holder.kill_node()
-        holder.start_node_again(first_start=False)
+        holder.restart_node(first_start=False)
         shares: list[float] = []
 
         async def watch() -> None:
@@ -85,7 +87,9 @@
 async def test_a_refusal_names_the_holder():
     """Guards against refusals without the holder and its remaining tokens."""
     async with run_two_zones(1.0) as mesh:
-        answers = [await ask(mesh.places[0], "/deep/a", f"r{n}") for n in range(40)]
+        answers = [
+            await send_request(mesh.instances[0], "/deep/a", f"r{n}") for n in range(40)
+        ]
         refused = [answer.body for answer in answers if answer.status == 429]
         assert refused
         assert all(b"is over its rate: deep-" in body for body in refused)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -8,7 +8,12 @@
 from primroseglade.demo.deployments import DEPLOYMENTS
 from primroseglade.errors import InputError
 from primroseglade.exits import ExitStatus
-from primroseglade.observe.events import CATALOGUE, EventHandler, Journal, NODE_STARTED
+from primroseglade.observe.events import (
+    EVENT_CATALOG,
+    EventHandler,
+    Journal,
+    NODE_STARTED,
+)
 from primroseglade.reference import PAGES
 from primroseglade.settings.node import build_node_settings, load_node_settings
 from primroseglade.settings.reader import parse_text
@@ -31,9 +36,9 @@
 
 
 def test_every_event_that_the_code_names_is_in_the_catalogue():
-    defined = {event.number for event in CATALOGUE.values()}
-    assert len(defined) == len(CATALOGUE)
-    assert all(event.meaning.endswith(".") for event in CATALOGUE.values())
+    defined = {event.number for event in EVENT_CATALOG.values()}
+    assert len(defined) == len(EVENT_CATALOG)
+    assert all(event.meaning.endswith(".") for event in EVENT_CATALOG.values())
 
 
 @pytest.mark.parametrize("path", sorted(ROOT.glob("examples/*/*.jsonc")), ids=str)
