--- a/bench/choices.py
+++ b/bench/choices.py
@@ -12,7 +12,7 @@
 from primroseglade.calls.connections import build_head
 from primroseglade.calls.pool import Pool
 from primroseglade.listener import build_application
-from primroseglade.stand_ins.backend import BackendStandIn, Behaviour
+from primroseglade.stand_ins.backend import BackendBehavior, BackendStandIn
 
 from .registry import benchmark
 
@@ -94,7 +94,9 @@
 @benchmark("choices")
 async def measure_choices(options: argparse.Namespace) -> dict[str, Any]:
     """Measure the choices and their alternatives in turn; return medians."""
-    backend = BackendStandIn("x", behaviour=Behaviour(work=0, slots=1000), seen_kept=1)
+    backend = BackendStandIn(
+        "x", behavior=BackendBehavior(work=0, slots=1000), max_seen=1
+    )
     backend_task = asyncio.create_task(backend.run())
     await backend.wait_started()
     blacksheep_app = build_blacksheep_app()
--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -5,16 +5,16 @@
 import concurrent.futures
 from typing import Any
 
-from primroseglade.emulator.network import Cut
+from primroseglade.emulator.network import NetworkPartition
 from primroseglade.emulator.rate_plays import (
     add_callers,
-    count_allowed,
+    CallOutcomes,
     count_ideal,
+    count_tolerated_calls,
     Demand,
-    LEAD_SECONDS,
-    Play,
+    WARM_UP_SECONDS,
 )
-from primroseglade.emulator.rate_scenarios import build_scenarios, RISE_SECONDS
+from primroseglade.emulator.rate_scenarios import build_scenarios, DEMAND_RISE_SECONDS
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.model import Tenant
 
@@ -29,7 +29,7 @@
     "1.1": Demand(1.1),
     "3": Demand(3.0),
     "15": Demand(15.0),
-    "1.06 to 7.5": Demand(1.06, (RISE_SECONDS, 7.5)),
+    "1.06 to 7.5": Demand(1.06, (DEMAND_RISE_SECONDS, 7.5)),
 }
 # Higher rates per second are not simulated at the highest demand: it takes too long.
 MAX_RATE_AT_HIGHEST_DEMAND = 30.0
@@ -47,25 +47,31 @@
 
     __slots__ = ("demand_name", "p99_wait_ms", "served_ratio", "worst_window_ratio")
 
-    def __init__(self, demand_name: str, rate: float, calls: Play):
+    def __init__(self, demand_name: str, rate: float, calls: CallOutcomes):
         self.demand_name = demand_name
-        self.worst_window_ratio = calls.find_worst_window() / count_allowed(rate, rate)
+        self.worst_window_ratio = (
+            calls.get_max_calls_per_window() / count_tolerated_calls(rate, rate)
+        )
         ideal = count_ideal(calls.arrivals, rate, rate)
         self.served_ratio = len(calls.admitted) / max(1, ideal)
-        waits = sorted(calls.waits_of_admitted)
+        waits = sorted(calls.wait_seconds)
         self.p99_wait_ms = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
 
 
 def simulate_scenario(name: str, node_count: int, seed: int) -> list[WorkspaceResult]:
     """Simulate a scenario with one workspace for each rate and demand."""
     scenario = build_scenarios()[name]
-    lead_seconds = LEAD_SECONDS if scenario.first_start else 0.0
-    cuts = [
-        Cut(cut.start + lead_seconds, cut.end + lead_seconds, cut.sides)
-        for cut in scenario.cuts
+    lead_seconds = WARM_UP_SECONDS if scenario.first_start else 0.0
+    partitions = [
+        NetworkPartition(
+            partition.start + lead_seconds,
+            partition.end + lead_seconds,
+            partition.get_side,
+        )
+        for partition in scenario.partitions
     ]
     zones = [number % ZONES for number in range(node_count)]
-    fleet = RateFleet(zones, seed, cuts, scenario.first_start)
+    fleet = RateFleet(zones, seed, partitions, scenario.first_start)
     for event_time, event in scenario.events:
         fleet.simulation.schedule(
             lead_seconds + event_time, lambda event=event: event(fleet)
@@ -73,7 +79,7 @@
     workspace_calls = []
     for rate in RATES_PER_SECOND:
         for demand_name, demand in DEMANDS.items():
-            if demand.most >= 15.0 and rate > MAX_RATE_AT_HIGHEST_DEMAND:
+            if demand.max_multiple >= 15.0 and rate > MAX_RATE_AT_HIGHEST_DEMAND:
                 continue
             tenant = Tenant(f"{rate:g} at {demand_name}", 1, rate, rate)
             calls = add_callers(
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -101,13 +101,15 @@
 
     async def slow_down(fleet: EmbeddedFleet) -> None:
         await asyncio.sleep(before_seconds)
-        deep_backends = [p.backend for p in fleet.places if p.backend.service == "deep"]
+        deep_backends = [
+            p.backend for p in fleet.instances if p.backend.service == "deep"
+        ]
         slowdown_times["slow"] = time.monotonic()
         for backend in deep_backends:
-            backend.behaviour.work *= 8
+            backend.behavior.work *= 8
         await asyncio.sleep(slow_seconds)
         for backend in deep_backends:
-            backend.behaviour.work /= 8
+            backend.behavior.work /= 8
         slowdown_times["well"] = time.monotonic()
 
     await trial.run(before_seconds + slow_seconds + after_seconds, slow_down)
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -10,7 +10,7 @@
 
 from primroseglade.client import Client
 from primroseglade.document.document import digest_key
-from primroseglade.stand_ins.backend import Behaviour
+from primroseglade.stand_ins.backend import BackendBehavior
 from primroseglade.stand_ins.fleet import EmbeddedFleet
 from primroseglade.verdicts import Refusal, Verdict
 
@@ -137,9 +137,9 @@
                 await asyncio.gather(*tasks)
                 self.executions = [
                     item
-                    for place in fleet.places
-                    if place.backend
-                    for item in place.backend.seen
+                    for instance in fleet.instances
+                    if instance.backend
+                    for item in instance.backend.seen
                 ]
 
     async def _start(self, fleet: EmbeddedFleet) -> None:
@@ -165,24 +165,24 @@
         server_number = 0
         for name, service in workload.services.items():
             for _ in range(service.server_count):
-                behaviour = Behaviour(
+                behavior = BackendBehavior(
                     work=service.work_seconds,
                     slots=service.slots_per_server,
                     nested=service.nested_paths,
                 )
-                await fleet.add(ZONES[server_number % len(ZONES)], name, behaviour)
+                await fleet.add(ZONES[server_number % len(ZONES)], name, behavior)
                 server_number += 1
         await fleet.wait_ready()
         # Skip the slow start, in which new backend servers get fewer calls.
-        for place in fleet.places:
-            place.node.members.update_own(serving_since_ms=0)
+        for instance in fleet.instances:
+            instance.node.members.update_own(serving_since_ms=0)
         await asyncio.sleep(1.0)
 
     async def _send_all(self, fleet: EmbeddedFleet, seconds: float) -> None:
         workload = self._workload
         names = list(workload.demand)
         rates = list(workload.demand.values())
-        node_addresses = [place.callers for place in fleet.places]
+        node_addresses = [instance.caller_address for instance in fleet.instances]
         clients = {
             name: Client(node_addresses, name, TIMEOUT_SECONDS, workload.max_attempts)
             for name in names
--- a/bench/withdraw.py
+++ b/bench/withdraw.py
@@ -38,15 +38,15 @@
     seconds = []
     for key in keys:
         last_use: dict[str, float] = {}
-        callers = [
-            asyncio.create_task(use_key(place.callers, key, last_use))
-            for place in fleet.places
+        caller_address = [
+            asyncio.create_task(use_key(instance.caller_address, key, last_use))
+            for instance in fleet.instances
         ]
         await asyncio.sleep(0.5)
         await fleet.publish(recalls={key: {"keys": [key]}})
         accepted = time.monotonic()
         async with asyncio.timeout(30):
-            await asyncio.gather(*callers)
+            await asyncio.gather(*caller_address)
         seconds.append(max(0.0, last_use.get(key, accepted) - accepted))
     return seconds
 
--- a/primroseglade/cli/demo.py
+++ b/primroseglade/cli/demo.py
@@ -32,4 +32,4 @@
         environment.print(json.dumps(report.to_dict()))
     else:
         environment.print("\n".join(report.to_lines()))
-    return ExitStatus.SUCCESS if report.kept else ExitStatus.CHECK_FAILED
+    return ExitStatus.SUCCESS if report.passed else ExitStatus.CHECK_FAILED
--- a/primroseglade/cli/stand_in.py
+++ b/primroseglade/cli/stand_in.py
@@ -5,7 +5,7 @@
 
 from ..environment import Environment
 from ..exits import ExitStatus
-from ..stand_ins.backend import BackendStandIn, Behaviour
+from ..stand_ins.backend import BackendBehavior, BackendStandIn
 from ..stand_ins.log import LogStandIn
 from .node import build_stop_event
 from .registry import command
@@ -25,11 +25,11 @@
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     """Run the stand-in for a backend server until SIGTERM or SIGINT."""
-    behaviour = Behaviour(
+    behavior = BackendBehavior(
         work=options.work, slots=options.slots, nested=tuple(options.nested)
     )
     backend = BackendStandIn(
-        options.service, options.node, behaviour, options.listen, seen_kept=1000
+        options.service, options.node, behavior, options.listen, max_seen=1000
     )
     environment.warn(f"{options.service} on {backend.address}")
     await _run_until_stopped(backend)
--- a/primroseglade/demo/callers.py
+++ b/primroseglade/demo/callers.py
@@ -97,7 +97,7 @@
     def _get_client(self, workspace: str, key: int) -> Client:
         client = self._clients.get((workspace, key))
         if client is None:
-            nodes = [place.callers for place in self._fleet.places]
+            nodes = [instance.caller_address for instance in self._fleet.instances]
             client = Client(nodes, get_key(workspace, key), TIMEOUT_SECONDS)
             self._clients[workspace, key] = client
         return client
--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -71,7 +71,7 @@
         self.violations = violations
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether there were no violations."""
         return not self.violations
 
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -51,9 +51,9 @@
         self.recovery_seconds = _measure_recovery(calls, evidence.overload)
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether all guarantees held."""
-        return all(finding.kept for finding in self.findings)
+        return all(finding.passed for finding in self.findings)
 
     def to_dict(self) -> dict[str, Any]:
         """Return the report as a JSON object."""
@@ -61,13 +61,13 @@
         fields["findings"] = [
             {
                 "promise": f.guarantee,
-                "kept": f.kept,
+                "kept": f.passed,
                 "checked": f.checked,
                 "broken": f.violations,
             }
             for f in self.findings
         ]
-        fields["kept"] = self.kept
+        fields["kept"] = self.passed
         return fields
 
     def to_lines(self) -> list[str]:
@@ -87,7 +87,7 @@
             "",
         ]
         for finding in self.findings:
-            mark = "kept  " if finding.kept else "BROKEN"
+            mark = "kept  " if finding.passed else "BROKEN"
             lines.append(
                 f"{mark} {finding.guarantee} ({finding.checked} checked, "
                 f"{finding.violations} broken)"
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -4,8 +4,8 @@
 import time
 from collections.abc import Callable
 
-from ..stand_ins.backend import Behaviour
-from ..stand_ins.fleet import EmbeddedFleet, Place
+from ..stand_ins.backend import BackendBehavior
+from ..stand_ins.fleet import EmbeddedFleet, EmbeddedInstance
 from .callers import Callers
 from .checks import check_guarantees, Evidence
 from .deployments import Deployment, MIN_SLOTS, SLOTS_DIVISOR
@@ -78,9 +78,9 @@
                 group.create_task(self._cut_zone(fleet))
                 group.create_task(self._show_progress(callers))
             evidence.seen = {
-                place.backend.address: list(place.backend.seen)
-                for place in fleet.places
-                if place.backend is not None
+                instance.backend.address: list(instance.backend.seen)
+                for instance in fleet.instances
+                if instance.backend is not None
             }
             return Report(evidence, check_guarantees(evidence), self._greedy_workspace)
 
@@ -94,15 +94,15 @@
         number = 0
         for service, size in self._deployment.services.items():
             for _ in range(size.server_count):
-                behaviour = Behaviour(
+                behavior = BackendBehavior(
                     work=WORK_SECONDS,
                     slots=max(MIN_SLOTS, size.slots // SLOTS_DIVISOR),
                     nested=size.nested,
                 )
-                await fleet.add(zones[number % len(zones)], service, behaviour)
+                await fleet.add(zones[number % len(zones)], service, behavior)
                 number += 1
         await fleet.wait_ready()
-        self._report_progress(f"{len(fleet.places)} nodes are ready")
+        self._report_progress(f"{len(fleet.instances)} nodes are ready")
 
     def _build_evidence(self, fleet: EmbeddedFleet, callers: Callers) -> Evidence:
         rates = fleet.nodes[0].configuration.document.rates
@@ -123,12 +123,12 @@
 
     async def _drain_and_stop(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
         await asyncio.sleep(self._seconds * DRAIN_AT_RATIO)
-        place = self._find_places(fleet, self._deployment.deep_service)[0]
-        assert place.backend is not None
-        self._report_progress(f"{place.node.settings.instance} drains and stops")
+        instance = self._find_instances(fleet, self._deployment.deep_service)[0]
+        assert instance.backend is not None
+        self._report_progress(f"{instance.node.settings.instance} drains and stops")
         started = time.monotonic()
-        evidence.drained = (place.backend.address, started)
-        await fleet.stop(place)
+        evidence.drained = (instance.backend.address, started)
+        await fleet.stop(instance)
         evidence.stop = (started, time.monotonic())
         self._report_progress("it has stopped")
 
@@ -136,15 +136,15 @@
         await asyncio.sleep(self._seconds * SLOW_START_RATIO)
         deep = self._deployment.deep_service
         self._report_progress(f"{deep} becomes {SLOWDOWN_FACTOR:g} times slower")
-        places = self._find_places(fleet, deep)
+        instances = self._find_instances(fleet, deep)
         started = time.monotonic()
-        for place in places:
-            assert place.backend is not None
-            place.backend.behaviour.work = WORK_SECONDS * SLOWDOWN_FACTOR
+        for instance in instances:
+            assert instance.backend is not None
+            instance.backend.behavior.work = WORK_SECONDS * SLOWDOWN_FACTOR
         await asyncio.sleep(self._seconds * (SLOW_END_RATIO - SLOW_START_RATIO))
-        for place in places:
-            assert place.backend is not None
-            place.backend.behaviour.work = WORK_SECONDS
+        for instance in instances:
+            assert instance.backend is not None
+            instance.backend.behavior.work = WORK_SECONDS
         evidence.overload = (started, time.monotonic())
         self._report_progress(f"{deep} is as fast as before")
 
@@ -172,9 +172,13 @@
                 f"{len(callers.records):6d} calls, last second {served} served"
             )
 
-    def _find_places(self, fleet: EmbeddedFleet, service: str) -> list[Place]:
+    def _find_instances(
+        self, fleet: EmbeddedFleet, service: str
+    ) -> list[EmbeddedInstance]:
         return [
-            place
-            for place in fleet.places
-            if place.backend and place.backend.service == service and not place.stopped
+            instance
+            for instance in fleet.instances
+            if instance.backend
+            and instance.backend.service == service
+            and not instance.stopped
         ]
--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -18,7 +18,7 @@
 MAX_EXTRA_DELAY_SECONDS = 0.4
 
 
-class Cut:
+class NetworkPartition:
     """A network partition.
 
     Args:
@@ -27,16 +27,16 @@
         get_side: Maps the number of a node to its side of the partition.
     """
 
-    __slots__ = ("end", "sides", "start")
+    __slots__ = ("end", "get_side", "start")
 
-    def __init__(self, start: float, end: float, sides: Callable[[int], int]):
+    def __init__(self, start: float, end: float, get_side: Callable[[int], int]):
         self.start = start
         self.end = end
-        self.sides = sides
+        self.get_side = get_side
 
     def separates(self, a: int, b: int) -> bool:
         """Return whether two nodes are on different sides."""
-        return self.sides(a) != self.sides(b)
+        return self.get_side(a) != self.get_side(b)
 
 
 class Network:
@@ -53,12 +53,12 @@
         self,
         simulation: Simulation,
         zones: list[int],
-        cuts: list[Cut],
+        partitions: list[NetworkPartition],
         rng: random.Random,
     ):
         self._simulation = simulation
         self._zones = zones
-        self._partitions = cuts
+        self._partitions = partitions
         self._rng = rng
         self._reconnects = [rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones]
         #: Start time of each node's process; infinite while it is down.
@@ -89,10 +89,10 @@
         # A freeze of five seconds is detected after `FAILURE_DETECTION_SECONDS`.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
-        for cut in self._partitions:
-            detected_at = cut.start + FAILURE_DETECTION_SECONDS
-            reconnected_at = cut.end + self._reconnects[a]
-            if detected_at <= now < reconnected_at and cut.separates(a, b):
+        for partition in self._partitions:
+            detected_at = partition.start + FAILURE_DETECTION_SECONDS
+            reconnected_at = partition.end + self._reconnects[a]
+            if detected_at <= now < reconnected_at and partition.separates(a, b):
                 return False
         return True
 
@@ -126,6 +126,6 @@
         if self.started[b] > now:
             return False
         return not any(
-            cut.start <= now < cut.end and cut.separates(a, b)
-            for cut in self._partitions
+            partition.start <= now < partition.end and partition.separates(a, b)
+            for partition in self._partitions
         )
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from ..sidecar.model import Tenant
-from .network import Cut
+from .network import NetworkPartition
 from .rates import (
     RateFleet,
     TOLERATED_EXTRA_CALLS,
@@ -14,10 +14,10 @@
 )
 
 # Nodes are up for this long before the first call, unless they were just restarted.
-LEAD_SECONDS = 5.0
+WARM_UP_SECONDS = 5.0
 
 
-class Play:
+class CallOutcomes:
     """Calls of a workspace in one simulation; times in seconds from the first call.
 
     Attributes:
@@ -26,14 +26,14 @@
         wait_seconds: Seconds that each admitted call waited for a token.
     """
 
-    __slots__ = ("admitted", "arrivals", "waits_of_admitted")
+    __slots__ = ("admitted", "arrivals", "wait_seconds")
 
     def __init__(self) -> None:
         self.arrivals: list[float] = []
         self.admitted: list[float] = []
-        self.waits_of_admitted: list[float] = []
+        self.wait_seconds: list[float] = []
 
-    def find_worst_window(self) -> int:
+    def get_max_calls_per_window(self) -> int:
         """Return the maximum number of calls admitted within `WINDOW_SECONDS`."""
         return max(
             (
@@ -44,7 +44,7 @@
         )
 
 
-def count_allowed(rate: float, burst: float) -> float:
+def count_tolerated_calls(rate: float, burst: float) -> float:
     """Return the number of calls that operators tolerate in any window."""
     return (rate * WINDOW_SECONDS + burst) * (
         1.0 + TOLERATED_OVERSHOOT_RATIO
@@ -90,7 +90,7 @@
         return self.multiple
 
     @property
-    def most(self) -> float:
+    def max_multiple(self) -> float:
         """Maximum multiple."""
         return max(self.multiple, self.rise[1] if self.rise is not None else 0.0)
 
@@ -102,7 +102,7 @@
     start: float,
     end: float,
     nodes: Sequence[int],
-) -> Play:
+) -> CallOutcomes:
     """Schedule calls of a workspace to some nodes, at random times.
 
     Args:
@@ -118,21 +118,21 @@
     """
     # A generator of its own, so that every design and setting gets the same calls.
     rng = random.Random(f"{fleet.seed} {tenant.name}")
-    play = Play()
+    play = CallOutcomes()
     weights = [rng.uniform(0.5, 2.0) for _ in nodes]
-    max_calls_per_second = demand.most * tenant.rate
+    max_calls_per_second = demand.max_multiple * tenant.rate
 
     def arrive() -> None:
         now = fleet.simulation.now
         fleet.simulation.schedule(now + rng.expovariate(max_calls_per_second), arrive)
-        if now >= end or rng.random() >= demand.get(now - start) / demand.most:
+        if now >= end or rng.random() >= demand.get(now - start) / demand.max_multiple:
             return
         play.arrivals.append(now - start)
         number = rng.choices(nodes, cum_weights=cumulative_weights)[0]
 
         def record_decision(granted: bool) -> None:
             if granted:
-                play.waits_of_admitted.append(fleet.simulation.now - now)
+                play.wait_seconds.append(fleet.simulation.now - now)
                 play.admitted.append(fleet.simulation.now - start)
 
         fleet.call(number, tenant, record_decision)
@@ -142,7 +142,7 @@
     return play
 
 
-def play_workspace(
+def simulate_workspace(
     nodes: int,
     rate: float,
     demand: Demand,
@@ -150,9 +150,9 @@
     seed: int,
     first_start: bool = True,
     zones: int = 6,
-    cuts: Sequence[Cut] = (),
+    partitions: Sequence[NetworkPartition] = (),
     inject_faults: Callable[[RateFleet], None] = lambda fleet: None,
-) -> Play:
+) -> CallOutcomes:
     """Simulate one workspace whose burst is a second of its rate.
 
     Args:
@@ -171,8 +171,13 @@
     Returns:
         The calls and their outcome.
     """
-    lead = LEAD_SECONDS if first_start else 0.0
-    shifted = [Cut(cut.start + lead, cut.end + lead, cut.sides) for cut in cuts]
+    lead = WARM_UP_SECONDS if first_start else 0.0
+    shifted = [
+        NetworkPartition(
+            partition.start + lead, partition.end + lead, partition.get_side
+        )
+        for partition in partitions
+    ]
     fleet = RateFleet([n % zones for n in range(nodes)], seed, shifted, first_start)
     inject_faults(fleet)
     tenant = Tenant("north", 1, rate, rate)
--- a/primroseglade/emulator/rate_scenarios.py
+++ b/primroseglade/emulator/rate_scenarios.py
@@ -2,11 +2,11 @@
 
 from collections.abc import Callable
 
-from .network import Cut
+from .network import NetworkPartition
 from .rates import RateFleet
 
 # Time from the first call to the rise of demand and to the faults injected at the rise.
-RISE_SECONDS = 7.0
+DEMAND_RISE_SECONDS = 7.0
 FAULT_SECONDS = 5.0
 HOLDER_COUNT = 6
 
@@ -21,16 +21,16 @@
         events: Times and functions that inject a fault into the fleet.
     """
 
-    __slots__ = ("cuts", "events", "first_start")
+    __slots__ = ("events", "first_start", "partitions")
 
     def __init__(
         self,
         first_start: bool = True,
-        cuts: tuple[Cut, ...] = (),
+        partitions: tuple[NetworkPartition, ...] = (),
         events: tuple[tuple[float, Callable[[RateFleet], None]], ...] = (),
     ):
         self.first_start = first_start
-        self.cuts = cuts
+        self.partitions = partitions
         self.events = events
 
 
@@ -72,9 +72,11 @@
     return number if number in (0, 1, 9) else -1
 
 
-def build_partition(start: float, sides: Callable[[int], int]) -> Scenario:
+def build_partition(start: float, get_side: Callable[[int], int]) -> Scenario:
     """Return a scenario with one partition of `FAULT_SECONDS`."""
-    return Scenario(cuts=(Cut(start, start + FAULT_SECONDS, sides),))
+    return Scenario(
+        partitions=(NetworkPartition(start, start + FAULT_SECONDS, get_side),)
+    )
 
 
 @scenario("calm")
@@ -86,37 +88,37 @@
 @scenario("half cut off before the rise")
 def build_partition_before_rise() -> Scenario:
     """Cut off half of each zone 3 s before the rise, for 5 s."""
-    return build_partition(RISE_SECONDS - 3.0, split_each_zone)
+    return build_partition(DEMAND_RISE_SECONDS - 3.0, split_each_zone)
 
 
 @scenario("half cut off at the rise")
 def build_partition_at_rise() -> Scenario:
     """Cut off half of the nodes of each zone at the rise."""
-    return build_partition(RISE_SECONDS, split_each_zone)
+    return build_partition(DEMAND_RISE_SECONDS, split_each_zone)
 
 
 @scenario("half cut off after the rise")
 def build_partition_after_rise() -> Scenario:
     """Cut off half of the nodes of each zone just after the rise."""
-    return build_partition(RISE_SECONDS + 0.3, split_each_zone)
+    return build_partition(DEMAND_RISE_SECONDS + 0.3, split_each_zone)
 
 
 @scenario("half of the zones cut off at the rise")
 def build_partitioned_zones() -> Scenario:
     """Cut off half of the zones at the rise."""
-    return build_partition(RISE_SECONDS, split_zones)
+    return build_partition(DEMAND_RISE_SECONDS, split_zones)
 
 
 @scenario("zone cut off at the rise")
 def build_isolated_zone() -> Scenario:
     """Cut off one zone at the rise."""
-    return build_partition(RISE_SECONDS, isolate_zone)
+    return build_partition(DEMAND_RISE_SECONDS, isolate_zone)
 
 
 @scenario("nodes cut off at the rise")
 def build_isolated_nodes() -> Scenario:
     """Isolate two token holders and another node at the rise."""
-    return build_partition(RISE_SECONDS, isolate_nodes)
+    return build_partition(DEMAND_RISE_SECONDS, isolate_nodes)
 
 
 def kill_holders(fleet: RateFleet) -> None:
@@ -128,7 +130,7 @@
 @scenario("holders killed twice in a second")
 def build_killed_holders() -> Scenario:
     """Kill the token holders of all zones before and at the rise."""
-    times = (RISE_SECONDS - 0.5, RISE_SECONDS)
+    times = (DEMAND_RISE_SECONDS - 0.5, DEMAND_RISE_SECONDS)
     return Scenario(events=tuple((at, kill_holders) for at in times))
 
 
@@ -141,7 +143,7 @@
 @scenario("holders frozen for 5 s")
 def build_frozen_holders() -> Scenario:
     """Freeze the token holders of half of the zones just before the rise."""
-    return Scenario(events=((RISE_SECONDS - 0.5, freeze_holders),))
+    return Scenario(events=((DEMAND_RISE_SECONDS - 0.5, freeze_holders),))
 
 
 def kill_all(fleet: RateFleet) -> None:
@@ -153,7 +155,7 @@
 @scenario("all nodes killed at the rise")
 def build_killed_fleet() -> Scenario:
     """Kill all nodes at the rise."""
-    return Scenario(events=((RISE_SECONDS, kill_all),))
+    return Scenario(events=((DEMAND_RISE_SECONDS, kill_all),))
 
 
 @scenario("start after the end of all nodes")
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -21,7 +21,7 @@
 from ..sidecar.token_broker import GrantHandler, TokenBroker
 from ..sidecar.token_pool import TokenPool
 from ..sidecar.token_requests import REQUEST_TIMEOUT_SECONDS
-from .network import Cut, Network
+from .network import Network, NetworkPartition
 from .simulation import Simulation
 
 # A node first lends its share within this time of its start.
@@ -141,13 +141,13 @@
         self,
         zones: list[int],
         seed: int,
-        cuts: Sequence[Cut] = (),
+        partitions: Sequence[NetworkPartition] = (),
         first_start: bool = True,
     ):
         self.seed = seed
         self.rng = random.Random(seed)
         self.simulation = Simulation()
-        self.network = Network(self.simulation, zones, list(cuts), self.rng)
+        self.network = Network(self.simulation, zones, list(partitions), self.rng)
         self.rate_tolerance = RateTolerance(
             TOLERATED_OVERSHOOT_RATIO, TOLERATED_EXTRA_CALLS
         )
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -233,7 +233,7 @@
         id: Id of the request on this stream.
         limits: Limits of the workspace.
         needed: Number of waiting calls.
-        ahead: Number of further calls expected soon.
+        prefetch: Number of further calls expected soon.
         unspent: Tokens that the sender was granted ahead of need and still has.
         returned: Tokens granted earlier that will not be spent.
         loan: Tokens, possibly a fraction, that the sender wants to borrow if it is
@@ -244,7 +244,7 @@
     id: int
     limits: TokenLimits
     needed: int
-    ahead: int = 0
+    prefetch: int = 0
     unspent: int = 0
     returned: int = 0
     loan: float = 0.0
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -45,7 +45,7 @@
 from .periodic_scheduler import PeriodicScheduler
 from .policy_tracker import PolicyTracker, StoreError
 from .rate_control import RateControl
-from .rate_monitor import RATE_LOG_SECONDS
+from .rate_monitor import RATE_LOG_INTERVAL_SECONDS
 from .rate_tolerance import RateTolerance
 from .request_handler import CallerDialect, RequestHandler
 from .retry_budget import RetryBudget
@@ -392,7 +392,7 @@
         # and a peer gets no second ping while one is unanswered.
         scheduler.add(self.rates.renew_lease)
         scheduler.add(self._peer_monitor.poll_policy_age, READER_POLL_SECONDS)
-        scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_SECONDS)
+        scheduler.add(self.rates.monitor.log_buckets, RATE_LOG_INTERVAL_SECONDS)
         scheduler.add(
             lambda _: log_cross_zone_bytes(self.cross_zone_bytes, self._journal),
             CROSS_ZONE_LOG_INTERVAL_SECONDS,
--- a/primroseglade/sidecar/rate_monitor.py
+++ b/primroseglade/sidecar/rate_monitor.py
@@ -4,7 +4,7 @@
 from .bucket_snapshot import build_snapshots
 from .token_pool import TokenPool
 
-RATE_LOG_SECONDS = 1.0
+RATE_LOG_INTERVAL_SECONDS = 1.0
 # Limits the length of a log line to the workspaces with the highest demand.
 MAX_LOGGED_WORKSPACES = 8
 
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -117,7 +117,7 @@
         if waiting is not None:
             waiting.requests.append((sender, request, reply))
             return
-        granted = self._pool.take(limits, request.needed, request.ahead, now, sender)
+        granted = self._pool.take(limits, request.needed, request.prefetch, now, sender)
         if granted or not request.needed:
             reply(self._build_grant(request, granted))
             self._top_up_reserve(limits, now)
@@ -154,7 +154,7 @@
         while waiting.requests:
             sender, request, reply = waiting.requests[0]
             granted = self._pool.take(
-                limits, request.needed, request.ahead, now, sender
+                limits, request.needed, request.prefetch, now, sender
             )
             if not granted and request.needed:
                 break
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -16,7 +16,7 @@
 NOT_RUN_HEADER = (b"primroseglade-verdict", b"not run")
 
 
-class Behaviour:
+class BackendBehavior:
     """Performance and faults of a backend server; may be changed while it runs.
 
     Args:
@@ -40,22 +40,22 @@
         work: float = 0.005,
         spread: float = 0.2,
         slots: int = 20,
-        shed_over: int | None = None,
+        max_queued: int | None = None,
         cold_start_seconds: float = 0.0,
         cold_start_factor: float = 5.0,
-        answer_bytes: int = 200,
+        response_bytes: int = 200,
         nested: tuple[str, ...] = (),
         announced_slots: int | None = None,
     ):
         self.work = work
         self.spread = spread
         self.slots = slots
-        self.shed_over = shed_over
+        self.max_queued = max_queued
         self.cold_start_seconds = cold_start_seconds
         self.cold_start_factor = cold_start_factor
-        self.answer_bytes = answer_bytes
-        self.cut_answers = 0
-        self.swallow = False
+        self.response_bytes = response_bytes
+        self.responses_to_truncate = 0
+        self.never_responds = False
         self.nested = nested
         self.announced_slots = announced_slots
 
@@ -103,19 +103,19 @@
         self,
         service: str,
         node: str = "",
-        behaviour: Behaviour | None = None,
+        behavior: BackendBehavior | None = None,
         address: str = "127.0.0.1:0",
         connections: int = 100,
         seed: int = 0,
-        seen_kept: int | None = None,
+        max_seen: int | None = None,
     ):
         self.service = service
-        self.behaviour = behaviour or Behaviour()
+        self.behavior = behavior or BackendBehavior()
         self.seen: collections.deque[ReceivedRequest] = collections.deque(
-            maxlen=seen_kept
+            maxlen=max_seen
         )
         self.draining = False
-        self.at_work = 0
+        self.in_flight = 0
         self.queued = 0
         self._node = node
         self._connections = connections
@@ -168,7 +168,7 @@
         fields = {
             "service": self.service,
             "address": self.address,
-            "slots": self.behaviour.announced_slots or self.behaviour.slots,
+            "slots": self.behavior.announced_slots or self.behavior.slots,
             "connections": self._connections,
             "draining": self.draining,
         }
@@ -225,7 +225,7 @@
     def _get_refusal(self) -> str | None:
         if self.draining:
             return "draining"
-        limit = self.behaviour.shed_over
+        limit = self.behavior.max_queued
         if limit is not None and self.queued >= limit:
             return "overloaded"
         return None
@@ -235,28 +235,28 @@
         try:
             async with self._slot_freed:
                 await self._slot_freed.wait_for(
-                    lambda: self.at_work < self.behaviour.slots
+                    lambda: self.in_flight < self.behavior.slots
                 )
-                self.at_work += 1
+                self.in_flight += 1
         finally:
             self.queued -= 1
         try:
-            while self.behaviour.swallow:
+            while self.behavior.never_responds:
                 await asyncio.sleep(0.05)
-            for path in self.behaviour.nested:
+            for path in self.behavior.nested:
                 await self._make_nested_call(path, headers)
             await asyncio.sleep(self._draw_work_seconds())
         finally:
-            self.at_work -= 1
+            self.in_flight -= 1
             async with self._slot_freed:
                 self._slot_freed.notify()
 
     def _draw_work_seconds(self) -> float:
-        behaviour = self.behaviour
-        factor = 1 + self._random.uniform(-behaviour.spread, behaviour.spread)
-        if time.monotonic() - self._started_at < behaviour.cold_start_seconds:
-            factor *= behaviour.cold_start_factor
-        return behaviour.work * factor
+        behavior = self.behavior
+        factor = 1 + self._random.uniform(-behavior.spread, behavior.spread)
+        if time.monotonic() - self._started_at < behavior.cold_start_seconds:
+            factor *= behavior.cold_start_factor
+        return behavior.work * factor
 
     async def _make_nested_call(self, path: str, headers: dict[str, str]) -> None:
         assert self._session is not None
@@ -282,11 +282,11 @@
             "received": len(body),
         }
         text = json.dumps(fields).encode()
-        text += b" " * max(0, self.behaviour.answer_bytes - len(text))
+        text += b" " * max(0, self.behavior.response_bytes - len(text))
         headers = [JSON_CONTENT_TYPE, (b"content-length", b"%d" % len(text))]
         await send({"type": "http.response.start", "status": 200, "headers": headers})
-        if self.behaviour.cut_answers > 0:
-            self.behaviour.cut_answers -= 1
+        if self.behavior.responses_to_truncate > 0:
+            self.behavior.responses_to_truncate -= 1
             first_half = text[: len(text) // 2]
             await send(
                 {"type": "http.response.body", "body": first_half, "more_body": True}
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -9,14 +9,14 @@
 from ..node import Node
 from ..platform.log import CONFIGURATION_TOPIC
 from ..settings.node import build_node_settings
-from .backend import BackendStandIn, Behaviour
+from .backend import BackendBehavior, BackendStandIn
 from .log import LogStandIn
 
 POLL_INTERVAL_SECONDS = 0.02
 FLEET_SECRET = "a secret that only this embedded fleet knows"
 
 
-class Place:
+class EmbeddedInstance:
     """A node with its own network and the backend server beside it, if any."""
 
     def __init__(
@@ -33,7 +33,7 @@
         return self.node.settings.zone
 
     @property
-    def callers(self) -> str:
+    def caller_address(self) -> str:
         """``IP:PORT`` of the node for callers."""
         return self.node.listeners["callers"]
 
@@ -58,7 +58,7 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._started_nodes = 0
         self.log = LogStandIn(retention=retention)
-        self.places: list[Place] = []
+        self.instances: list[EmbeddedInstance] = []
 
     async def __aenter__(self) -> "EmbeddedFleet":
         self._start_task(self.log.run())
@@ -66,18 +66,18 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for place in self.places:
-            if place.backend is not None:
-                place.backend.kill()
-            if not place.stopped:
-                await place.node.kill()
+        for instance in self.instances:
+            if instance.backend is not None:
+                instance.backend.kill()
+            if not instance.stopped:
+                await instance.node.kill()
         self.log.stop()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     @property
     def nodes(self) -> list[Node]:
         """Nodes that have not been stopped or killed."""
-        return [place.node for place in self.places if not place.stopped]
+        return [instance.node for instance in self.instances if not instance.stopped]
 
     async def publish(self, author: str = "operator", **kinds: dict[str, Any]) -> int:
         """Append an edit based on the section versions that the first node applied.
@@ -104,10 +104,10 @@
         self,
         zone: str,
         service: str = "",
-        behaviour: Behaviour | None = None,
+        behavior: BackendBehavior | None = None,
         instance: str = "",
         **settings: Any,
-    ) -> Place:
+    ) -> EmbeddedInstance:
         """Start a node, and a backend server beside it if ``service`` is given."""
         self._started_nodes += 1
         instance = instance or f"{zone}-{service or 'node'}-{self._started_nodes}"
@@ -124,46 +124,46 @@
         backend = None
         if service:
             backend = BackendStandIn(
-                service, node.listeners["backend"], behaviour, seed=self._started_nodes
+                service, node.listeners["backend"], behavior, seed=self._started_nodes
             )
             self._start_task(backend.run())
             await backend.wait_started()
-        place = Place(node, network, backend)
-        self.places.append(place)
-        return place
+        started = EmbeddedInstance(node, network, backend)
+        self.instances.append(started)
+        return started
 
-    async def stop(self, place: Place) -> None:
+    async def stop(self, instance: EmbeddedInstance) -> None:
         """Drain and stop an instance gracefully, the node before its backend server."""
-        place.stopped = True
-        if place.backend is not None:
-            await place.backend.drain()
-        await place.node.stop()
-        if place.backend is not None:
-            place.backend.stop()
-
-    async def kill(self, place: Place) -> None:
+        instance.stopped = True
+        if instance.backend is not None:
+            await instance.backend.drain()
+        await instance.node.stop()
+        if instance.backend is not None:
+            instance.backend.stop()
+
+    async def kill(self, instance: EmbeddedInstance) -> None:
         """Kill an instance without draining it."""
-        place.stopped = True
-        if place.backend is not None:
-            place.backend.kill()
-        await place.node.kill()
+        instance.stopped = True
+        if instance.backend is not None:
+            instance.backend.kill()
+        await instance.node.kill()
 
     def cut_zone(self, zone: str, from_platform: bool, from_zones: bool) -> None:
         """Cut a zone off from the platform, from all other zones, or from both."""
-        inside = [place for place in self.places if place.zone == zone]
-        outside = [place for place in self.places if place.zone != zone]
-        for place in inside:
+        inside = [instance for instance in self.instances if instance.zone == zone]
+        outside = [instance for instance in self.instances if instance.zone != zone]
+        for instance in inside:
             if from_platform:
-                place.network.cut({self.log.address})
+                instance.network.cut({self.log.address})
             if from_zones:
                 for other in outside:
-                    place.network.cut(other.internal_addresses)
-                    other.network.cut(place.internal_addresses)
+                    instance.network.cut(other.internal_addresses)
+                    other.network.cut(instance.internal_addresses)
 
     def heal(self) -> None:
         """Restore all network connectivity."""
-        for place in self.places:
-            place.network.heal()
+        for instance in self.instances:
+            instance.network.heal()
 
     async def wait(
         self, condition: Callable[[], bool], timeout: float = 20.0, what: str = ""
@@ -208,10 +208,14 @@
             others = node.members.get_reachable()
             if len(others) < len(nodes) or node.configuration.next_offset < 1:
                 return False
-        for place in self.places:
-            if place.backend is None or place.stopped or place.backend.draining:
+        for instance in self.instances:
+            if (
+                instance.backend is None
+                or instance.stopped
+                or instance.backend.draining
+            ):
                 continue
-            name = place.node.settings.instance
+            name = instance.node.settings.instance
             known = [node.members.get(name) for node in nodes]
             if not all(member and member.serving for member in known):
                 return False
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -5,7 +5,7 @@
 from ..addresses import join_address, parse_address
 
 
-class Link:
+class TcpForwarder:
     """Forwards TCP connections to a target and can blackhole the open ones.
 
     Args:
@@ -41,7 +41,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def forget_connections(self) -> int:
+    def blackhole_connections(self) -> int:
         """Drop all further data on open connections and return how many there are.
 
         They stay open, so that neither end gets an error.
--- a/primroseglade/stand_ins/log.py
+++ b/primroseglade/stand_ins/log.py
@@ -39,20 +39,20 @@
     """
 
     def __init__(self) -> None:
-        self.first = 0
+        self.first_offset = 0
         self.records: list[Any] = []
         self.changed = asyncio.Condition()
 
     @property
     def end_offset(self) -> int:
         """Offset that the next record gets."""
-        return self.first + len(self.records)
+        return self.first_offset + len(self.records)
 
     def truncate(self, max_records: int) -> None:
         """Delete the oldest records beyond ``max_records``."""
         surplus = max(0, len(self.records) - max_records)
         del self.records[:surplus]
-        self.first += surplus
+        self.first_offset += surplus
 
 
 class LogStandIn:
@@ -148,14 +148,14 @@
         query = {name: values[0] for name, values in request.query.items()}
         offset = int(query["offset"])
         wait = min(int(query.get("timeout", 0)) / 1000, MAX_WAIT_SECONDS)
-        if not topic.first <= offset <= topic.end_offset:
+        if not topic.first_offset <= offset <= topic.end_offset:
             problem = {"error_code": OFFSET_OUT_OF_RANGE, "message": "out of range"}
             return _build_response(404, problem)
         await self._wait_for_records(topic, offset, wait)
         fault = await self._inject_faults()
         if fault:
             return fault
-        start = max(0, offset - topic.first)
+        start = max(0, offset - topic.first_offset)
         name = request.route_values["name"]
         items = [
             {
@@ -163,7 +163,7 @@
                 "key": None,
                 "value": value,
                 "partition": 0,
-                "offset": topic.first + start + number,
+                "offset": topic.first_offset + start + number,
             }
             for number, value in enumerate(topic.records[start : start + 500])
         ]
@@ -186,7 +186,7 @@
         topic = self.get_topic(request.route_values["name"])
         return _build_response(
             200,
-            {"beginning_offset": topic.first, "end_offset": topic.end_offset},
+            {"beginning_offset": topic.first_offset, "end_offset": topic.end_offset},
         )
 
 
--- a/primroseglade/stand_ins/mesh_backend.py
+++ b/primroseglade/stand_ins/mesh_backend.py
@@ -50,7 +50,7 @@
         self.work = work
         self.start_time_ms = start_time_ms
         self.state = "ready"
-        self.ran: list[str] = []
+        self.executed_request_ids: list[str] = []
         self.cancelled = 0
         self.seen: list[dict[str, str]] = []
         self.answer: Callable[[Request, dict[str, str]], Reply] | None = None
@@ -63,12 +63,12 @@
         server = asyncio.create_task(self._server.run())
         try:
             while True:
-                await self.report()
+                await self.report_status()
                 await asyncio.sleep(REPORT_INTERVAL_SECONDS)
         finally:
             server.cancel()
 
-    async def report(self) -> int:
+    async def report_status(self) -> int:
         """Send a status report and return the response status, 0 for no response."""
         self._sequence += 1
         body = {
@@ -82,13 +82,13 @@
             "sequence": self._sequence,
             "born": self.start_time_ms,
         }
-        return await self.call_control("PUT", json.dumps(body).encode())
+        return await self.send_control_request("PUT", json.dumps(body).encode())
 
-    async def leave(self) -> int:
+    async def deregister(self) -> int:
         """Deregister from the node and return the response status, 0 for none."""
-        return await self.call_control("DELETE", b"")
+        return await self.send_control_request("DELETE", b"")
 
-    async def call_control(self, method: str, body: bytes) -> int:
+    async def send_control_request(self, method: str, body: bytes) -> int:
         """Send a control request and return the response status, 0 for no response."""
         head = (
             f"{method} /instances/{self.instance} HTTP/1.1\r\nHost: node\r\n"
@@ -115,7 +115,7 @@
         if expected != self.instance:
             return Reply(render_status_line(421), b"")
         request_id = headers.get("x-primroseglade-request-id", "")
-        self.ran.append(request_id)
+        self.executed_request_ids.append(request_id)
         try:
             await asyncio.sleep(self.work)
         except asyncio.CancelledError:
@@ -123,9 +123,9 @@
             raise
         if self.answer is not None:
             return self.answer(request, headers)
-        return self.build_answer(request_id, b"served by " + self.instance.encode())
+        return self.build_response(request_id, b"served by " + self.instance.encode())
 
-    def build_answer(self, request_id: str, body: bytes) -> Reply:
+    def build_response(self, request_id: str, body: bytes) -> Reply:
         """Return a response with the request id and signature that nodes check."""
         head = (
             render_status_line(200)
--- a/primroseglade/stand_ins/store.py
+++ b/primroseglade/stand_ins/store.py
@@ -48,12 +48,12 @@
         lose_answers: Whether writes are applied but never answered.
     """
 
-    __slots__ = ("down", "lose_answers", "silent", "slow")
+    __slots__ = ("delay_seconds", "error_status", "lose_answers", "silent")
 
     def __init__(self) -> None:
-        self.down = 0
+        self.error_status = 0
         self.silent = False
-        self.slow = 0.0
+        self.delay_seconds = 0.0
         self.lose_answers = False
 
 
@@ -86,7 +86,7 @@
             self._get_partition(topic, 0), [bytes([len(name)]) + name + value], True
         )
 
-    def forget_history(self) -> None:
+    def delete_history(self) -> None:
         """Delete all records; the latest value of each key can still be read."""
         for partition in self._partitions.values():
             partition.first_offset = partition.end_offset
@@ -102,10 +102,10 @@
         faults = self.faults
         if faults.silent:
             await asyncio.Event().wait()
-        if faults.slow:
-            await asyncio.sleep(faults.slow)
-        if faults.down:
-            return Reply(render_status_line(faults.down), b"")
+        if faults.delay_seconds:
+            await asyncio.sleep(faults.delay_seconds)
+        if faults.error_status:
+            return Reply(render_status_line(faults.error_status), b"")
         parts = urlsplit(request.target.decode())
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == "/log-append":
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -51,10 +51,10 @@
     serving = asyncio.create_task(backend.run())
     await stop_requested.wait()
     backend.state = "draining"
-    acknowledged = await backend.report() == 200
+    acknowledged = await backend.report_status() == 200
     write_event(draining=backend.instance, acknowledged=acknowledged)
     await asyncio.sleep(LINGER_SECONDS)
-    await backend.leave()
+    await backend.deregister()
     serving.cancel()
 
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -300,16 +300,16 @@
 
 @_injects("store-down")
 async def _make_store_unavailable(soak: Soak, fault: ScheduledFault) -> None:
-    soak.store.faults.down = 503
+    soak.store.faults.error_status = 503
     await asyncio.sleep(fault.duration_seconds)
-    soak.store.faults.down = 0
+    soak.store.faults.error_status = 0
 
 
 @_injects("store-slow")
 async def _delay_store(soak: Soak, fault: ScheduledFault) -> None:
-    soak.store.faults.slow = 0.3
+    soak.store.faults.delay_seconds = 0.3
     await asyncio.sleep(fault.duration_seconds)
-    soak.store.faults.slow = 0.0
+    soak.store.faults.delay_seconds = 0.0
 
 
 @_injects("store-loses-answers")
@@ -321,7 +321,7 @@
 
 @_injects("store-forgets")
 async def _delete_store_history(soak: Soak, fault: ScheduledFault) -> None:
-    soak.store.forget_history()
+    soak.store.delete_history()
 
 
 @_injects("key-withdrawn")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -9,7 +9,7 @@
 from primroseglade.exits import ExitStatus
 
 KEY = "the key of workspace north"
-FAST = {
+FAST_SETTINGS = {
     "fleet": {"period": 0.2, "suspicion": 0.6, "lease": 0.3, "grant": 0.2},
     "timeouts": {"lame_duck": 0.3, "connect": 0.5, "silence": 0.3},
     "log": {"level": "error"},
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -3,9 +3,9 @@
 import random
 
 from primroseglade.emulator.rate_plays import (
-    count_allowed,
+    count_tolerated_calls,
     Demand,
-    play_workspace,
+    simulate_workspace,
 )
 from primroseglade.sidecar.admission import Admission, ServiceLoad
 from primroseglade.sidecar.model import Tenant
@@ -118,8 +118,8 @@
 
 def test_rate_holds_across_nodes_that_share_it():
     """Three nodes that together receive five times the rate admit only the rate."""
-    simulation = play_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
-    assert simulation.find_worst_window() <= count_allowed(100.0, 100.0)
+    simulation = simulate_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
+    assert simulation.get_max_calls_per_window() <= count_tolerated_calls(100.0, 100.0)
     assert len(simulation.admitted) >= 100.0 * 10 * 0.95
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -8,20 +8,20 @@
 
 from primroseglade.calls.dispatch import RetryBudget
 from primroseglade.client import Client
-from primroseglade.stand_ins.backend import BackendStandIn, Behaviour
+from primroseglade.stand_ins.backend import BackendBehavior, BackendStandIn
 from primroseglade.stand_ins.fleet import EmbeddedFleet
-from primroseglade.stand_ins.link import Link
+from primroseglade.stand_ins.link import TcpForwarder
 from primroseglade.verdicts import Reason, Refusal, Verdict
 
-from .helpers import build_document, FAST, KEY
+from .helpers import build_document, FAST_SETTINGS, KEY
 
 
 @contextlib.asynccontextmanager
-async def run_fleet(zones: str = "ab", settings=FAST, **behaviour):
+async def run_fleet(zones: str = "ab", settings=FAST_SETTINGS, **behavior):
     async with EmbeddedFleet(settings) as fleet:
         await fleet.publish(**build_document(tuple(sorted(set(zones)))))
         for zone in zones:
-            await fleet.add(zone, "archive", Behaviour(**behaviour))
+            await fleet.add(zone, "archive", BackendBehavior(**behavior))
         await fleet.wait_ready()
         yield fleet
 
@@ -29,22 +29,22 @@
 @contextlib.asynccontextmanager
 async def run_behind_link():
     """Run two nodes of a service; the first one's backend server is behind a link."""
-    async with EmbeddedFleet(FAST) as fleet:
+    async with EmbeddedFleet(FAST_SETTINGS) as fleet:
         await fleet.publish(**build_document(("a",)))
-        place = await fleet.add("a")
+        instance = await fleet.add("a")
         backend = BackendStandIn("archive")
         running = asyncio.create_task(backend.run())
         await backend.wait_started()
-        link = Link(backend.address)
+        link = TcpForwarder(backend.address)
         await link.start()
         fields = {"service": "archive", "address": link.address, "connections": 8}
-        url = f"http://{place.node.listeners['backend']}/-/backend-server"
+        url = f"http://{instance.node.listeners['backend']}/-/backend-server"
         async with aiohttp.ClientSession() as session:
             async with session.put(url, json=fields) as response:
                 assert response.status == 200
         await fleet.add("a", "archive")
         await fleet.wait_ready()
-        yield fleet, place, backend, link
+        yield fleet, instance, backend, link
         backend.kill()
         await link.stop()
         await running
@@ -58,24 +58,26 @@
 async def test_idempotent_calls_survive_the_crash_of_an_instance():
     """Guards against failed reads: calls are retried elsewhere if a machine dies."""
     async with run_fleet("aab") as fleet:
-        async with Client([fleet.places[0].callers], KEY) as client:
-            await fleet.kill(fleet.places[1])
+        async with Client([fleet.instances[0].caller_address], KEY) as client:
+            await fleet.kill(fleet.instances[1])
             for _ in range(60):
                 assert (await client.call("archive", "/x")).status == 200
-        name = fleet.places[1].node.settings.instance
+        name = fleet.instances[1].node.settings.instance
         await fleet.wait(lambda: not fleet.nodes[0].members.get(name).reachable)
 
 
 async def test_draining_backend_server_gets_no_new_call_at_any_entry():
     async with run_fleet("aabb") as fleet:
-        draining = fleet.places[1]
+        draining = fleet.instances[1]
         await draining.backend.drain()
         name = draining.node.settings.instance
         await fleet.wait(
             lambda: not any(n.members.get(name).serving for n in fleet.nodes)
         )
         before = len(draining.backend.seen)
-        async with Client([place.callers for place in fleet.places], KEY) as client:
+        async with Client(
+            [instance.caller_address for instance in fleet.instances], KEY
+        ) as client:
             for _ in range(40):
                 assert (await client.call("archive", "/x")).status == 200
         assert len(draining.backend.seen) == before
@@ -87,12 +89,14 @@
     A device between node and backend server drops the state of open connections. What
     is sent on them is lost without an error, while new connections work.
     """
-    async with run_behind_link() as (_, place, _, link):
-        async with Client([place.callers], KEY, timeout=8.0, attempts=1) as client:
+    async with run_behind_link() as (_, instance, _, link):
+        async with Client(
+            [instance.caller_address], KEY, timeout=8.0, attempts=1
+        ) as client:
             await call_at_once(client, 6)
-            assert link.forget_connections() > 0
+            assert link.blackhole_connections() > 0
             responses = await call_at_once(client, 6)
-            assert place.node.metrics.read("silent_connections_total") > 0
+            assert instance.node.metrics.read("silent_connections_total") > 0
             responses += await call_at_once(client, 6)
         assert {response.status for response in responses} == {200}
 
@@ -103,10 +107,10 @@
     The call is sent on a connection whose state was dropped on the way. The node cannot
     know whether it arrived, so it must not retry it or report "not run".
     """
-    async with run_behind_link() as (fleet, place, backend, link):
-        async with Client([place.callers], KEY, timeout=1.5) as client:
+    async with run_behind_link() as (fleet, instance, backend, link):
+        async with Client([instance.caller_address], KEY, timeout=1.5) as client:
             await call_at_once(client, 30)
-            link.forget_connections()
+            link.blackhole_connections()
             ids = [f"payout-{n}" for n in range(10)]
             responses = await asyncio.gather(
                 *(
@@ -118,7 +122,7 @@
         refused = [r for r in responses if isinstance(r, Refusal)]
         seen = [
             item.operation
-            for server in (backend, fleet.places[1].backend)
+            for server in (backend, fleet.instances[1].backend)
             for item in server.seen
             if item.operation
         ]
@@ -135,8 +139,8 @@
     slower.
     """
     async with run_fleet("aa", work=0.001) as fleet:
-        place = fleet.places[0]
-        url = f"http://{place.callers}/archive/x"
+        instance = fleet.instances[0]
+        url = f"http://{instance.caller_address}/archive/x"
         headers = {"Authorization": f"Bearer {KEY}"}
         async with aiohttp.ClientSession() as session:
 
@@ -145,12 +149,12 @@
                     return response.status
 
             await asyncio.gather(*(call() for _ in range(4)))
-            before = sum(len(p.backend.seen) for p in fleet.places)
-            for other in fleet.places:
-                other.backend.behaviour.work = 1.0
+            before = sum(len(p.backend.seen) for p in fleet.instances)
+            for other in fleet.instances:
+                other.backend.behavior.work = 1.0
             statuses = await asyncio.gather(*(call() for _ in range(12)))
         assert statuses == [200] * 12
-        assert sum(len(p.backend.seen) for p in fleet.places) == before + 12
+        assert sum(len(p.backend.seen) for p in fleet.instances) == before + 12
 
 
 async def test_retries_of_a_chain_are_bounded_however_it_fails():
@@ -160,21 +164,23 @@
     two are left at the last hop, where five instances shed all calls.
     """
     services = ("s0", "s1", "s2", "s3")
-    settings = FAST | {"retries": {"tokens": 4}}
+    settings = FAST_SETTINGS | {"retries": {"tokens": 4}}
     async with EmbeddedFleet(settings) as fleet:
         await fleet.publish(**build_document(("a",), services=services))
         backends = []
         for number, service in enumerate(services):
             nested = (f"/s{number + 1}/x",) if number < 3 else ()
             for _ in range(5 if service == "s3" else 2):
-                behaviour = Behaviour(nested=nested, work=0.001)
-                place = await fleet.add("a", service, behaviour)
-                backends.append(place.backend)
+                behavior = BackendBehavior(nested=nested, work=0.001)
+                instance = await fleet.add("a", service, behavior)
+                backends.append(instance.backend)
         await fleet.wait_ready()
         for backend in backends:
             if backend.service == "s3":
-                backend.behaviour.shed_over = 0
-        async with Client([fleet.places[0].callers], KEY, attempts=1) as client:
+                backend.behavior.max_queued = 0
+        async with Client(
+            [fleet.instances[0].caller_address], KEY, attempts=1
+        ) as client:
             for _ in range(4):
                 await client.call("s0", "/x")
         retries = sum(n.metrics.read("retries_total") for n in fleet.nodes)
@@ -189,9 +195,11 @@
 
 async def test_retry_budget_of_a_node_holds_when_all_calls_fail():
     """Guards against retries that sustain an overload when all backend servers shed."""
-    async with run_fleet("aaa", shed_over=0, work=0.001) as fleet:
-        node = fleet.places[0].node
-        async with Client([fleet.places[0].callers], KEY, attempts=1) as client:
+    async with run_fleet("aaa", max_queued=0, work=0.001) as fleet:
+        node = fleet.instances[0].node
+        async with Client(
+            [fleet.instances[0].caller_address], KEY, attempts=1
+        ) as client:
             for _ in range(200):
                 with pytest.raises(Refusal):
                     await client.call("archive", "/x")
@@ -225,23 +233,23 @@
             "Primroseglade-Attempt": "1",
         }
         async with aiohttp.ClientSession() as session:
-            url = f"http://{fleet.places[0].callers}/archive/pay"
+            url = f"http://{fleet.instances[0].caller_address}/archive/pay"
             async with session.post(url, headers=headers) as response:
                 assert response.status == 200
-            for place, verdict in zip(
-                fleet.places, ("ran", "may have run"), strict=True
+            for instance, verdict in zip(
+                fleet.instances, ("ran", "may have run"), strict=True
             ):
                 headers["Primroseglade-Attempt"] = "2"
-                url = f"http://{place.callers}/archive/pay"
+                url = f"http://{instance.caller_address}/archive/pay"
                 async with session.post(url, headers=headers) as response:
                     assert response.status == 409
                     assert response.headers["Primroseglade-Verdict"] == verdict
-        assert sum(len(place.backend.seen) for place in fleet.places) == 1
+        assert sum(len(instance.backend.seen) for instance in fleet.instances) == 1
 
 
 async def test_nodes_that_start_simultaneously_discover_each_other():
     """Guards against nodes that stay alone when all start with an empty stream."""
-    async with EmbeddedFleet(FAST) as fleet:
+    async with EmbeddedFleet(FAST_SETTINGS) as fleet:
         await fleet.publish(**build_document(("a", "b")))
         await asyncio.gather(*(fleet.add(zone) for zone in "aabb"))
         await fleet.wait_ready()
@@ -252,7 +260,7 @@
 
     By then the tombstones of the other zone's members have expired.
     """
-    settings = FAST | {"fleet": FAST["fleet"] | {"discovery": 0.5}}
+    settings = FAST_SETTINGS | {"fleet": FAST_SETTINGS["fleet"] | {"discovery": 0.5}}
     async with run_fleet("ab", settings) as fleet:
         fleet.cut_zone("b", from_platform=False, from_zones=True)
         one, two = fleet.nodes
@@ -271,13 +279,13 @@
     fractions of tokens from each other without end; callers waited for seconds, and the
     refusal said that no holder responds.
     """
-    async with EmbeddedFleet(FAST) as fleet:
+    async with EmbeddedFleet(FAST_SETTINGS) as fleet:
         document = build_document(("a", "b"), per_second=2.0, burst=2.0)
         await fleet.publish(**document)
         for zone in "aabb":
             await fleet.add(zone, "archive")
         await fleet.wait_ready()
-        nodes = [place.callers for place in fleet.places]
+        nodes = [instance.caller_address for instance in fleet.instances]
         reasons = set()
         async with Client(nodes, KEY, timeout=5.0, attempts=1) as client:
             for _ in range(20):
@@ -289,15 +297,17 @@
 
 async def test_call_waits_while_the_holder_of_its_rate_is_replaced():
     """Guards against long refusals after the only lease holder of a workspace dies."""
-    async with EmbeddedFleet(FAST) as fleet:
+    async with EmbeddedFleet(FAST_SETTINGS) as fleet:
         await fleet.publish(**build_document(("a",)))
         for _ in range(5):
             await fleet.add("a", "archive")
         await fleet.wait_ready()
-        holders = [p for p in fleet.places if p.node.rates.holder.holds("north")]
-        entry = next(place for place in fleet.places if place is not holders[0])
+        holders = [p for p in fleet.instances if p.node.rates.holder.holds("north")]
+        entry = next(
+            instance for instance in fleet.instances if instance is not holders[0]
+        )
         await fleet.kill(holders[0])
-        async with Client([entry.callers], KEY, timeout=20.0) as client:
+        async with Client([entry.caller_address], KEY, timeout=20.0) as client:
             outcomes = []
             while "served" not in outcomes:
                 try:
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -19,14 +19,14 @@
 
 def count_requests(instance: MeshInstance) -> int:
     """Return how many requests have run on a place's backend server."""
-    return len(instance.backend.ran)
+    return len(instance.backend.executed_request_ids)
 
 
 async def test_draining_backend_server_gets_no_more_calls(mesh: Mesh):
     """After the acknowledgement all calls go to the other one, and none fails."""
     draining, other = mesh.instances[1:]
     draining.backend.state = "draining"
-    assert await draining.backend.report() == 200
+    assert await draining.backend.report_status() == 200
     count_before = count_requests(draining)
     for number in range(20):
         assert (
@@ -41,8 +41,8 @@
     them: a report sent before the deregistration says ready and arrives after it.
     """
     draining = mesh.instances[1]
-    assert await draining.backend.leave() == 200
-    assert await draining.backend.report() == 200
+    assert await draining.backend.deregister() == 200
+    assert await draining.backend.report_status() == 200
     assert draining.node.backend.instance == ""
 
 
@@ -55,7 +55,7 @@
     draining.restart_node(first_start=False)
     draining.node.backend.drain(draining.backend.instance, 0)
     async with asyncio.timeout(5.0):
-        while await draining.backend.report() != 200:
+        while await draining.backend.report_status() != 200:
             await asyncio.sleep(0.02)
     assert draining.node.backend.instance == ""
 
@@ -66,10 +66,10 @@
     """
     instance = mesh.instances[1]
     instance.backend.start_time_ms = 200
-    assert await instance.backend.report() == 200
+    assert await instance.backend.report_status() == 200
     instance.backend.start_time_ms = 100
     instance.backend.state = "draining"
-    await instance.backend.report()
+    await instance.backend.report_status()
     instance.backend.start_time_ms = 200
     instance.backend.state = "ready"
     assert instance.node.backend.instance == instance.backend.instance
@@ -79,9 +79,9 @@
     """Invalid reports and those of other services leave the backend server in use."""
     instance = mesh.instances[1]
     for body in (b"rubbish", b"{}", b'{"service": 3}'):
-        assert await instance.backend.call_control("PUT", body) == 400
+        assert await instance.backend.send_control_request("PUT", body) == 400
     instance.backend.service = "other"
-    await instance.backend.report()
+    await instance.backend.report_status()
     assert instance.node.backend.instance == instance.backend.instance
 
 
@@ -91,11 +91,11 @@
     """
     instance = mesh.instances[1]
     instance.backend_task.cancel()
-    assert await instance.backend.leave() == 200
+    assert await instance.backend.deregister() == 200
     await instance.kill_node()
     instance.restart_node(first_start=False)
     await wait_until(lambda: instance.node.ready)
-    await instance.backend.report()
+    await instance.backend.report_status()
     assert instance.node.backend.instance == ""
 
 
@@ -105,15 +105,15 @@
     """
     instance = mesh.instances[1]
     instance.backend_task.cancel()
-    mesh.store.faults.down = 503
-    assert await instance.backend.leave() == 200
+    mesh.store.faults.error_status = 503
+    assert await instance.backend.deregister() == 200
     await instance.kill_node()
     instance.restart_node(first_start=False)
-    mesh.store.faults.down = 0
+    mesh.store.faults.error_status = 0
     mesh.store._partitions.pop(("keyed.primroseglade-drains", 0), None)
     await wait_until(lambda: len(list(instance.node.fleet)) == 2)
     await wait_until(lambda: len(instance.node.fleet.list_connected()) == 2)
-    await instance.backend.report()
+    await instance.backend.report_status()
     assert instance.node.backend.instance == ""
 
 
@@ -156,7 +156,7 @@
     """
     mesh.store.publish(build_configuration(2, *PATHS))
     mesh.store.publish(build_configuration(3, *PATHS))
-    mesh.store.forget_history()
+    mesh.store.delete_history()
     await wait_until(lambda: all(p.node.policies.version == 3 for p in mesh.instances))
     mesh.store.publish(build_configuration(4, *PATHS))
     await wait_until(lambda: all(p.node.policies.version == 4 for p in mesh.instances))
@@ -192,7 +192,9 @@
     local_call = asyncio.create_task(send_request(stopping, "/deep/a", "at"))
     answers = await asyncio.gather(*running, *late, local_call)
     assert [answer.status for answer in answers] == [200] * 25
-    assert not any(request.startswith("l") for request in stopping.backend.ran)
+    assert not any(
+        request.startswith("l") for request in stopping.backend.executed_request_ids
+    )
 
 
 async def test_idempotent_calls_on_a_killed_node_are_retried(mesh: Mesh):
@@ -273,7 +275,9 @@
     answer = await send_request(stopping, "/deep/a", "late", remaining_ms=2000)
     assert answer.status == 503
     assert loop.time() - started < 0.1
-    assert not any("late" in instance.backend.ran for instance in mesh.instances)
+    assert not any(
+        "late" in instance.backend.executed_request_ids for instance in mesh.instances
+    )
     assert (await short_call).status != 503
 
 
@@ -286,7 +290,7 @@
     instance = mesh.instances[1]
     instance.node.apply_drains({"i-elsewhere": instance.backend.start_time_ms + 1000})
     instance.backend.state = "draining"
-    assert await instance.backend.report() == 200
+    assert await instance.backend.report_status() == 200
     assert instance.node.backend.instance == ""
 
 
@@ -297,7 +301,7 @@
     instance = mesh.instances[1]
     instance.backend.state = "draining"
     instance.backend._sequence = 0
-    assert await instance.backend.report() == 200
+    assert await instance.backend.report_status() == 200
     assert instance.node.backend.instance == ""
 
 
@@ -373,7 +377,10 @@
     monkeypatch.setattr(peer, "read_age_clock", lambda: read_age_clock() - 5.0)
     answer = await send_request(mesh.instances[0], "/once/a", "held-up", method="POST")
     assert answer.status == 503
-    assert not any("held-up" in instance.backend.ran for instance in mesh.instances)
+    assert not any(
+        "held-up" in instance.backend.executed_request_ids
+        for instance in mesh.instances
+    )
 
 
 async def test_delayed_first_call_on_a_stream_does_not_run(
@@ -388,4 +395,4 @@
             mesh.instances[0], "/once/a", f"first-{number}", method="POST"
         )
         assert answer.status == 503
-    assert not any(instance.backend.ran for instance in mesh.instances)
+    assert not any(instance.backend.executed_request_ids for instance in mesh.instances)
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -21,7 +21,10 @@
 
 def count_executions(mesh: Mesh, request_id: str) -> int:
     """Return how many times backend servers ran a request."""
-    return sum(instance.backend.ran.count(request_id) for instance in mesh.instances)
+    return sum(
+        instance.backend.executed_request_ids.count(request_id)
+        for instance in mesh.instances
+    )
 
 
 async def test_a_request_reaches_the_service_of_its_route(mesh: Mesh):
@@ -45,7 +48,7 @@
     assert (await send_request(front, "/deep/a", key="stranger")).status == 401
     assert (await send_request(front, "/deep/a", key=None)).status == 401
     assert (await send_request(front, "/nowhere/a")).status == 404
-    assert not any(instance.backend.ran for instance in mesh.instances)
+    assert not any(instance.backend.executed_request_ids for instance in mesh.instances)
     assert (await send_request(front, "/inner/a", key=None)).status == 200
 
 
@@ -56,15 +59,15 @@
     """
     deep = mesh.instances[1]
     mesh.instances[2].backend.state = "draining"
-    await mesh.instances[2].backend.report()
+    await mesh.instances[2].backend.report_status()
     backend = deep.backend
 
     def answer_twice(request: Request, headers: dict[str, str]) -> Reply:
         request_id = headers["x-primroseglade-request-id"]
-        valid = backend.build_answer(request_id, request_id.encode())
+        valid = backend.build_response(request_id, request_id.encode())
         if request_id != "second":
             return valid
-        stray = backend.build_answer("first", b"stray")
+        stray = backend.build_response("first", b"stray")
         length = b"Content-Length: %d\r\n\r\n" % len(stray.body)
         two_answers = stray.head + length + stray.body + valid.head
         length = b"Content-Length: %d\r\n\r\n" % len(valid.body)
@@ -96,7 +99,7 @@
         request_id = f"safe-{number}"
         answer = await send_request(mesh.instances[0], "/deep/a", request_id)
         assert answer.status == 200
-        assert healthy.ran.count(request_id) == 1
+        assert healthy.executed_request_ids.count(request_id) == 1
         assert count_executions(mesh, request_id) <= 2
     for number in range(12):
         request_id = f"once-{number}"
@@ -210,7 +213,7 @@
     def record_body(request: Request, headers: dict[str, str]) -> Reply:
         received.append(request.body)
         backend = mesh.instances[1].backend
-        return backend.build_answer(headers["x-primroseglade-request-id"], b"ok")
+        return backend.build_response(headers["x-primroseglade-request-id"], b"ok")
 
     for instance in mesh.instances[1:]:
         instance.backend.answer = record_body
@@ -255,7 +258,7 @@
     answer = await asyncio.wait_for(reader.read(), 2.0)
     assert answer.startswith((b"HTTP/1.1 400", b"HTTP/1.1 431"))
     writer.close()
-    assert not any(instance.backend.ran for instance in mesh.instances)
+    assert not any(instance.backend.executed_request_ids for instance in mesh.instances)
 
 
 def test_free_addresses_differ():
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -4,15 +4,15 @@
 
 import pytest
 
-from primroseglade.emulator.network import Cut
+from primroseglade.emulator.network import NetworkPartition
 from primroseglade.emulator.rate_plays import (
     add_callers,
-    count_allowed,
+    CallOutcomes,
     count_ideal,
+    count_tolerated_calls,
     Demand,
-    LEAD_SECONDS,
-    Play,
-    play_workspace,
+    simulate_workspace,
+    WARM_UP_SECONDS,
 )
 from primroseglade.emulator.rate_scenarios import (
     freeze_holders,
@@ -27,9 +27,9 @@
 from .rates import OneHolder
 
 
-def assert_rate_kept(play: Play, rate: float) -> None:
+def assert_rate_kept(play: CallOutcomes, rate: float) -> None:
     """Check that no window has more admitted calls than operators tolerate."""
-    assert play.find_worst_window() <= count_allowed(rate, rate)
+    assert play.get_max_calls_per_window() <= count_tolerated_calls(rate, rate)
 
 
 @pytest.mark.parametrize(
@@ -40,7 +40,7 @@
     nodes: int, rate: float, times: float
 ):
     """Guards against many nodes spending the same tokens when calls begin."""
-    play = play_workspace(nodes, rate, Demand(times), 12.0, seed=1)
+    play = simulate_workspace(nodes, rate, Demand(times), 12.0, seed=1)
     assert_rate_kept(play, rate)
     assert len(play.admitted) >= 0.75 * rate * 12.0
 
@@ -61,7 +61,7 @@
     nodes: int, rate: float, times: float, seed: int
 ):
     """Guards against all nodes spending the same tokens when demand rises suddenly."""
-    play = play_workspace(nodes, rate, Demand(1.1, (7.0, times)), 14.0, seed)
+    play = simulate_workspace(nodes, rate, Demand(1.1, (7.0, times)), 14.0, seed)
     assert_rate_kept(play, rate)
 
 
@@ -76,8 +76,8 @@
 ):
     """Guards against each half of a split fleet exceeding its part of the rate."""
     demand = Demand(1.06, (rise_at, 7.5))
-    cuts = [Cut(*partition, sides)]
-    play = play_workspace(14, 147.0, demand, 18.0, seed, cuts=cuts)
+    partitions = [NetworkPartition(*partition, sides)]
+    play = simulate_workspace(14, 147.0, demand, 18.0, seed, partitions=partitions)
     assert_rate_kept(play, 147.0)
     ideal = count_ideal(play.arrivals, 147.0, 147.0)
     assert len(play.admitted) >= 0.8 * ideal
@@ -87,7 +87,7 @@
     """Return a function that schedules an event twice around the rise of demand."""
 
     def inject_faults(fleet: RateFleet) -> None:
-        for at in (LEAD_SECONDS + 6.0, LEAD_SECONDS + 6.5):
+        for at in (WARM_UP_SECONDS + 6.0, WARM_UP_SECONDS + 6.5):
             fleet.simulation.schedule(at, lambda: event(fleet))
 
     return inject_faults
@@ -103,7 +103,7 @@
     resumed, or restarted twice within a second.
     """
     demand = Demand(3.0, (5.5, 7.5))
-    play = play_workspace(
+    play = simulate_workspace(
         nodes, rate, demand, 16.0, seed, inject_faults=schedule_at_rise(event)
     )
     assert_rate_kept(play, rate)
@@ -112,14 +112,14 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_a_small_rate_is_kept_by_many_nodes(seed: int):
     """Guards against many nodes that exceed a small rate by a few calls each."""
-    play = play_workspace(78, 20.0, Demand(4.5), 12.0, seed)
+    play = simulate_workspace(78, 20.0, Demand(4.5), 12.0, seed)
     assert_rate_kept(play, 20.0)
 
 
 @pytest.mark.parametrize("nodes", [18, 88])
 def test_a_workspace_within_its_rate_is_not_refused(nodes: int):
     """Guards against refusing calls at the usual load of 60 % of the rate."""
-    play = play_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
+    play = simulate_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
 
 
@@ -128,7 +128,7 @@
     nodes: int, rate: float
 ):
     """Guards against refusing calls while a holder in another zone has tokens."""
-    play = play_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
+    play = simulate_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
     assert len(play.admitted) >= 0.999 * count_ideal(play.arrivals, rate, rate)
 
 
@@ -137,7 +137,9 @@
     """Guards against refusing all calls of a workspace whose burst is so small that
     holders have to borrow fractions to get a whole token.
     """
-    plays = [play_workspace(nodes, 2.0, Demand(0.9), 16.0, seed) for seed in (1, 2, 3)]
+    plays = [
+        simulate_workspace(nodes, 2.0, Demand(0.9), 16.0, seed) for seed in (1, 2, 3)
+    ]
     ideal = sum(count_ideal(play.arrivals, 2.0, 2.0) for play in plays)
     assert sum(len(play.admitted) for play in plays) >= 0.95 * ideal
 
@@ -147,7 +149,7 @@
     fleet = RateFleet([n % 6 for n in range(30)], seed=1)
     tenant = Tenant("north", 1, 60.0, 60.0)
     zone_nodes = [n for n in range(30) if n % 6 == 2]
-    play = add_callers(fleet, tenant, Demand(0.9), LEAD_SECONDS, 20.0, zone_nodes)
+    play = add_callers(fleet, tenant, Demand(0.9), WARM_UP_SECONDS, 20.0, zone_nodes)
     fleet.simulation.run(20.0)
     assert len(play.admitted) >= 0.99 * count_ideal(play.arrivals, 60.0, 60.0)
 
@@ -159,7 +161,7 @@
     """Guards against refusing most calls in the first seconds after a restart of all
     nodes, when no holder has any tokens stored.
     """
-    play = play_workspace(nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False)
+    play = simulate_workspace(nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False)
     calls = len(play.arrivals)
     assert len(play.admitted) >= 0.75 * calls
     assert sum(now < 1.0 for now in play.admitted) >= 0.5 * calls / 3.0
@@ -171,7 +173,7 @@
     after a restart of all nodes, until each holder has accrued a whole token.
     """
     plays = [
-        play_workspace(nodes, rate, Demand(0.65), 2.0, seed, first_start=False)
+        simulate_workspace(nodes, rate, Demand(0.65), 2.0, seed, first_start=False)
         for seed in range(1, 11)
     ]
     calls = sum(len(play.arrivals) for play in plays)
@@ -186,11 +188,11 @@
     def inject_faults(fleet: RateFleet) -> None:
         for at in (6.0, 7.5):
             fleet.simulation.schedule(
-                LEAD_SECONDS + at,
+                WARM_UP_SECONDS + at,
                 lambda: [fleet.kill(number, 0.3) for number in range(fleet.size)],
             )
 
-    play = play_workspace(
+    play = simulate_workspace(
         14, rate, Demand(7.5), 14.0, seed, inject_faults=inject_faults
     )
     assert_rate_kept(play, rate)
@@ -201,7 +203,7 @@
     """Guards against a second burst for workspaces that spent theirs just before the
     whole fleet was restarted.
     """
-    play = play_workspace(
+    play = simulate_workspace(
         nodes, rate, Demand(4.5), WINDOW_SECONDS, seed=2, first_start=False
     )
     assert len(play.admitted) <= rate * WINDOW_SECONDS * 1.1 + 20
@@ -209,7 +211,7 @@
 
 def test_a_workspace_a_little_over_its_rate_may_use_the_tolerance():
     """Guards against refusing calls beyond the rate that operators tolerate."""
-    play = play_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
+    play = simulate_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
     assert len(play.admitted) >= 0.98 * len(play.arrivals)
     assert_rate_kept(play, 100.0)
 
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from primroseglade.emulator.network import Cut
+from primroseglade.emulator.network import NetworkPartition
 from primroseglade.emulator.rate_plays import (
-    LEAD_SECONDS,
+    WARM_UP_SECONDS,
 )
 from primroseglade.emulator.rate_scenarios import (
     isolate_nodes,
@@ -90,8 +90,8 @@
     """Guards against two holders of one share while nodes are cut off, killed twice
     within a second, and frozen for five seconds.
     """
-    cut = Cut(LEAD_SECONDS, LEAD_SECONDS + 5.0, sides)
-    fleet = RateFleet([n % 6 for n in range(nodes)], seed=1, cuts=[cut])
+    partition = NetworkPartition(WARM_UP_SECONDS, WARM_UP_SECONDS + 5.0, sides)
+    fleet = RateFleet([n % 6 for n in range(nodes)], seed=1, partitions=[partition])
     simulation = fleet.simulation
 
     def inject_faults() -> None:
@@ -113,9 +113,9 @@
         shares.append(sum(node.leases.share for node in running))
         simulation.schedule(now + 0.02, sample_shares)
 
-    simulation.schedule(LEAD_SECONDS + 2.0, inject_faults)
-    simulation.schedule(LEAD_SECONDS + 2.5, inject_faults)
+    simulation.schedule(WARM_UP_SECONDS + 2.0, inject_faults)
+    simulation.schedule(WARM_UP_SECONDS + 2.5, inject_faults)
     simulation.schedule(0.0, sample_shares)
-    simulation.run(LEAD_SECONDS + 14.0)
+    simulation.run(WARM_UP_SECONDS + 14.0)
     assert max(shares) <= 1.0 + 1e-9
     assert shares[-1] == pytest.approx(1.0)
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -16,19 +16,19 @@
 from primroseglade.observe.metrics import Metrics
 from primroseglade.observe.traces import TraceParent
 from primroseglade.proto import control_pb2 as pb
-from primroseglade.stand_ins.backend import Behaviour
+from primroseglade.stand_ins.backend import BackendBehavior
 from primroseglade.stand_ins.fleet import EmbeddedFleet
 from primroseglade.verdicts import Reason, Refusal, Verdict
 
-from .helpers import build_document, FAST, KEY
+from .helpers import build_document, FAST_SETTINGS, KEY
 
 
 @contextlib.asynccontextmanager
-async def run_fleet(zones: str = "ab", settings=FAST, **behaviour):
+async def run_fleet(zones: str = "ab", settings=FAST_SETTINGS, **behavior):
     async with EmbeddedFleet(settings) as fleet:
         await fleet.publish(**build_document(tuple(sorted(set(zones)))))
         for zone in zones:
-            await fleet.add(zone, "archive", Behaviour(**behaviour))
+            await fleet.add(zone, "archive", BackendBehavior(**behavior))
         await fleet.wait_ready()
         yield fleet
 
@@ -116,11 +116,11 @@
                 async with session.get(url, headers=headers) as response:
                     assert response.status == 403
                     assert json.loads(await response.read())["reason"] == reason
-        assert not fleet.places[0].backend.seen
+        assert not fleet.instances[0].backend.seen
 
 
 async def test_operator_listener_requires_its_token():
-    settings = FAST | {"operator_token": "a token for operators"}
+    settings = FAST_SETTINGS | {"operator_token": "a token for operators"}
     async with run_fleet("a", settings) as fleet:
         url = f"http://{fleet.nodes[0].listeners['operator']}/status"
         async with aiohttp.ClientSession() as session:
