--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -129,7 +129,7 @@
         self._newest_drained_start_ms = 0
         self._draining = True
         self._unavailable = False
-        self._stopping = False
+        self._node_stopping = False
         self._cold_until = 0.0
         self._failure_ratio = 0.0
         self._pool = ConnectionPool(address, CONNECT_TIMEOUT_SECONDS)
@@ -147,7 +147,7 @@
             self._report is None
             or self._draining
             or self._unavailable
-            or self._stopping
+            or self._node_stopping
         ):
             return ""
         return self._report.instance
@@ -202,7 +202,7 @@
 
     def stop(self) -> None:
         """Accept no further calls, because this node is stopping."""
-        self._stopping = True
+        self._node_stopping = True
 
     def is_stale(self, report: StatusReport) -> bool:
         """Return whether a report is outdated by a later report or drain."""
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -57,8 +57,8 @@
         self._calls: dict[str, float] = {}
         # Sums over all intervals, by pair of routes (a, b): runs of a times runs of b,
         # and runs of a times calls to b. All sums decay with the age of the interval.
-        self._runs_runs: dict[tuple[str, str], float] = {}
-        self._runs_calls: dict[tuple[str, str], float] = {}
+        self._run_run_products: dict[tuple[str, str], float] = {}
+        self._run_call_products: dict[tuple[str, str], float] = {}
         self._estimates: dict[str, CallRatios] = {}
 
     def record_start(self, route: str, now: float) -> None:
@@ -99,19 +99,26 @@
         return interval
 
     def _add_interval(self, interval: _Interval) -> None:
-        for sums in (self._runs, self._calls, self._runs_runs, self._runs_calls):
+        for sums in (
+            self._runs,
+            self._calls,
+            self._run_run_products,
+            self._run_call_products,
+        ):
             _decay(sums)
         self._total_weight = self._total_weight * INTERVAL_DECAY_RATIO + 1.0
         for route, runs in interval.runs.items():
             self._runs[route] = self._runs.get(route, 0.0) + runs
             for other, other_runs in interval.runs.items():
                 pair = (route, other)
-                self._runs_runs[pair] = (
-                    self._runs_runs.get(pair, 0.0) + runs * other_runs
+                self._run_run_products[pair] = (
+                    self._run_run_products.get(pair, 0.0) + runs * other_runs
                 )
             for called, calls in interval.calls.items():
                 pair = (route, called)
-                self._runs_calls[pair] = self._runs_calls.get(pair, 0.0) + runs * calls
+                self._run_call_products[pair] = (
+                    self._run_call_products.get(pair, 0.0) + runs * calls
+                )
         for called, calls in interval.calls.items():
             self._calls[called] = self._calls.get(called, 0.0) + calls
 
@@ -149,14 +156,14 @@
         while fitted_routes:
             matrix = [
                 [
-                    self._runs_runs.get((row_route, other), 0.0)
+                    self._run_run_products.get((row_route, other), 0.0)
                     + ridge * (row_route == other)
                     for other in fitted_routes
                 ]
                 for row_route in fitted_routes
             ]
             right_side = [
-                self._runs_calls.get((row_route, called), 0.0) + ridge * average
+                self._run_call_products.get((row_route, called), 0.0) + ridge * average
                 for row_route in fitted_routes
             ]
             solved = dict(zip(fitted_routes, solve(matrix, right_side), strict=True))
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -7,7 +7,7 @@
 # the latency tolerance (`Route.latency_tolerance`). Bytes between zones are expensive,
 # and callers do not notice a wait of a small part of the tolerance, even for several
 # calls in sequence.
-CROSS_ZONE_BASE_COST_MS = 2.0
+CROSS_ZONE_BASE_SURCHARGE_MS = 2.0
 CROSS_ZONE_TOLERANCE_RATIO = 0.1
 # Further cost for each kilobyte of the call and its answer, as a part of the latency
 # tolerance. Because of it, a zone that is short of backend servers sends its small
@@ -25,7 +25,7 @@
 COST_JITTER_RATIO = 0.1
 # Random variation of the cross-zone cost from call to call. With it, nodes of a zone
 # that fills up send a growing part of their calls elsewhere, instead of all at once.
-CROSS_ZONE_COST_JITTER_RATIO = 0.15
+CROSS_ZONE_SURCHARGE_JITTER_RATIO = 0.15
 # Fraction of calls sent to a random backend server with spare capacity, whatever its
 # cost. Without them, a backend server that was slow or failing would get no calls, and
 # its recovery would go unnoticed.
@@ -92,7 +92,7 @@
         CROSS_ZONE_TOLERANCE_RATIO
         + size_bytes / 1000 * CROSS_ZONE_TOLERANCE_RATIO_PER_KB
     )
-    return CROSS_ZONE_BASE_COST_MS + tolerance_ratio * latency_tolerance * 1000
+    return CROSS_ZONE_BASE_SURCHARGE_MS + tolerance_ratio * latency_tolerance * 1000
 
 
 def compute_failure_cost_ms(latency_target: float) -> float:
@@ -142,7 +142,7 @@
 def choose(
     same_zone_candidates: list[Candidate],
     list_cross_zone_candidates: Callable[[], list[Candidate]],
-    cross_zone_cost_ms: float,
+    cross_zone_surcharge_ms: float,
     min_downstream_ms: float,
     failure_cost_ms: float,
     rng: random.Random,
@@ -153,7 +153,7 @@
         same_zone_candidates: Candidates in this node's availability zone.
         list_cross_zone_candidates: Returns the candidates in other zones. It is called
             only if a candidate there could be better.
-        cross_zone_cost_ms: Result of `compute_cross_zone_cost_ms`.
+        cross_zone_surcharge_ms: Result of `compute_cross_zone_surcharge_ms`.
         min_downstream_ms: Lowest cost of the downstream calls over all zones, this one
             included; a lower bound for candidates in other zones.
         failure_cost_ms: Result of `compute_failure_cost_ms`.
@@ -171,20 +171,20 @@
     best_same_zone, same_zone_cost_ms = _find_cheapest(
         same_zone_candidates, failure_cost_ms, rng
     )
-    jittered_cross_zone_cost_ms = cross_zone_cost_ms * rng.uniform(
-        1.0 - CROSS_ZONE_COST_JITTER_RATIO, 1.0 + CROSS_ZONE_COST_JITTER_RATIO
+    jittered_surcharge_ms = cross_zone_surcharge_ms * rng.uniform(
+        1.0 - CROSS_ZONE_SURCHARGE_JITTER_RATIO, 1.0 + CROSS_ZONE_SURCHARGE_JITTER_RATIO
     )
     if (
         best_same_zone is not None
-        and same_zone_cost_ms <= jittered_cross_zone_cost_ms + min_downstream_ms
+        and same_zone_cost_ms <= jittered_surcharge_ms + min_downstream_ms
     ):
         return best_same_zone
-    best_cross_zone, other_zone_cost_ms = _find_cheapest(
+    best_cross_zone, best_cross_zone_cost_ms = _find_cheapest(
         list_cross_zone_candidates(), failure_cost_ms, rng
     )
     if best_same_zone is None or (
         best_cross_zone is not None
-        and other_zone_cost_ms + jittered_cross_zone_cost_ms < same_zone_cost_ms
+        and best_cross_zone_cost_ms + jittered_surcharge_ms < same_zone_cost_ms
     ):
         return best_cross_zone
     return best_same_zone
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -15,7 +15,7 @@
 GRAPH_REBUILD_SECONDS = 1.0
 # Interval between log lines of the admission levels, which are updated more often. They
 # are logged while any level is below 1, and once more when all are back at 1.
-LEVELS_LOG_INTERVAL_SECONDS = 1.0
+ADMISSION_LOG_INTERVAL_SECONDS = 1.0
 
 
 class LoadMonitor:
@@ -55,8 +55,8 @@
         self._call_ratios = call_ratios
         self._policies = policies
         self._journal = journal
-        self._last_log_had_levels = False
-        self._levels_logged_at = 0.0
+        self._shedding_at_last_log = False
+        self._admission_logged_at = 0.0
         self._graph_built_at = 0.0
         #: Average number of calls in flight at the local backend server over the last
         #: tick of the periodic scheduler.
@@ -66,7 +66,7 @@
         """Update everything; called at every tick of the periodic scheduler."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
-        self._log_levels(survey, now)
+        self._log_admission_levels(survey, now)
         self._zone_costs.refresh(survey.min_costs_ms)
         if now - self._graph_built_at > GRAPH_REBUILD_SECONDS:
             self._graph_built_at = now
@@ -87,17 +87,17 @@
             survey.demand[service] = survey.demand.get(service, 0.0) + calls
         return survey
 
-    def _log_levels(self, survey: Survey, now: float) -> None:
+    def _log_admission_levels(self, survey: Survey, now: float) -> None:
         admission_levels = self._admission.admission_levels
-        if not admission_levels and not self._last_log_had_levels:
+        if not admission_levels and not self._shedding_at_last_log:
             return
         if (
-            now - self._levels_logged_at < LEVELS_LOG_INTERVAL_SECONDS
+            now - self._admission_logged_at < ADMISSION_LOG_INTERVAL_SECONDS
             and admission_levels
         ):
             return
-        self._levels_logged_at = now
-        self._last_log_had_levels = bool(admission_levels)
+        self._admission_logged_at = now
+        self._shedding_at_last_log = bool(admission_levels)
         loads = survey.loads
         self._journal.emit(
             ADMISSION_LEVELS,
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -25,7 +25,7 @@
     # Fraction of the tolerated calls that is granted as initial tokens after a restart.
     RESTART_TOKENS_RATIO = 0.2
     # Fraction of the raise that is added to the burst; the rest is added to the rate.
-    BURST_RAISE_RATIO = 0.5
+    BURST_SHARE_OF_RAISE = 0.5
 
     __slots__ = ("_overshoot_ratio", "_slack_calls", "_window")
 
@@ -57,8 +57,9 @@
         extra_calls = tolerated_calls * self.LIMIT_RAISE_RATIO
         return TokenLimits(
             tenant.name,
-            tenant.rate + extra_calls * (1.0 - self.BURST_RAISE_RATIO) / self._window,
-            tenant.burst + extra_calls * self.BURST_RAISE_RATIO,
+            tenant.rate
+            + extra_calls * (1.0 - self.BURST_SHARE_OF_RAISE) / self._window,
+            tenant.burst + extra_calls * self.BURST_SHARE_OF_RAISE,
             version,
             tolerated_calls * self.RESTART_TOKENS_RATIO,
         )
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -26,7 +26,7 @@
 # seconds.
 CONFIGURATION_PROPAGATION_SECONDS = 1.5
 # Retry-After of a node that is stopping: its process is restarted after a second.
-DRAINING_RETRY_AFTER_SECONDS = 1.0
+STOPPING_RETRY_AFTER_SECONDS = 1.0
 # A request with less time left cannot be answered before its deadline.
 MIN_REMAINING_SECONDS = 0.002
 # Timeout of a request whose caller sets none.
@@ -167,7 +167,7 @@
             fields.timeout if fields.timeout is not None else DEFAULT_TIMEOUT_SECONDS
         )
         deadline = request.arrived_at + min(timeout, route.timeout)
-        self._check_stop_time(request.arrived_at, deadline)
+        self._check_ends_before_stop(request.arrived_at, deadline)
         if deadline - time.monotonic() < MIN_REMAINING_SECONDS:
             raise not_run(Reason.OVERLOADED, "too little time before the deadline")
         if tenant is not None:
@@ -259,10 +259,10 @@
         self._refuse_after = refuse_after
         self._stops_at = stops_at
 
-    def _check_stop_time(self, arrived_at: float, deadline: float) -> None:
+    def _check_ends_before_stop(self, arrived_at: float, deadline: float) -> None:
         if arrived_at > self._refuse_after and deadline > self._stops_at:
             detail = "this node stops before the request's deadline"
-            raise not_run(Reason.DRAINING, detail, DRAINING_RETRY_AFTER_SECONDS)
+            raise not_run(Reason.DRAINING, detail, STOPPING_RETRY_AFTER_SECONDS)
 
     def _find_route(self, request: Request, fields: CallerFields) -> Route:
         policies = self._policies
--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -25,15 +25,15 @@
 
     Args:
         graph: Provides the direct downstream calls of each route.
-        get_cross_zone_cost_ms: Returns the cross-zone cost of a call, in milliseconds,
+        get_cross_zone_surcharge_ms: Returns the cross-zone surcharge of a call in ms,
             for a route's name.
     """
 
     def __init__(
-        self, graph: CallGraph, get_cross_zone_cost_ms: Callable[[str], float]
+        self, graph: CallGraph, get_cross_zone_surcharge_ms: Callable[[str], float]
     ):
         self._graph = graph
-        self._get_cross_zone_cost_ms = get_cross_zone_cost_ms
+        self._get_cross_zone_surcharge_ms = get_cross_zone_surcharge_ms
         self._min_costs: dict[str, ZoneCostsMs] = {}
         self._downstream_costs: dict[RouteService, ZoneCostsMs] = {}
 
@@ -97,7 +97,7 @@
         if not total_ms_by_zone:
             # No zone has a backend server of the service, so no zone is better.
             return 0.0
-        cross_zone_ms = min(total_ms_by_zone.values()) + self._get_cross_zone_cost_ms(
-            route_service[0]
-        )
+        cross_zone_ms = min(
+            total_ms_by_zone.values()
+        ) + self._get_cross_zone_surcharge_ms(route_service[0])
         return min(total_ms_by_zone.get(zone, cross_zone_ms), cross_zone_ms)
