--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -14,7 +14,7 @@
 
 # Fraction of a backend server's slots that is used. A backend server slows down when
 # nearly all of its slots are taken, so that using the last ones reduces its throughput.
-USED_SLOT_RATIO = 15 / 16
+CONCURRENCY_LIMIT_RATIO = 15 / 16
 # Queued calls are sorted by arrival time plus this many latency targets. A call with a
 # short target thus overtakes calls with longer targets, unless they have waited long.
 LATENCY_TARGET_WEIGHT = 3.0
@@ -108,7 +108,7 @@
 
     def resize(self, slots: int) -> None:
         """Set the number of slots, and start queued calls if there are more."""
-        self._concurrency_limit = max(1, int(slots * USED_SLOT_RATIO))
+        self._concurrency_limit = max(1, int(slots * CONCURRENCY_LIMIT_RATIO))
         self._start_queued_calls()
 
     def take_average_in_flight(self) -> float:
