--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -21,15 +21,17 @@
 from .model import BackendState, StatusReport
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-# A call with less time until its deadline is not sent.
+# A call with less time until its deadline is not sent: its answer would be too late.
 MIN_REMAINING_SECONDS = 0.002
 # Weight of a new outcome in the moving average, which covers about 30 calls.
 FAILURE_SMOOTHING = 1 / 32
 # A call that got no answer and is canceled after more than this many average service
-# times counts as failed: few calls run that long.
+# times counts as a failure of the backend server: few calls run that long. Its slot is
+# given to another call earlier (`MAX_SLOT_SERVICE_TIMES`).
 UNANSWERED_SERVICE_TIMES = 4.0
-# Fraction of its slots with which a cold backend server is announced to other nodes.
-# According to operators, it works at half its speed until it has warmed up.
+# Fraction of the concurrency limit that is announced to other nodes while the backend
+# server is cold. According to operators, it works at half its speed until it has warmed
+# up.
 COLD_CAPACITY_RATIO = 0.5
 # Maximum delay of a status report. The first report of a backend server may arrive this
 # long after a request to drain it.
@@ -37,7 +39,7 @@
 
 
 class BackendAnswer:
-    """The parts of a backend server's answer that the platform's adapter interprets.
+    """The head of a backend server's answer, as parsed by the platform's adapter.
 
     Args:
         head: Status line and headers to forward.
@@ -73,7 +75,7 @@
 
 
 class ServedAnswer:
-    """The answer that a call got from the backend server."""
+    """The backend server's answer to a call: status, parsed head and body."""
 
     __slots__ = ("answer", "body", "status")
 
@@ -118,8 +120,8 @@
         self._journal = journal
         self._broadcast_state = broadcast_state
         self._report: StatusReport | None = None
-        # Start time in ms of the drained incarnation, by instance ID; 0 while neither
-        # the drain request nor a report has told it.
+        # Start time in ms of the drained incarnation, by instance ID; 0 until a drain
+        # request or a report names it.
         self._drained_start_times: dict[str, int] = {}
         # By instance ID, the time until which a drain request without a start time
         # applies to the next incarnation that is reported.
@@ -154,7 +156,10 @@
 
     @property
     def slots(self) -> int:
-        """Slots to announce to other nodes; fewer while the backend server is cold."""
+        """Slots to announce to other nodes: the queue's concurrency limit.
+
+        Only a part of the limit is announced while the backend server is cold.
+        """
         if time.monotonic() < self._cold_until:
             return max(1, int(self.queue.concurrency_limit * COLD_CAPACITY_RATIO))
         return self.queue.concurrency_limit
@@ -322,8 +327,8 @@
             completed = True
             return served
         except asyncio.CancelledError:
-            # The caller gave up. If that took far longer than the usual service time,
-            # the answer is considered lost: no error reports such a loss.
+            # The caller gave up. If the call has run far longer than usual, this counts
+            # as a failure of the backend server: a lost answer raises no error.
             elapsed = time.monotonic() - started
             if elapsed > UNANSWERED_SERVICE_TIMES * self.queue.service_seconds:
                 self._record_outcome(failed=True)
@@ -344,10 +349,10 @@
     def _mark_unavailable(self) -> None:
         """Accept no calls for a backend server that has crashed, and announce it.
 
-        No report tells of a crash. Without the announcement, other nodes would keep
-        sending calls here, which fail before they are retried elsewhere, and would
-        count the slots as capacity for admission. The next report makes the backend
-        server available again. If that report was sent before the crash, the next call
+        A crashed backend server sends no report. Without the announcement, other nodes
+        would keep sending calls here, which fail before they are retried elsewhere, and
+        would count the slots as capacity for admission. The next report makes the
+        backend server available again. If it was sent before the crash, the next call
         marks the backend server unavailable once more.
         """
         if self._unavailable:
@@ -360,7 +365,7 @@
         self._broadcast_state()
 
     def _check_instance(self, call: Call) -> None:
-        """Refuse a call that was meant for another instance, or if none takes calls."""
+        """Refuse a call for another instance, or any call if none is accepted."""
         if not self.instance:
             raise not_run(Reason.DRAINING, "the backend server accepts no calls")
         if call.instance != self.instance:
@@ -401,7 +406,13 @@
         return self._classify_answer(answer, parsed)
 
     def _classify_answer(self, answer: Response, parsed: BackendAnswer) -> ServedAnswer:
-        """Return the answer, or raise if it is a refusal or carries no signature."""
+        """Return the answer of the backend server if it is valid.
+
+        Answers with a status of 300 or above are valid without a signature.
+
+        Raises:
+            Refusal: The answer is a refusal, or its signature is missing.
+        """
         if parsed.not_executed or answer.status == 421:
             self._record_outcome(failed=True)
             if answer.status == 421:
--- a/primroseglade/sidecar/backend_queue.py
+++ b/primroseglade/sidecar/backend_queue.py
@@ -12,8 +12,8 @@
 
 from ..verdicts import not_run, Reason
 
-# Fraction of a backend server's slots that is used. A backend server slows down when
-# nearly all of its slots are taken, so that using the last ones reduces its throughput.
+# Concurrency limit, as a fraction of the backend server's slots. A backend server slows
+# down when nearly all of its slots are taken: using the last ones reduces throughput.
 CONCURRENCY_LIMIT_RATIO = 15 / 16
 # Queued calls are sorted by arrival time plus this many latency targets. A call with a
 # short target thus overtakes calls with longer targets, unless they have waited long.
@@ -22,22 +22,23 @@
 SERVICE_TIME_SMOOTHING = 1 / 32
 # Assumed service time before the first answer.
 INITIAL_SERVICE_SECONDS = 0.03
-# The slot of an unanswered call is reclaimed after this many times the average service
-# time of answered calls: the answer may be lost and the backend server free. Few calls
-# run that long; if one does, the backend server itself queues the call that is sent in
-# its place.
+# The slot of an unanswered call is given to the next queued call after this many times
+# the average service time of answered calls: the answer may be lost and the backend
+# server free. Few calls run that long; if one does, the backend server itself queues
+# the next call. The unanswered call still waits for its answer. It counts as a failure
+# only if it is canceled much later (`UNANSWERED_SERVICE_TIMES` in `backend.py`).
 MAX_SLOT_SERVICE_TIMES = 2.0
-# Queue length per slot at which calls that are not nested are refused: early, while
-# another backend server or a retry can still serve them in time.
+# Queue length, as a multiple of the concurrency limit, at which calls that are not
+# nested are refused: early, while another backend server or a retry can still serve
+# them in time.
 MAX_QUEUED_PER_SLOT = 3.0
-# Queue length per slot at which nested calls are refused. Refusing them wastes the work
-# of the services above, so this limit is higher and only bounds memory.
+# The same for nested calls. Refusing them wastes the work of the services above, so
+# this value is higher and only bounds memory.
 MAX_NESTED_QUEUED_PER_SLOT = 30.0
-# A nested call, its wait included, may take up to its latency target, or up to this
-# many average service times if they are longer. A request makes several calls in
-# sequence: if each waited until its own deadline, together they would exceed the
-# request's, and a backend server with a long queue would only work on requests that
-# fail.
+# Maximum response time of a nested call, its wait included: its latency target, or this
+# many average service times if they are longer. A request makes several nested calls in
+# sequence. If each of them waited nearly until its deadline, the request would miss its
+# own, and a backend server with a long queue would only work on requests that fail.
 MAX_NESTED_RESPONSE_SERVICE_TIMES = 2.0
 
 
@@ -49,7 +50,8 @@
     instead of when its deadline is near.
 
     Args:
-        slots: Calls that the backend server can run concurrently.
+        slots: Calls that the backend server can run concurrently. The concurrency limit
+            is a fraction of them (`CONCURRENCY_LIMIT_RATIO`).
     """
 
     def __init__(self, slots: int):
@@ -70,7 +72,7 @@
         self._slot_acquired_at: dict[int, float] = {}
         self._reclaimed_slots: set[int] = set()
         self._has_measurement = False
-        # Calls in flight times seconds, summed since the start of the average.
+        # Integral of the calls in flight over time, since the start of the average.
         self._in_flight_integral = 0.0
         self._integrated_until = 0.0
         self._average_started_at = 0.0
@@ -78,7 +80,7 @@
 
     @property
     def concurrency_limit(self) -> int:
-        """Maximum number of calls that run concurrently."""
+        """Maximum number of concurrent calls: a fraction of the slots."""
         return self._concurrency_limit
 
     @property
@@ -107,7 +109,7 @@
         return self._slot_seconds
 
     def resize(self, slots: int) -> None:
-        """Set the number of slots, and start queued calls if there are more."""
+        """Set the number of slots, and start queued calls on any that are added."""
         self._concurrency_limit = max(1, int(slots * CONCURRENCY_LIMIT_RATIO))
         self._start_queued_calls()
 
@@ -141,7 +143,8 @@
             nested: Whether another backend server makes the call.
 
         Raises:
-            Refusal: The queue is full, or the call cannot meet its deadline; not run.
+            Refusal: The queue is full, or the call cannot meet its deadline; the
+                verdict is `NOT_RUN`.
         """
         now = time.monotonic()
         self._integrate_in_flight(now)
@@ -174,7 +177,7 @@
         entry = (sort_time, next(self._ids), now + remaining, waiter)
         heapq.heappush(self._waiters, entry)
         self._queued += 1
-        # Earlier than the caller's timeout, which cannot tell whether the call ran.
+        # Before the caller times out: a timeout does not show whether the call ran.
         refuse_at = now + remaining - self._service_seconds / 2
         timer = loop.call_at(refuse_at, self._refuse_expired, waiter)
         try:
@@ -197,9 +200,9 @@
             slot: ID that `acquire` returned.
             seconds: Seconds since the call was started.
             completed: Whether the call got an answer. If not, its service time counts
-                only if it is above the average. If it never counted, a backend server
-                that is slower than its callers' timeouts, and so answers no call, would
-                look as fast as before.
+                only if it is above the average. If such times never counted, a backend
+                server that is slower than its callers' timeouts, and so answers no
+                call, would look as fast as before.
         """
         self._integrate_in_flight(time.monotonic())
         del self._slot_acquired_at[slot]
