--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -40,8 +40,8 @@
 # Bounds of the correction factor.
 MIN_CORRECTION_FACTOR = 0.4
 MAX_CORRECTION_FACTOR = 4.0
-# While the utilization is below the target range, load shedding does not start at a
-# level above this, which may be an error of the capacity estimate.
+# A computed level above this does not start load shedding while the utilization is
+# below the target range: the gap to 1 may just be an error of the capacity estimate.
 MAX_INITIAL_ADMISSION_LEVEL = 0.85
 # Fraction of the demand that is always admitted: without any calls, the recovery of a
 # service would go unnoticed.
@@ -49,8 +49,8 @@
 # Window in which demand is counted: long enough for each node to receive some requests,
 # short enough to notice a burst before queues are full.
 DEMAND_WINDOW_SECONDS = 1.0
-# If a request makes fewer calls than this to a service on average, it does not count
-# towards the service's demand and is not refused because of it.
+# A request that makes fewer calls than this to a service on average does not count
+# towards the service's demand and is not refused because of the service's overload.
 MIN_CALLS_PER_REQUEST = 0.05
 
 
@@ -68,9 +68,9 @@
     def __init__(self) -> None:
         #: Calls that wait for a slot, at all backend servers of the service together.
         self.queued = 0.0
-        # Two sums over backend servers: utilization times weight, and weight. Those
-        # without a known slot time are summed separately, for use while the slot time
-        # of no backend server is known.
+        # Sums over backend servers of utilization times weight, and of weight. Servers
+        # whose slot time is unknown have their own sums, used only until the first slot
+        # time is known.
         self._sums = [0.0, 0.0]
         self._sums_without_slot_time = [0.0, 0.0]
 
--- a/primroseglade/sidecar/deadlines.py
+++ b/primroseglade/sidecar/deadlines.py
@@ -1,15 +1,16 @@
 """Cancels calls that exceed their deadline, with one timer for all of them.
 
 `asyncio.timeout` creates a timer and three objects per call, although hardly any call
-reaches its deadline. Here a node wakes only for the earliest deadline.
+reaches its deadline. With one timer, a node wakes only for the earliest deadline.
 """
 
 import asyncio
 import math
 import time
 
-# Maximum delay from a call's deadline to its cancellation. Callers do not notice: they
-# measure in tenths of a second.
+# Maximum delay from a call's deadline to the sweep that cancels it. The delay lets one
+# sweep cancel several calls. Callers do not notice it: they measure in tenths of a
+# second.
 CANCEL_DELAY_SECONDS = 0.05
 
 
--- a/primroseglade/sidecar/load_monitor.py
+++ b/primroseglade/sidecar/load_monitor.py
@@ -58,12 +58,12 @@
         self._shedding_at_last_log = False
         self._admission_logged_at = 0.0
         self._graph_built_at = 0.0
-        #: Average number of calls in flight at the local backend server over the last
-        #: tick of the periodic scheduler.
+        #: Average number of calls in flight at the local backend server between the
+        #: last two ticks of the periodic scheduler.
         self.average_in_flight = 0.0
 
     def update(self, now: float) -> None:
-        """Update everything; called at every tick of the periodic scheduler."""
+        """Update admission levels, costs and graph; called at every scheduler tick."""
         survey = self._survey(now)
         self._admission.update(survey.loads, survey.demand, now)
         self._log_admission_levels(survey, now)
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -16,7 +16,7 @@
     Args:
         overshoot_ratio: Tolerated excess, as a fraction of the calls that rate and
             burst allow in a window.
-        slack_calls: Calls tolerated in a window in addition.
+        slack_calls: Further calls tolerated in a window.
         window: Length of the window in seconds.
     """
 
@@ -24,7 +24,7 @@
     LIMIT_RAISE_RATIO = 0.7
     # Fraction of the tolerated calls that is granted as initial tokens after a restart.
     RESTART_TOKENS_RATIO = 0.2
-    # Fraction of the raise that is added to the burst; the rest is added to the rate.
+    # Share of the raise that goes to the burst; the rest goes to the rate.
     BURST_SHARE_OF_RAISE = 0.5
 
     __slots__ = ("_overshoot_ratio", "_slack_calls", "_window")
--- a/primroseglade/sidecar/retry_budget.py
+++ b/primroseglade/sidecar/retry_budget.py
@@ -7,7 +7,8 @@
 # downstream calls a retry makes is an estimate, which lags behind changes of the call
 # graph.
 RETRY_RATIO_USED_FRACTION = 0.7
-# Fraction of the configured fixed number of retries that all nodes together use.
+# Fraction of the configured fixed number of retries that all nodes together use. The
+# rest is a margin, too.
 FIXED_RETRIES_USED_FRACTION = 0.6
 
 
@@ -41,8 +42,9 @@
         """Return whether a retry may be sent, and count it if so.
 
         A retry makes its downstream calls again, and these count as retries too: if a
-        request makes four calls to a service, one retry of the request brings that
-        service four retries. The budget of every service called must therefore suffice.
+        request makes four calls to a service, one retry of the request counts as four
+        retries to the service. The budget of every service called must therefore
+        suffice.
 
         Args:
             expected_calls: Calls to each service that the retry is expected to cause,
