--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -23,17 +23,18 @@
 from .zone_costs import ZoneCosts
 
 # Maximum number of nodes tried for a call that has reached no backend server. Under
-# overload all nodes refuse, and trying all of them would cost more than the work on the
+# overload all nodes refuse, and trying all of them would cost more than serving the
 # calls.
 MAX_NODES_TRIED = 3
 # Above this failure ratio of a service, nested calls to it (calls that a backend server
-# makes) are not retried, which leaves the retry budget to callers' own requests. A
-# request makes several nested calls, and fails if the retry of any of them fails.
+# makes) are not retried: a request makes several of them and fails if any one does, so
+# that retrying one rarely saves the request. The retry budget is left to callers' own
+# requests.
 NESTED_RETRY_MAX_FAILURE_RATIO = 0.2
-# Refusing a nested call wastes the work already done for its request. If no node takes
-# the call, it is tried again after this time, which doubles with each attempt.
+# Refusing a nested call wastes the work already done for its request. If no node can
+# take the call, it waits this long first, and twice as long each further time.
 NESTED_INITIAL_BACKOFF_SECONDS = 0.05
-# Maximum time that a nested call waits for a node that takes it. A node restarts in
+# Maximum time that a nested call waits for a node that can take it. A node restarts in
 # about a second.
 NESTED_MAX_WAIT_SECONDS = 1.5
 
@@ -108,7 +109,7 @@
 
     Attributes:
         tried: Names of the nodes that the call was sent to.
-        backends_reached: Attempts that reached a backend server.
+        backends_reached: Number of attempts that reached a backend server.
         last_reached_backend: Whether the last attempt reached a backend server.
         reason: Why the last attempt failed.
         verdict: Whether the call may have run, over all attempts.
@@ -233,9 +234,9 @@
     async def _find_candidate(
         self, call: OutgoingCall, attempts: "Attempts"
     ) -> Candidate | None:
-        """Return where to send the call next, or None if no node takes it.
+        """Return where to send the call next, or None if no node can take it.
 
-        Before its first attempt, a nested call waits until a node takes it.
+        Before its first attempt, a nested call waits for a node that can take it.
         """
         backoff = NESTED_INITIAL_BACKOFF_SECONDS
         remaining_wait = NESTED_MAX_WAIT_SECONDS
@@ -387,9 +388,9 @@
 def draw_retry_after(remaining: float, rng: random.Random) -> float:
     """Return the seconds after which a refused caller should retry.
 
-    Callers follow a Retry-After of up to a third of the time that remains until their
-    deadline, and are served in time if they retry early in that time. The result is
-    random, so that callers refused together do not retry together.
+    Callers follow a Retry-After of up to a third of the time left until their deadline.
+    The result is below this, so that the retry can be served in time, and random, so
+    that callers refused together do not retry together.
 
     Args:
         remaining: Seconds left until the caller's deadline.
--- a/primroseglade/sidecar/request_handler.py
+++ b/primroseglade/sidecar/request_handler.py
@@ -20,10 +20,10 @@
 from .quota import Quotas, TokenDecision
 from .retry_budget import RetryBudget
 
-# Shortest Retry-After of a refusal.
+# Minimum Retry-After of a refusal.
 MIN_RETRY_AFTER_SECONDS = 0.05
-# A new configuration reaches every connected node within this time. Users accept two
-# seconds.
+# A new configuration reaches every connected node within this time, less than the two
+# seconds that users accept.
 CONFIGURATION_PROPAGATION_SECONDS = 1.5
 # Retry-After of a node that is stopping: its process is restarted after a second.
 STOPPING_RETRY_AFTER_SECONDS = 1.0
@@ -63,7 +63,8 @@
     def render_request(self, request: Request, service: str, tenant: str) -> bytes:
         """Return the head to forward.
 
-        The node beside the backend server adds the remaining headers.
+        The node that runs the call adds the headers that depend on the attempt
+        (`BackendDialect.finish_request`).
         """
 
     def render_refusal(self, request_id: bytes, refusal: Refusal) -> Reply:
@@ -73,7 +74,7 @@
 class RequestHandler:
     """Handles requests at the address that callers and the backend server share.
 
-    A caller belongs to a workspace, which is represented by a `Tenant`.
+    A `Tenant` is a workspace; callers use the API keys that it holds.
 
     Args:
         service: Service of the backend server beside this node.
@@ -192,11 +193,12 @@
         """Return the call to send, if admission lets it pass.
 
         Raises:
-            Refusal: A service that the request depends on is overloaded; not run.
+            Refusal: A service that the request depends on is overloaded; the verdict is
+                `NOT_RUN`.
         """
         # A public route needs no key, because backend servers call it and have none.
-        # Callers use the same address: a caller's request on such a route cannot be
-        # told from a backend server's and counts as nested too.
+        # Callers use the same address: a caller's request on a public route looks like
+        # a call of the backend server, and therefore counts as nested too.
         nested = tenant is None and route.public
         now = time.monotonic()
         service = self._policies.routes.choose_service(route)
@@ -280,7 +282,7 @@
 
         Raises:
             Refusal: The key is missing or unknown, or the configuration is too old to
-                tell; not run.
+                tell; the verdict is `NOT_RUN`.
         """
         policy = self._policies.policy
         assert policy is not None
@@ -305,7 +307,7 @@
         """Take a rate-limit token of the workspace for one request.
 
         Raises:
-            Refusal: The workspace is over its rate; not run.
+            Refusal: The workspace is over its rate; the verdict is `NOT_RUN`.
         """
         decision = await self._request_token(tenant)
         if decision.granted:
