--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -3,8 +3,8 @@
 A run is one execution of a call by a backend server. Every node broadcasts how many
 calls its backend server makes per run of each route (`call_ratios.py`). Together these
 call ratios give the whole call tree of each route. With one tree for all routes of a
-service, an upload that makes no calls would be refused because look-ups at the same
-service call an overloaded one.
+service, uploads that make no calls would be refused if look-ups at the same service
+call a service that is overloaded.
 """
 
 from collections.abc import Iterable, Mapping
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -25,11 +25,11 @@
 # Minimum number of runs of a route that is estimated separately, and of all routes
 # together for any estimate.
 MIN_RUNS = 5.0
-# Lower ratios of calls per run are dropped: they come from stray calls of a route that
-# was moved.
+# Lower ratios of calls per run are dropped: they come from a few last calls of a route
+# that was moved.
 MIN_CALL_RATIO = 0.02
-# Fraction of the calls of an interval that stray, which means that they belong to runs
-# counted in the previous or next interval.
+# Fraction of an interval's calls that are stray calls: their runs are counted in the
+# previous or next interval.
 STRAY_CALL_RATIO = 0.4
 
 # Calls per run, by the route that is called.
@@ -62,7 +62,10 @@
         self._estimates: dict[str, CallRatios] = {}
 
     def record_start(self, route: str, now: float) -> None:
-        """Count half a run at its start: its calls lie between its start and end."""
+        """Count half a run at its start; `record_end` counts the other half.
+
+        If the run spans two intervals, its calls are spread over both.
+        """
         runs = self._get_interval(now).runs
         runs[route] = runs.get(route, 0.0) + 0.5
 
@@ -144,9 +147,10 @@
         self, routes: list[str], called: str, average: float, runs: float
     ) -> list[float]:
         """Return the calls to one route per run of each route, none below zero."""
-        # The ridge term pulls the ratios towards their average. It is the variance of
-        # an interval's stray calls (all calls of a run stray together) divided by the
-        # variance of the ratios, whose standard deviation is about their average.
+        # The variance of an interval's stray calls is their expected number times the
+        # calls per run, because all calls of a run stray together. The ridge term pulls
+        # the ratios towards their average. It is this variance divided by the variance
+        # of the ratios, whose standard deviation is about their average.
         stray_variance = (
             STRAY_CALL_RATIO * average * runs / self._total_weight * max(1.0, average)
         )
@@ -180,8 +184,8 @@
 ) -> list[float]:
     """Return the solution of a positive definite system of linear equations.
 
-    This avoids a numerical library, which would double a node's memory, for at most ten
-    equations.
+    There are at most ten equations, too few to justify a numerical library, which would
+    double a node's memory.
 
     >>> solve([[2.0, 1.0], [1.0, 3.0]], [5.0, 10.0])
     [1.0, 3.0]
--- a/primroseglade/sidecar/cross_zone_bytes.py
+++ b/primroseglade/sidecar/cross_zone_bytes.py
@@ -7,7 +7,7 @@
 # Maximum number of routes counted by name; all others are counted together.
 MAX_NAMED_ROUTES = 200
 OTHER_ROUTES = "other"
-# Interval between log lines, and the number of largest counts in each.
+# Interval between log lines, and the maximum number of counts in each, largest first.
 CROSS_ZONE_LOG_INTERVAL_SECONDS = 10.0
 MAX_LOGGED_ENTRIES = 12
 
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -3,34 +3,36 @@
 import random
 from collections.abc import Callable
 
-# Cost added to a call to another availability zone: the round trip there, and a part of
+# Surcharge on a call to another availability zone: the round trip there, and a part of
 # the latency tolerance (`Route.latency_tolerance`). Bytes between zones are expensive,
-# and callers do not notice a wait of a small part of the tolerance, even for several
-# calls in sequence.
+# and callers do not notice if a call waits for a small part of the tolerance in its own
+# zone instead, even if they make several calls in sequence.
 CROSS_ZONE_BASE_SURCHARGE_MS = 2.0
 CROSS_ZONE_TOLERANCE_RATIO = 0.1
-# Further cost for each kilobyte of the call and its answer, as a part of the latency
-# tolerance. Because of it, a zone that is short of backend servers sends its small
-# calls elsewhere and keeps the large ones; callers with a high tolerance lose nothing
-# by the wait.
+# Further surcharge for each kilobyte of the call and its answer, as a part of the
+# latency tolerance. Because of it, a zone that is short of backend servers sends its
+# small calls elsewhere and keeps the large ones; callers with a high tolerance lose
+# nothing by the wait.
 CROSS_ZONE_TOLERANCE_RATIO_PER_KB = 0.05
 # A failed call costs this many latency targets, because its caller gets no answer or
 # has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
-# Cost of a failed downstream call, relative to the expected time of such a call.
+# Cost of a failed downstream call, as a multiple of its expected time. Used in
+# `estimate_penalty_ms`: it covers calls of all routes, which share no latency target.
 DOWNSTREAM_FAILURE_COST_RATIO = 6.0
 # Maximum random increase of a candidate's cost. Without it, nodes that see the same
-# load would all choose the same backend server: a node learns of the calls of others
-# only from the load that the next answer reports.
+# load would all choose the same backend server: a node sees the calls of other nodes
+# only in the load that the next answer reports.
 COST_JITTER_RATIO = 0.1
-# Random variation of the cross-zone cost from call to call. With it, nodes of a zone
-# that fills up send a growing part of their calls elsewhere, instead of all at once.
+# Random variation of the cross-zone surcharge from call to call. With it, nodes of a
+# zone that fills up send a growing part of their calls elsewhere, instead of all at
+# once.
 CROSS_ZONE_SURCHARGE_JITTER_RATIO = 0.15
-# Fraction of calls sent to a random backend server with spare capacity, whatever its
-# cost. Without them, a backend server that was slow or failing would get no calls, and
-# its recovery would go unnoticed.
+# Fraction of calls sent to a random backend server of the same zone that has spare
+# capacity, whatever its cost. Without them, a backend server that was slow or failing
+# would get no calls, and its recovery would go unnoticed.
 EXPLORATION_RATIO = 0.02
-# Utilization below which a backend server has spare capacity for such calls.
+# Utilization below which a backend server has spare capacity for calls sent at random.
 EXPLORATION_MAX_UTILIZATION = 0.7
 
 
@@ -79,14 +81,14 @@
 
 
 def compute_cross_zone_cost_ms(latency_tolerance: float, size_bytes: float) -> float:
-    """Return the cost of a cross-zone call in milliseconds.
+    """Return the surcharge on a cross-zone call in milliseconds.
 
-    A backend server in another availability zone is chosen only if it is better by
-    more than this cost.
+    A backend server in another availability zone is chosen only if its cost is lower by
+    more than this.
 
     Args:
         latency_tolerance: Latency in seconds that usually costs the caller nothing.
-        size_bytes: Size of the call and its answer.
+        size_bytes: Total size of the call and its answer.
     """
     tolerance_ratio = (
         CROSS_ZONE_TOLERANCE_RATIO
@@ -122,8 +124,9 @@
 def estimate_penalty_ms(candidate: Candidate) -> float:
     """Return the cost in milliseconds of waiting and failures at a backend server.
 
-    The work itself is left out: callers do not notice that a backend server is slower
-    than others as long as its answers come within the latency target.
+    It is used to compare zones for downstream calls (`zone_costs.py`). The work itself
+    is left out: callers do not notice that a backend server is slower than others as
+    long as its answers come within the latency target.
 
     >>> estimate_penalty_ms(Candidate("slow", True, 20, 10, 40.0, 0.0))
     0.0
--- a/primroseglade/sidecar/route_table.py
+++ b/primroseglade/sidecar/route_table.py
@@ -49,8 +49,8 @@
         """Return the service for a route's next call, in proportion to the weights.
 
         This is smooth weighted round-robin: over any few hundred calls, the number that
-        a service gets differs from its share by at most one. With a random choice it
-        would differ by 3 in 100.
+        a service gets differs from its share by at most one. With a random choice, it
+        would differ by 3 calls in 100.
         """
         if len(route.services) == 1:
             return route.services[0].name
--- a/primroseglade/sidecar/zone_costs.py
+++ b/primroseglade/sidecar/zone_costs.py
@@ -1,10 +1,11 @@
 """Costs of a call's downstream calls, by the availability zone in which the call runs.
 
-If a zone has too few backend servers of a service, or none, calls to the service from
-that zone go cross-zone. If the call that makes these calls goes cross-zone instead, its
-downstream calls stay in the other zone, and only one call crosses. The choice of a node
-for a call therefore includes the cost of the downstream calls that the call would make
-from that node. Computing this cost needs no network calls.
+A call may make several downstream calls to a service that has too few backend servers
+in a zone, or none. If the call runs in this zone, its downstream calls go cross-zone.
+If the call is sent to another zone, its downstream calls stay there, and only one call
+crosses. The choice of a node for a call therefore includes the cost of the downstream
+calls that the call would make from the node. Computing this cost needs no network
+calls.
 """
 
 from collections.abc import Callable, Mapping
@@ -21,12 +22,12 @@
 
 
 class ZoneCosts:
-    """Computes the costs of a call's downstream calls, cross-zone costs included.
+    """Computes the costs of a call's downstream calls, with cross-zone surcharges.
 
     Args:
         graph: Provides the direct downstream calls of each route.
-        get_cross_zone_surcharge_ms: Returns the cross-zone surcharge of a call in ms,
-            for a route's name.
+        get_cross_zone_surcharge_ms: Returns the surcharge on a cross-zone call in
+            milliseconds, given the name of its route.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self._downstream_costs = {}
 
     def get_downstream_costs(self, route: str, service: str) -> ZoneCostsMs:
-        """Return the cost in ms of a call's downstream calls, by the zone of the call.
+        """Return the cost in ms of a call's downstream calls, by the zone it runs in.
 
         Zones without a backend server of the service are left out.
         """
@@ -88,7 +89,7 @@
     def _compute_call_cost(
         self, route_service: RouteService, zone: str, path: tuple[RouteService, ...]
     ) -> float:
-        """Return the cost in ms of a call from a zone, with its downstream calls."""
+        """Return the cost in ms of a call from a zone, downstream calls included."""
         downstream_ms_by_zone = self._sum_downstream_costs(route_service, path)
         total_ms_by_zone = {
             other_zone: cost_ms + downstream_ms_by_zone.get(other_zone, 0.0)
