--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -142,9 +142,9 @@
         self._supervisor.start(f"peer {entry.name}", lambda: self._run(peer))
 
     @property
-    def has_pending_calls(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether requests to other nodes await a reply."""
-        return any(peer.has_pending_calls for peer in self._peers.values())
+        return any(peer.has_pending_requests for peer in self._peers.values())
 
     def check_liveness(self, now: float) -> None:
         """Ping or disconnect peers that do not answer; ``now`` in monotonic seconds."""
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -148,7 +148,7 @@
         id: Id of the call.
         reason: Code of a ``verdicts.Reason``.
         may_have_run: Whether the call may have run.
-        reached_backend: Whether the backend server itself refused the call.
+        refused_by_backend: Whether the backend server itself refused the call.
         detail: Explanation in one sentence, for logs and error messages.
         in_flight: Calls running and queued at the backend server.
     """
@@ -156,7 +156,7 @@
     id: int
     reason: str
     may_have_run: bool
-    reached_backend: bool
+    refused_by_backend: bool
     detail: str
     in_flight: int
 
--- a/primroseglade/sidecar/freshness.py
+++ b/primroseglade/sidecar/freshness.py
@@ -36,14 +36,14 @@
             return float("inf")
         return self._clock() - self._confirmed_at
 
-    def confirm(self, asked_at: float, reported_age: float = 0.0) -> None:
+    def confirm(self, asked_at: float, reported_age_seconds: float = 0.0) -> None:
         """Record an answer that the version in force is the newest.
 
         Args:
             asked_at: When the question was sent, in seconds on the clock.
-            reported_age: Age of the answering node's knowledge, in seconds; 0 if the
-                store answered.
+            reported_age_seconds: Seconds since the answering node's policy was last
+                known to be the newest, as it reports them; 0 if the store answered.
         """
-        confirmed_at = asked_at - reported_age
+        confirmed_at = asked_at - reported_age_seconds
         if self._confirmed_at is None or confirmed_at > self._confirmed_at:
             self._confirmed_at = confirmed_at
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -27,8 +27,8 @@
         timeout_check_seconds: Interval of timeout checks.
 
     Attributes:
-        stalled: Whether the event loop was blocked a moment ago, so that the input it
-            reads now may be old.
+        recently_stalled: Whether the event loop was blocked a moment ago, so that the
+            input it reads now may be old.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self._handler = handler
         self._get_limits = get_limits
         self._timeout_check_seconds = timeout_check_seconds
-        self.stalled = False
+        self.recently_stalled = False
         self._connections: set[ServerConnection] = set()
         self._server: asyncio.Server | None = None
         self._stopping = False
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -301,15 +301,17 @@
         if peer is not None:
             peer.apply_state(state)
 
-    def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
+    def record_policy_age(
+        self, version: int, age_seconds: float, asked_at: float
+    ) -> None:
         """Record the age of a peer's policy.
 
         Args:
             version: The peer's policy version.
-            age: Seconds for which a newer version may exist unseen by the peer.
+            age_seconds: Seconds since the peer's policy was last known to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
-        self.policies.record_peer_age(version, age, asked_at)
+        self.policies.record_peer_age(version, age_seconds, asked_at)
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
         """Return the active policy with its version and age."""
@@ -487,8 +489,8 @@
             latency_tolerance, self.answer_sizes.estimate(name)
         )
 
-    def _report_stall(self, stalled: bool) -> None:
-        self._outbound_server.stalled = stalled
+    def _report_stall(self, recently_stalled: bool) -> None:
+        self._outbound_server.recently_stalled = recently_stalled
 
     def _broadcast_state(self) -> None:
         self._state_broadcaster.broadcast_now()
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -83,12 +83,14 @@
     def apply_relayed_state(self, name: str, state: NodeState) -> None:
         """Apply a peer's state that another node relayed."""
 
-    def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
+    def record_policy_age(
+        self, version: int, age_seconds: float, asked_at: float
+    ) -> None:
         """Record the age of a peer's configuration.
 
         Args:
             version: Version of the configuration in force there.
-            age: Seconds for which a newer version may exist unknown to the peer.
+            age_seconds: Seconds since it was last known there to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
 
@@ -125,7 +127,7 @@
         self._unanswered_ping_id = 0
         self._disconnected: asyncio.Event = asyncio.Event()
         self._hello_received = False
-        self._was_unreachable_logged = False
+        self._unreachable_logged = False
 
     @property
     def connected(self) -> bool:
@@ -142,7 +144,7 @@
         return bool(self.state.instance) and self.connected
 
     @property
-    def has_pending_calls(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether requests await the peer's reply."""
         return bool(self._pending_replies)
 
@@ -171,7 +173,7 @@
                 self._disconnect("peer task ended")
             if self._hello_received:
                 self._hello_received = False
-                self._was_unreachable_logged = False
+                self._unreachable_logged = False
                 backoff = INITIAL_BACKOFF_SECONDS
                 last_connected_at = time.monotonic()
             await asyncio.sleep(random.uniform(backoff / 2, backoff))
@@ -346,7 +348,7 @@
         reason = Reason.from_code(reply.reason) or Reason.OVERLOADED
         if reply.may_have_run:
             return may_have_run(reason, reply.detail)
-        if reply.reached_backend:
+        if reply.refused_by_backend:
             return BackendRefusal(reason, detail=reply.detail)
         return not_run(reason, reply.detail)
 
@@ -379,8 +381,8 @@
         self.send_ping()
 
     def _log_unreachable(self, error: Exception) -> None:
-        if not self._was_unreachable_logged:
-            self._was_unreachable_logged = True
+        if not self._unreachable_logged:
+            self._unreachable_logged = True
             reason = str(error) or "timed out"
             self._journal.emit(PEER_UNREACHABLE, peer=self.entry.name, reason=reason)
 
@@ -427,9 +429,9 @@
         self._remote_clock.record(pong.clock_ms / 1000, now)
         if not was_clock_known:
             self._host.handle_peer_clock_known()
-        age = pong.policy_age_ms / 1000
+        age_seconds = pong.policy_age_ms / 1000
         self._host.record_policy_age(
-            pong.policy_version, age, self._ping_sent_on_age_clock
+            pong.policy_version, age_seconds, self._ping_sent_on_age_clock
         )
 
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -30,7 +30,7 @@
     """Polls the configuration's age, and checks the liveness of peers.
 
     Args:
-        node: Name of this node.
+        node_name: Name of this node.
         fleet: The other nodes.
         policy_tracker: Receives this node's rank among the readers.
         report_stall: Called after each check with whether this process was stalled
@@ -82,7 +82,7 @@
         while True:
             interval_seconds = (
                 LIVENESS_CHECK_SECONDS
-                if self._fleet.has_pending_calls
+                if self._fleet.has_pending_requests
                 else IDLE_LIVENESS_CHECK_SECONDS
             )
             due_at = time.monotonic() + interval_seconds
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -278,17 +278,19 @@
         else:
             self._long_polling_enabled.clear()
 
-    def record_peer_age(self, version: int, age: float, asked_at: float) -> None:
+    def record_peer_age(
+        self, version: int, age_seconds: float, asked_at: float
+    ) -> None:
         """Confirm the active policy by the age of a peer's policy.
 
         Args:
             version: The peer's policy version. If it differs from this node's, the call
                 has no effect.
-            age: Seconds for which a newer version may have existed unseen by the peer.
+            age_seconds: Seconds since the peer's policy was last known to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
         if self.version and version == self.version:
-            self._freshness.confirm(asked_at, age)
+            self._freshness.confirm(asked_at, age_seconds)
 
     async def fetch_newer(self, peer: Peer) -> None:
         """Fetch and apply a peer's newer policy, unless a fetch is in progress."""
@@ -338,7 +340,7 @@
             self._freshness.confirm(asked_at)
 
     def _apply_record(
-        self, record: bytes, asked_at: float, age: float, source: str
+        self, record: bytes, asked_at: float, age_seconds: float, source: str
     ) -> None:
         try:
             policy = self._store.decode(record)
@@ -347,13 +349,13 @@
             return
         if policy.version <= self.version:
             if policy.version == self.version:
-                self._freshness.confirm(asked_at, age)
+                self._freshness.confirm(asked_at, age_seconds)
             return
         self._policy = policy
         self._active_since = time.monotonic()
         self._encoded_policy = record
         self._routes = RouteTable(policy.routes)
-        self._freshness.confirm(asked_at, age)
+        self._freshness.confirm(asked_at, age_seconds)
         self._journal.emit(
             POLICY_IN_FORCE,
             version=policy.version,
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -46,15 +46,15 @@
     __slots__ = (
         "_apply_seconds",
         "_backoff_seconds",
-        "_rank",
         "_read_due_age_seconds",
+        "_reader_rank",
         "_rng",
     )
 
     def __init__(self, apply_seconds: float, rng: random.Random):
         self._apply_seconds = apply_seconds
         self._rng = rng
-        self._rank: int | None = None
+        self._reader_rank: int | None = None
         self._backoff_seconds = 0.0
         self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
@@ -67,14 +67,17 @@
     def overdue_age_seconds(self) -> float:
         """Policy age, in seconds, above which this node polls all readers."""
         first_reader_due_age = self._compute_first_reader_due_age()
-        if self._rank is None:
+        if self._reader_rank is None:
             return first_reader_due_age + MAX_PROPAGATION_SECONDS
         return first_reader_due_age + FAILOVER_DELAY_SECONDS
 
     @property
     def uses_long_polling(self) -> bool:
         """Whether this node long-polls the store for updates."""
-        return self._rank is not None and self._rank < LONG_POLLING_READER_COUNT
+        return (
+            self._reader_rank is not None
+            and self._reader_rank < LONG_POLLING_READER_COUNT
+        )
 
     @property
     def max_sleep_seconds(self) -> float:
@@ -83,8 +86,8 @@
 
     def set_reader_rank(self, rank: int | None) -> None:
         """Set this node's rank among the readers; None if it is not a reader."""
-        if rank != self._rank:
-            self._rank = rank
+        if rank != self._reader_rank:
+            self._reader_rank = rank
             self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
     def draw_initial_wait(self, first_start: bool) -> float:
@@ -104,7 +107,7 @@
     def record_failure(self) -> float:
         """Double the backoff after a failed read; return it in seconds, jittered."""
         max_backoff_seconds = MAX_READER_BACKOFF_SECONDS
-        if self._rank is None:
+        if self._reader_rank is None:
             max_backoff_seconds = MAX_NON_READER_BACKOFF_SECONDS
         self._backoff_seconds = min(
             max_backoff_seconds,
@@ -113,18 +116,18 @@
         return self._rng.uniform(0.75, 1.0) * self._backoff_seconds
 
     def _draw_read_due_age_seconds(self) -> float:
-        if self._rank is None:
+        if self._reader_rank is None:
             min_age, max_age = (
                 ratio * self._apply_seconds for ratio in READ_DUE_AGE_RATIO_RANGE
             )
             return self._rng.uniform(min_age, max_age)
         first_reader_due_age = self._compute_first_reader_due_age()
-        if self._rank == 0:
+        if self._reader_rank == 0:
             return first_reader_due_age
         return (
             first_reader_due_age
             + FAILOVER_DELAY_SECONDS
-            + (self._rank - 1) * FAILOVER_STEP_SECONDS
+            + (self._reader_rank - 1) * FAILOVER_STEP_SECONDS
         )
 
     def _compute_first_reader_due_age(self) -> float:
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -35,11 +35,11 @@
     """The part of the server that its connections use.
 
     Attributes:
-        stalled: Whether the event loop was blocked a moment ago, so that the input it
-            reads now may be old.
+        recently_stalled: Whether the event loop was blocked a moment ago, so that the
+            input it reads now may be old.
     """
 
-    stalled: bool
+    recently_stalled: bool
 
     @property
     def stopping(self) -> bool:
@@ -292,7 +292,7 @@
             exchange.task = self._loop.create_task(self._handle_request(exchange))
 
     async def _handle_request(self, exchange: Exchange) -> None:
-        if self._is_new or self._server.stalled:
+        if self._is_new or self._server.recently_stalled:
             # Let the loop read once more before the request is forwarded. If the
             # connection was accepted late or the process was stalled, the caller may
             # have disconnected already, and its request must not run.
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -58,7 +58,7 @@
     Args:
         entry: Entry of this node.
         fleet: The other nodes.
-        server: Sends on the streams that other nodes opened to this one.
+        peer_server: Sends on the streams that other nodes opened to this one.
         build_load_state: Returns this node's state without sequence number and call
             ratios.
         call_ratios: Estimates how many calls the local backend server makes per call
@@ -69,13 +69,13 @@
         self,
         entry: NodeEntry,
         fleet: Fleet,
-        server: PeerServer,
+        peer_server: PeerServer,
         build_load_state: Callable[[], NodeState],
         call_ratios: CallRatioEstimator,
     ):
         self._entry = entry
         self._fleet = fleet
-        self._server = server
+        self._peer_server = peer_server
         self._build_load_state = build_load_state
         self._call_ratios = call_ratios
         self._relay_buffer = RelayBuffer()
@@ -95,7 +95,7 @@
 
     def broadcast_now(self) -> None:
         """Send the state to every node immediately; for urgent changes."""
-        self._server.send(State(self._build_update(), relay=False))
+        self._peer_server.send(State(self._build_update(), relay=False))
 
     def relay_state(self, name: str, state: NodeState) -> None:
         """Add another node's state to the next batch for this node's zone."""
@@ -106,7 +106,7 @@
         """Relay the pending states to this node's zone."""
         pending = self._relay_buffer.take_all()
         if pending:
-            self._server.send(States(pending), self._is_same_zone)
+            self._peer_server.send(States(pending), self._is_same_zone)
 
     def broadcast(self, now: float) -> None:
         """Broadcast the state, directly or through one relay node in each zone."""
@@ -118,7 +118,9 @@
         relays = set(self._fleet.list_readers())
         if self._entry.name in relays:
             self._relay_buffer.add(self._entry.name, state.copy())
-        self._server.send(State(state, relay=True), lambda other: other.name in relays)
+        self._peer_server.send(
+            State(state, relay=True), lambda other: other.name in relays
+        )
 
     def _is_same_zone(self, other: NodeEntry) -> bool:
         return other.zone == self._entry.zone
--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -74,12 +74,12 @@
 
 
 @contextlib.asynccontextmanager
-async def run_server(stalled: bool = False) -> AsyncIterator[Harness]:
+async def run_server(recently_stalled: bool = False) -> AsyncIterator[Harness]:
     """Run a server whose responses the test releases."""
     handler = Handler()
     address = find_address()
     server = HttpServer(address, handler)
-    server.stalled = stalled
+    server.recently_stalled = recently_stalled
     task = asyncio.create_task(server.run())
     await asyncio.sleep(0.05)
     try:
@@ -275,7 +275,7 @@
 
     Here the node's event loop was blocked between the two requests.
     """
-    async with run_server(stalled=True) as harness:
+    async with run_server(recently_stalled=True) as harness:
         harness.handler.release(b"/before")
         with socket.create_connection(parse_address(harness.address)) as caller:
             caller.setblocking(False)
--- a/tests/test_peer_monitor.py
+++ b/tests/test_peer_monitor.py
@@ -10,7 +10,7 @@
 class FakeFleet:
     """Records the times as of which liveness is checked."""
 
-    has_pending_calls = True
+    has_pending_requests = True
 
     def __init__(self) -> None:
         self.checked_at: list[float] = []
