--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -33,8 +33,8 @@
 
     An acknowledged drain is binding: a few seconds later no request may reach the
     backend server. A node that is killed after the acknowledgement and restarted would
-    have lost the drain, so it is acknowledged only once the store or another node has
-    recorded it.
+    have lost the drain, so the drain is acknowledged only once the store or another
+    node has recorded it.
 
     Args:
         backend: The backend server of this node.
@@ -72,7 +72,7 @@
 
     @property
     def recorded_drains(self) -> dict[str, int]:
-        """Drains recorded for other nodes: start times in Unix ms by instance id."""
+        """Draining backend servers of other nodes: start times (Unix ms) by id."""
         return self._recorded_drains
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
@@ -87,10 +87,14 @@
         self._recorded_drains[instance] = start_time_ms
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Apply drains that the store or a peer has recorded.
+        """Drain the local backend server if the store or a peer has recorded its drain.
+
+        The other recorded drains are remembered, in case one of those backend servers
+        reports to this node later.
 
         Args:
-            drains: Start times in Unix milliseconds, by instance id.
+            drains: Start times in Unix milliseconds, by instance id. A backend server
+                that was started later under the same id is not drained.
         """
         self._drains_loaded = True
         for instance, start_time_ms in drains.items():
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -24,8 +24,8 @@
 
     Attributes:
         loads: Load of the backend servers.
-        min_costs_ms: Lowest cost of a call in each zone, in milliseconds beyond its
-            service time.
+        min_costs_ms: Lowest cost of a call in each zone, in milliseconds in addition to
+            the call's service time.
         demand: Calls per second requested by the nodes' callers.
     """
 
@@ -126,7 +126,7 @@
         return self._peers.get(name)
 
     def update_node(self, entry: NodeEntry) -> None:
-        """Add a node, or update its entry if it was started more recently."""
+        """Add a node, or replace its entry if the new one has a later start time."""
         if entry.name == self._host.entry.name:
             return
         known_peer = self._peers.get(entry.name)
@@ -156,8 +156,8 @@
 
         The reader of an availability zone is its first connected node by name, so
         nodes that see each other agree on the readers without coordination. The first
-        reader reads the configuration from the platform's store; the other nodes ask
-        readers how old their knowledge of the configuration is.
+        reader reads the configuration from the platform's store; the other nodes ask a
+        reader whether their configuration is still the newest.
         """
         names_by_zone = self.index.list_first_by_zone(1)
         return sorted(names[0] for names in names_by_zone.values())
@@ -220,7 +220,7 @@
         tried_names: Collection[str],
         downstream_costs_ms: ZoneCostsMs,
     ) -> Candidate | None:
-        """Return an untried node that leaves pings unanswered, as a last resort."""
+        """Return a suspect node not yet tried, for calls with no other node left."""
         for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
             if peer.usable and peer.entry.name not in tried_names:
                 return self._build_candidate(peer, downstream_costs_ms)
--- a/primroseglade/sidecar/frame_compression.py
+++ b/primroseglade/sidecar/frame_compression.py
@@ -1,7 +1,7 @@
 """Compresses frames between availability zones, where traffic is expensive.
 
-A frame consists of a head and, if it carries a call or an answer, the body of that.
-The heads of calls and answers on a stream resemble each other, and states repeat names.
+A frame consists of a head and, for a call or its answer, a body. The heads of calls and
+answers on a stream resemble each other, and states repeat names.
 Compressed with the preceding frames as context, heads shrink to a quarter. Bodies are
 sent as they are; callers that want smaller bodies compress them themselves.
 """
@@ -18,7 +18,7 @@
 # Ends the output of every sync flush; removed before sending and added again before
 # decompression (RFC 7692, section 7.2.1).
 SYNC_FLUSH_MARKER = b"\x00\x00\xff\xff"
-# Maximum size of a decompressed head, many times that of a large policy.
+# Maximum size of a decompressed head, many times the size of a large policy.
 MAX_HEAD_BYTES = 16 * 1024 * 1024
 
 
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -12,7 +12,7 @@
 from .model import NodeEntry, NodeState
 
 LENGTH_PREFIX = struct.Struct(">I")
-# Larger than the largest request body that callers may send, plus headers.
+# Exceeds the maximum size of a request body plus headers.
 MAX_FRAME_BYTES = 80 * 1024 * 1024
 # Set in the length prefix of a compressed frame.
 COMPRESSED_FLAG = 1 << 31
@@ -35,14 +35,15 @@
 
 
 class Ping(msgspec.Struct, array_like=True, tag=2):
-    """Asks how old the receiver's knowledge of the configuration is.
+    """Asks how stale the receiver's configuration may be; can also carry a lease.
 
     Attributes:
         id: Id of the ping, repeated in the answer.
-        sent_ms: Milliseconds on the sender's clock, which is not synchronized.
-        lease_end_ms: Time in milliseconds on the receiver's clock until which the
-            sender lends the receiver its share of the workspaces' rate limits; 0 if the
-            sender lends nothing.
+        sent_ms: When the ping was sent, in milliseconds on the sender's clock, which
+            differs from the receiver's.
+        lease_end_ms: End of the lease by which the receiver gets the sender's share of
+            the workspaces' rate limits, in milliseconds on the receiver's clock; 0 for
+            no lease.
     """
 
     id: int
@@ -56,9 +57,9 @@
     Attributes:
         id: Id of the ping.
         policy_version: Version of the configuration in force at the sender.
-        policy_age_ms: Milliseconds for which a newer version may have existed unseen by
-            the sender when it sent the answer.
-        clock_ms: Milliseconds on the sender's clock.
+        policy_age_ms: Milliseconds from when that version was last known to be the
+            newest until the answer.
+        clock_ms: When the answer was sent, in milliseconds on the sender's clock.
     """
 
     id: int
@@ -72,7 +73,7 @@
 
     Attributes:
         state: The state.
-        relay: Whether the receiver relays the state to its own availability zone.
+        relay: Whether the receiver is to relay the state to its availability zone.
     """
 
     state: NodeState
@@ -99,7 +100,8 @@
         nested: Whether a backend server makes the call while serving another call.
         head: Request line and headers, except those that the receiver sets.
         body: The complete body.
-        sent_ms: Milliseconds on the sender's clock, which is not synchronized.
+        sent_ms: When the call was sent, in milliseconds on the sender's clock, which
+            differs from the receiver's.
     """
 
     id: int
@@ -173,7 +175,7 @@
     Attributes:
         id: Id of the request.
         version: Version of the configuration; 0 if the sender has none.
-        age_ms: Milliseconds for which a newer version may exist unseen by the sender.
+        age_ms: Milliseconds since that version was last known to be the newest.
         record: The configuration as the platform's store holds it; empty if the sender
             has none.
     """
@@ -205,7 +207,7 @@
 
 
 class TokenLimits(msgspec.Struct, array_like=True, frozen=True):
-    """Rate limits of a workspace that the fleet enforces.
+    """Rate limits of a workspace, enforced over the whole fleet.
 
     Attributes:
         workspace: Name of the workspace.
--- a/primroseglade/sidecar/freshness.py
+++ b/primroseglade/sidecar/freshness.py
@@ -1,4 +1,4 @@
-"""Age of this node's knowledge of the configuration."""
+"""Tracks how stale this node's configuration may be."""
 
 from collections.abc import Callable
 
@@ -6,14 +6,14 @@
 
 
 class Freshness:
-    """Tracks the time up to which this node knows all published versions.
+    """Tracks when the configuration was last known to be the newest.
 
-    A newly applied version does not reset that time: everything published up to it is
-    the version in force or an older version.
+    Applying a newer version never moves that time back: no version published until then
+    is newer than the one in force.
 
-    Clocks of different instances are never compared. An answer carries the age of the
-    sender's knowledge, to which this node adds the time since it sent the question.
-    That is at least the time that the answer took.
+    Clocks of different instances are never compared. A node answers with the seconds
+    since its configuration was last known to be the newest. The receiver of the answer
+    adds the time since it sent the question, at least the time that the answer took.
 
     Args:
         clock: Returns seconds on a clock that also counts while the machine is
@@ -31,18 +31,18 @@
 
     @property
     def age(self) -> float:
-        """Seconds for which a newer version may exist unseen; infinite at first."""
+        """Seconds since it was last known to be the newest; infinite at first."""
         if self._confirmed_at is None:
             return float("inf")
         return self._clock() - self._confirmed_at
 
     def confirm(self, asked_at: float, reported_age_seconds: float = 0.0) -> None:
-        """Record an answer that the version in force is the newest.
+        """Record an answer that confirms the version in force as the newest.
 
         Args:
             asked_at: When the question was sent, in seconds on the clock.
-            reported_age_seconds: Seconds since the answering node's policy was last
-                known to be the newest, as it reports them; 0 if the store answered.
+            reported_age_seconds: Seconds since the answering node's configuration was
+                last known to be the newest; 0 if the store answered.
         """
         confirmed_at = asked_at - reported_age_seconds
         if self._confirmed_at is None or confirmed_at > self._confirmed_at:
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-# The least urgent priority, and that of routes without one; 0 is the most urgent.
+# The least urgent priority, used for routes that specify none. 0 is the most urgent.
 LOWEST_PRIORITY = 9
 
 
@@ -86,7 +86,7 @@
 
     @property
     def latency_tolerance(self) -> float:
-        """Latency in seconds that usually costs the caller nothing."""
+        """Latency in seconds up to which an answer usually keeps its full value."""
         return min(self.target_latency, self.timeout / 2)
 
 
@@ -95,7 +95,7 @@
 
     Args:
         name: Its name, which is sent to backend servers.
-        priority: Priority of its calls, which precedes the route's; None if not set.
+        priority: Priority of its calls, compared before the route's; None if not set.
         rate: Calls per second over the whole fleet; 0 for no limit.
         burst: Capacity of its token bucket, in calls.
     """
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -59,8 +59,8 @@
 # sending after two failed readiness checks, one second apart; a few more requests
 # arrive on connections that were being opened meanwhile.
 MIN_LAME_DUCK_SECONDS = 3.2
-# From this fraction of the grace period on, a request is accepted only if its deadline
-# lies before the end of the shutdown, so that only requests accepted before can be cut
+# After this fraction of the grace period, a request is accepted only if its deadline
+# lies before the end of the shutdown. Requests accepted from then on are thus never cut
 # off.
 DEADLINE_CHECK_GRACE_RATIO = 0.45
 DRAIN_POLL_SECONDS = 0.05
@@ -231,7 +231,7 @@
 
     @property
     def drains(self) -> dict[str, int]:
-        """Drains recorded for other nodes: start times in Unix ms by instance id."""
+        """Draining backend servers of other nodes: start times (Unix ms) by id."""
         return self.registration.recorded_drains
 
     @property
@@ -304,24 +304,24 @@
     def record_policy_age(
         self, version: int, age_seconds: float, asked_at: float
     ) -> None:
-        """Record the age of a peer's policy.
+        """Record when a peer's policy was last known to be the newest.
 
         Args:
             version: The peer's policy version.
-            age_seconds: Seconds since the peer's policy was last known to be the newest.
+            age_seconds: Seconds since that version was last known to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
         self.policies.record_peer_age(version, age_seconds, asked_at)
 
     def build_policy_answer(self, request_id: int) -> PolicyAnswer:
-        """Return the active policy with its version and age."""
+        """Return the active policy, its version, and how stale it may be."""
         age_ms = int(min(self.policies.age, MAX_REPORTED_AGE_SECONDS) * 1000) + 1
         return PolicyAnswer(
             request_id, self.policies.version, age_ms, self.policies.encoded_policy
         )
 
     def record_drain(self, instance: str, start_time_ms: int) -> None:
-        """Record the drain of another node's backend server."""
+        """Record that another node's backend server is draining."""
         self.registration.record_drain(instance, start_time_ms)
 
     def count_in_flight(self) -> int:
@@ -336,11 +336,23 @@
         )
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Drain the backend servers that a peer has recorded as draining."""
+        """Drain the local backend server if a peer has recorded it as draining.
+
+        The other recorded drains are remembered, in case one of those backend servers
+        reports to this node later.
+
+        Args:
+            drains: Start times in Unix milliseconds, by instance id. A backend server
+                that was started later under the same id is not drained.
+        """
         self.registration.apply_drains(drains)
 
     def handle_peer_clock_known(self) -> None:
-        """Renew the lease of this node's rate share, which needs the peer's clock."""
+        """Renew the lease of this node's share of the rate limits.
+
+        The end of a lease is given on the receiver's clock, so no lease can be sent to
+        a peer until its clock is known.
+        """
         self.rates.renew_lease(time.monotonic())
 
     def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
@@ -466,7 +478,7 @@
             await asyncio.sleep(self._rng.uniform(0.5, 1.0) * STORE_RETRY_SECONDS)
 
     def _count_nodes(self) -> int:
-        """Return the number of known nodes; 0 until those in the store are listed."""
+        """Return the number of known nodes; 0 until the store's nodes were listed."""
         return len(self.fleet) if self._nodes_listed else 0
 
     def _build_load_state(self) -> NodeState:
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -38,8 +38,8 @@
 OTHER_ROUTES_LABEL = "other"
 # Maximum number of workspaces in the metrics; each adds time series.
 MAX_WORKSPACE_LABELS = 200
-# Reported instead of an unknown age, which is infinite: metrics and messages hold only
-# finite numbers. Over 11 days.
+# Reported as the age of a policy that was never confirmed. That age is infinite, but
+# metrics and messages hold only finite numbers. Over 11 days.
 MAX_REPORTED_AGE_SECONDS = 1e6
 METRIC_PREFIX = "primroseglade_"
 
@@ -48,7 +48,7 @@
     """Latency histogram of one route.
 
     Attributes:
-        bucket_counts: Requests in each bucket; the last one is unbounded.
+        bucket_counts: Requests in each bucket; the last bucket has no upper bound.
         total_seconds: Sum of the latencies.
     """
 
--- a/primroseglade/sidecar/node_settings.py
+++ b/primroseglade/sidecar/node_settings.py
@@ -24,9 +24,9 @@
         retry_ratio: Retries allowed per first attempt, over the whole fleet.
         retry_fixed: Retries allowed in each window in addition, over the whole fleet.
         retry_window: Length of the retry budget's window, in seconds.
-        quota_overshoot: Fraction of a workspace's rate and burst that the fleet may
-            admit beyond both in a window.
-        quota_slack: Number of calls that the fleet may admit in a window in addition.
+        quota_overshoot: Fraction by which the calls that the fleet admits in a window
+            may exceed what a workspace's rate and burst allow.
+        quota_slack: Number of further calls that the fleet may admit in a window.
         quota_window: Length of the rate limits' window, in seconds.
     """
 
--- a/primroseglade/sidecar/node_store.py
+++ b/primroseglade/sidecar/node_store.py
@@ -21,7 +21,7 @@
     async def write_drain(
         self, instance: str, start_time_ms: int, timeout: float
     ) -> None:
-        """Record that a backend server, started at a Unix time in ms, is draining."""
+        """Record a backend server as draining; ``start_time_ms`` is a Unix time."""
 
     async def list_drains(self, timeout: float) -> dict[str, int]:
         """Return start times in Unix ms of draining backend servers, by instance id."""
--- a/primroseglade/sidecar/one_way_delay.py
+++ b/primroseglade/sidecar/one_way_delay.py
@@ -4,8 +4,8 @@
 congested link, or at a node short of processor time, it may be queued for longer than
 that, and running it would be wasted work. The offset of two nodes' clocks is unknown,
 but constant, so the difference of receive and send time, the apparent delay, is too
-large or too small by the same amount for each call. A call was queued for as long as
-its apparent delay exceeds the recent minimum.
+large or too small by the same amount for each call. The time for which a call
+was queued is its apparent delay minus the recent minimum.
 """
 
 import math
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -36,8 +36,8 @@
 from .token_broker import GrantHandler
 from .token_requests import TokenRequests
 
-# A ping is sent if calls are pending and nothing was received for this long. While
-# calls are answered, the answers themselves show that the peer is alive.
+# A ping is sent if requests are pending and nothing was received for this long. While
+# answers arrive, they show that the peer is alive.
 IDLE_BEFORE_PING_SECONDS = 0.25
 # A ping is answered within milliseconds, however busy the backend server is. After this
 # long without an answer other nodes are preferred, so that calls to an unreachable zone
@@ -57,7 +57,7 @@
 
 
 class PeerHost(Protocol):
-    """The node that a peer belongs to, as the peer uses it."""
+    """What a ``Peer`` needs of the local node."""
 
     @property
     def entry(self) -> NodeEntry:
@@ -68,10 +68,14 @@
         """Counter of the bytes sent to other availability zones."""
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Drain the backend servers that a peer has recorded as draining.
+        """Drain the local backend server if a peer has recorded it as draining.
+
+        The other recorded drains are remembered, in case one of those backend servers
+        reports to this node later.
 
         Args:
-            drains: Their start times in Unix milliseconds, by instance id.
+            drains: Start times in Unix milliseconds, by instance id. A backend server
+                that was started later under the same id is not drained.
         """
 
     def handle_state(self, peer: "Peer") -> None:
@@ -86,16 +90,19 @@
     def record_policy_age(
         self, version: int, age_seconds: float, asked_at: float
     ) -> None:
-        """Record the age of a peer's configuration.
+        """Record when a peer's configuration was last known to be the newest.
 
         Args:
-            version: Version of the configuration in force there.
-            age_seconds: Seconds since it was last known there to be the newest.
+            version: Version of the configuration in force at the peer.
+            age_seconds: Seconds since that version was last known to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
 
     def handle_peer_clock_known(self) -> None:
-        """Handle the first known clock reading of a peer on a new stream."""
+        """Handle that a peer's clock has become known on a new stream.
+
+        From now on, leases can be sent to the peer.
+        """
 
 
 class Peer:
@@ -150,7 +157,7 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Whether calls are pending and a ping has gone unanswered for too long."""
+        """Whether requests are pending and a ping has been unanswered for too long."""
         if not self._unanswered_ping_id or not self._pending_replies:
             return False
         stream = self._stream
@@ -159,7 +166,7 @@
         return time.monotonic() - self._ping_sent_at > SUSPECT_AFTER_SECONDS
 
     async def run(self) -> None:
-        """Keep a stream open to the node, until it is unreachable for too long."""
+        """Keep a stream open until the node has been unreachable for too long."""
         backoff = INITIAL_BACKOFF_SECONDS
         last_connected_at = time.monotonic()
         while time.monotonic() - last_connected_at < PEER_EXPIRY_SECONDS:
@@ -287,10 +294,11 @@
     def send_ping(self, lease_end_ms: int = 0) -> bool:
         """Send a ping, unless the previous ping may still be answered.
 
-        The answer carries the age of the peer's configuration.
+        The answer says when the peer's configuration was last known to be the newest.
 
         Args:
-            lease_end_ms: As in ``Ping``.
+            lease_end_ms: End of the lease that the ping carries, in milliseconds on the
+                peer's clock; 0 for no lease.
 
         Returns:
             Whether the ping was sent.
@@ -312,7 +320,7 @@
         return True
 
     def check_liveness(self, now: float) -> None:
-        """Ping a peer that leaves calls unanswered; disconnect if it stays silent.
+        """Ping the peer if requests stay unanswered; disconnect if it stays silent.
 
         The connection can be half-open: the other end, or a middlebox that has lost
         its state, drops what is sent. Only a new connection can help then.
@@ -334,7 +342,7 @@
                 self.send_ping()
 
     def _may_ping_again(self, now: float) -> bool:
-        """Return whether a ping is long unanswered although other frames arrived since.
+        """Return whether the last ping timed out although other frames arrived since.
 
         While nothing arrives, another ping would restart the timeout of the first.
         """
--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -1,8 +1,8 @@
 """Periodic checks of other nodes: liveness, and the age of their configuration.
 
-The age is the time for which a newer version may exist unseen. One node in each
-availability zone is its reader (``Fleet.list_readers``); other nodes poll readers for
-the age, instead of reading the platform's store.
+The age is the time since the configuration was last known to be the newest. One node in
+each availability zone is its reader (``Fleet.list_readers``); other nodes poll readers
+for the age, instead of reading the platform's store.
 """
 
 import asyncio
@@ -16,13 +16,13 @@
 # all other nodes ask the reader of their zone.
 READER_POLL_SECONDS = 0.25
 NON_READER_POLL_SECONDS = 0.5
-# Interval between liveness checks of peers while calls are pending, and while no calls
-# are. In the latter case the checks only detect stalls of this process.
+# Interval between liveness checks of peers while requests are pending, and while none
+# are. In the latter case the checks mainly detect stalls of this process.
 LIVENESS_CHECK_SECONDS = 0.1
 IDLE_LIVENESS_CHECK_SECONDS = 0.25
 # A check that runs this late shows that this process was stalled.
 STALL_THRESHOLD_SECONDS = 0.1
-# Data read from sockets within this time after a stall may be old.
+# Data read from sockets within this time after a stall may have arrived long before.
 STALL_RECOVERY_SECONDS = 0.5
 
 
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -34,7 +34,7 @@
 
 
 class ServerHost(Protocol):
-    """The node that a peer server belongs to, as the server uses it."""
+    """What a peer server needs of the local node."""
 
     @property
     def entry(self) -> NodeEntry:
@@ -46,7 +46,7 @@
 
     @property
     def drains(self) -> dict[str, int]:
-        """Drains recorded for other nodes: start times in Unix ms by instance id."""
+        """Draining backend servers of other nodes: start times (Unix ms) by id."""
 
     @property
     def in_flight(self) -> int:
@@ -138,7 +138,7 @@
 
         Args:
             frame: The frame, encoded once for all recipients in this node's zone.
-            is_recipient: Returns whether a node receives the frame.
+            is_recipient: Returns whether to send the frame to a node.
         """
         data = encode_frame(frame)
         for stream, entry in self._entries_by_stream.items():
--- a/primroseglade/sidecar/periodic_scheduler.py
+++ b/primroseglade/sidecar/periodic_scheduler.py
@@ -9,7 +9,7 @@
 import time
 from collections.abc import Callable
 
-# Length of a tick: the shortest interval of any task, that of the updates of admission
+# Length of a tick: the interval of the most frequent task, the update of the admission
 # levels.
 TICK_SECONDS = 0.25
 # Random deviation of each tick, so that nodes started together do not wake together.
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -37,14 +37,15 @@
 READ_TIMEOUT_SECONDS = 1.5
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 1.0
-# Interval of checks for a peer's policy before the first read of the store.
+# Interval at which a starting node checks whether it has received a peer's policy. If
+# it receives none for a while, it reads the store.
 INITIAL_WAIT_POLL_SECONDS = 0.02
 PEER_TIMEOUT_SECONDS = 1.0
-# Logged as the source of a version that did not come from a peer.
+# Source that is logged for a policy version read from the store.
 STORE_SOURCE = "store"
-# A policy is fresh up to this fraction of the time within which a withdrawn key must
-# stop working. The rest covers the transmission of a request to this node and pauses of
-# this process.
+# Maximum age of a policy by which API keys are accepted, as a fraction of the time
+# within which a withdrawn key must stop working. The rest covers the transmission of a
+# request to this node and pauses of this process.
 MAX_AGE_RATIO = 0.9
 
 
@@ -105,7 +106,7 @@
 
 
 class PolicyTracker:
-    """Keeps the active policy up to date and tracks how old it may be.
+    """Keeps the active policy up to date and tracks how stale it may be.
 
     Args:
         store: Where operators publish policies.
@@ -173,17 +174,17 @@
 
     @property
     def age(self) -> float:
-        """Seconds for which a newer version may have existed unseen."""
+        """Seconds since the active policy was last known to be the newest."""
         return self._freshness.age
 
     @property
     def is_fresh(self) -> bool:
-        """Whether the policy is so recent that a withdrawn key would be known."""
+        """Whether the policy was confirmed recently enough to accept API keys by it."""
         return self._freshness.age < self._max_age_seconds
 
     @property
     def is_overdue(self) -> bool:
-        """Whether the readers usually asked have not confirmed the policy in time."""
+        """Whether the readers usually asked failed to confirm the policy in time."""
         return self._freshness.age > self._schedule.overdue_age_seconds
 
     async def run_long_polls(self) -> None:
@@ -281,12 +282,12 @@
     def record_peer_age(
         self, version: int, age_seconds: float, asked_at: float
     ) -> None:
-        """Confirm the active policy by the age of a peer's policy.
+        """Record when a peer's policy was last known to be the newest.
 
         Args:
             version: The peer's policy version. If it differs from this node's, the call
                 has no effect.
-            age_seconds: Seconds since the peer's policy was last known to be the newest.
+            age_seconds: Seconds since that version was last known to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
         if self.version and version == self.version:
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -4,18 +4,19 @@
 to the store few, only the first reader of the fleet reads the store often. The other
 readers ask the first reader whether its policy is the same, and all other nodes ask
 the reader of their zone. A node reads the store itself only if its policy has not been
-confirmed in time. The policy age is the time for which a newer version may exist
-unseen.
+confirmed in time. The policy age is the time since the policy was last known to be the
+newest.
 """
 
 import random
 
 # Policy age at which a node that is not a reader reads the store, as a fraction of the
-# time within which a policy must be active. The rest of that time is for the response.
+# time within which a policy must be active. The rest of that time is for the read.
 # The fraction is drawn from this range, so that nodes do not all read at once.
 READ_DUE_AGE_RATIO_RANGE = (0.8, 0.92)
-# Age that a confirmation can gain between the first reader and a node: readers poll the
-# first reader four times a second, other nodes poll their reader twice a second.
+# Maximum difference between the policy ages of the first reader and another node:
+# readers poll the first reader four times a second, other nodes poll their reader twice
+# a second.
 MAX_PROPAGATION_SECONDS = 0.85
 # If the policy stays unconfirmed, the second reader reads the store this long after the
 # first reader should have, and each further reader one step after the previous one.
@@ -100,7 +101,7 @@
         return self._rng.uniform(*wait_range)
 
     def record_success(self) -> None:
-        """Reset the backoff after a successful read, and draw the next read age."""
+        """Reset the backoff after a successful read, and draw when the next is due."""
         self._backoff_seconds = 0.0
         self._read_due_age_seconds = self._draw_read_due_age_seconds()
 
--- a/primroseglade/sidecar/state_broadcast.py
+++ b/primroseglade/sidecar/state_broadcast.py
@@ -114,7 +114,8 @@
             self.broadcast_now()
             return
         state = self._build_update()
-        # The readers serve as relays: one node per zone, on which all nodes agree.
+        # The readers (``Fleet.list_readers``) serve as relays: one node per zone, on
+        # which all nodes agree.
         relays = set(self._fleet.list_readers())
         if self._entry.name in relays:
             self._relay_buffer.add(self._entry.name, state.copy())
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -108,7 +108,7 @@
         return self._cross_zone_bytes is not None
 
     def mark_cross_zone(self, cross_zone_bytes: CrossZoneBytes) -> None:
-        """Count the bytes of frames sent from now on, and compress these frames.
+        """Count the bytes of frames sent from now on, and allow their compression.
 
         Args:
             cross_zone_bytes: Counter of the bytes.
@@ -143,7 +143,7 @@
         return self._compressor
 
     def send_encoded(self, data: bytes) -> None:
-        """Send an encoded frame, which the caller may send on several streams."""
+        """Send a frame encoded by the caller, who may send it on several streams."""
         if self._transport is None:
             return
         self._transport.write(data)
