--- a/primroseglade/sidecar/peer_monitor.py
+++ b/primroseglade/sidecar/peer_monitor.py
@@ -68,7 +68,7 @@
             NON_READER_POLL_SECONDS / READER_POLL_SECONDS
         ):
             return
-        overdue = self._policy_tracker.is_overdue
+        overdue = self._policy_tracker.is_confirmation_overdue
         for position, name in enumerate(readers):
             peer = self._fleet.get(name)
             if peer is None:
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -183,7 +183,7 @@
         return self._freshness.age < self._max_age_seconds
 
     @property
-    def is_overdue(self) -> bool:
+    def is_confirmation_overdue(self) -> bool:
         """Whether the readers usually asked failed to confirm the policy in time."""
         return self._freshness.age > self._schedule.overdue_age_seconds
 
