--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -56,15 +56,15 @@
 
 
 def build_candidate(
-    peer: Peer, same_zone: bool = False, downstream_ms: float = 0.0
+    peer: Peer, same_zone: bool = False, downstream_cost_ms: float = 0.0
 ) -> Candidate:
     """Return a peer as a load balancing candidate.
 
     Args:
         peer: The peer.
         same_zone: Whether the peer is in this node's availability zone.
-        downstream_ms: Cost in milliseconds of the further calls that a call makes if
-            the peer serves it.
+        downstream_cost_ms: Cost in milliseconds of the further calls that a call makes
+            if the peer serves it.
     """
     state = peer.state
     return Candidate(
@@ -74,7 +74,7 @@
         peer.in_flight,
         state.service_ms,
         peer.failure_ratio,
-        downstream_ms,
+        downstream_cost_ms,
     )
 
 
@@ -196,7 +196,7 @@
         )
         if own_candidate is not None and own_candidate.name not in tried_names:
             same_zone_candidates.append(own_candidate)
-        min_downstream_ms = min(downstream_costs_ms.values(), default=0.0)
+        min_downstream_cost_ms = min(downstream_costs_ms.values(), default=0.0)
         chosen = choose(
             same_zone_candidates,
             lambda: self._sample(
@@ -206,7 +206,7 @@
                 downstream_costs_ms,
             ),
             cross_zone_cost_ms,
-            min_downstream_ms,
+            min_downstream_cost_ms,
             failure_cost_ms,
             self._rng,
         )
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -235,7 +235,7 @@
         return self.registration.recorded_drains
 
     @property
-    def in_flight(self) -> int:
+    def backend_calls_in_flight(self) -> int:
         """Calls running and queued at the backend server."""
         return self.backend.queue.in_flight
 
@@ -324,7 +324,7 @@
         """Record that another node's backend server is draining."""
         self.registration.record_drain(instance, start_time_ms)
 
-    def count_in_flight(self) -> int:
+    def count_requests_in_flight(self) -> int:
         """Return the number of requests in flight at this node.
 
         These are requests of callers and of the backend server, and calls of other
@@ -422,7 +422,7 @@
         """
         stop_started_at = time.monotonic()
         self._stopping = True
-        self._journal.emit(NODE_STOPPING, in_flight=self.count_in_flight())
+        self._journal.emit(NODE_STOPPING, in_flight=self.count_requests_in_flight())
         self.backend.stop()
         self._broadcast_state()
         self._outbound_server.request_connection_close()
@@ -433,7 +433,10 @@
         )
         self.request_handler.stop(deadline_check_after, stop_deadline)
         while time.monotonic() < stop_deadline:
-            if time.monotonic() >= earliest_stop and not self.count_in_flight():
+            if (
+                time.monotonic() >= earliest_stop
+                and not self.count_requests_in_flight()
+            ):
                 break
             await asyncio.sleep(DRAIN_POLL_SECONDS)
         self._outbound_server.close_idle()
@@ -441,7 +444,7 @@
         self._peer_server.finish()
         self._journal.emit(
             NODE_STOPPED,
-            cut=self.count_in_flight(),
+            cut=self.count_requests_in_flight(),
             seconds=round(time.monotonic() - stop_started_at, 2),
         )
         await self._supervisor.close()
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -189,7 +189,11 @@
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
     connected_peers = len(node.fleet.list_connected())
     return [
-        ("occupied", "Calls running and queued at the backend server.", node.in_flight),
+        (
+            "occupied",
+            "Calls running and queued at the backend server.",
+            node.backend_calls_in_flight,
+        ),
         (
             "slots",
             "Maximum concurrent calls to the backend server.",
@@ -216,7 +220,11 @@
             "Seconds for which a newer configuration may exist unseen.",
             age,
         ),
-        ("in_flight", "Requests in flight at this node.", node.count_in_flight()),
+        (
+            "in_flight",
+            "Requests in flight at this node.",
+            node.count_requests_in_flight(),
+        ),
     ]
 
 
--- a/primroseglade/sidecar/peer_server.py
+++ b/primroseglade/sidecar/peer_server.py
@@ -49,7 +49,7 @@
         """Draining backend servers of other nodes: start times (Unix ms) by id."""
 
     @property
-    def in_flight(self) -> int:
+    def backend_calls_in_flight(self) -> int:
         """Calls running and queued at the backend server."""
 
     def build_full_state(self) -> NodeState:
@@ -239,7 +239,7 @@
                 served.answer.head,
                 served.body,
                 served.answer.signed,
-                self._host.in_flight,
+                self._host.backend_calls_in_flight,
             ),
             call.route,
         )
@@ -251,5 +251,5 @@
             refusal.verdict is not Verdict.NOT_RUN,
             isinstance(refusal, BackendRefusal),
             refusal.detail,
-            self._host.in_flight,
+            self._host.backend_calls_in_flight,
         )
--- a/primroseglade/sidecar/read_schedule.py
+++ b/primroseglade/sidecar/read_schedule.py
@@ -67,10 +67,10 @@
     @property
     def overdue_age_seconds(self) -> float:
         """Policy age, in seconds, above which this node polls all readers."""
-        first_reader_due_age = self._compute_first_reader_due_age()
+        first_reader_due_age_seconds = self._compute_first_reader_due_age_seconds()
         if self._reader_rank is None:
-            return first_reader_due_age + MAX_PROPAGATION_SECONDS
-        return first_reader_due_age + FAILOVER_DELAY_SECONDS
+            return first_reader_due_age_seconds + MAX_PROPAGATION_SECONDS
+        return first_reader_due_age_seconds + FAILOVER_DELAY_SECONDS
 
     @property
     def uses_long_polling(self) -> bool:
@@ -122,16 +122,16 @@
                 ratio * self._apply_seconds for ratio in READ_DUE_AGE_RATIO_RANGE
             )
             return self._rng.uniform(min_age, max_age)
-        first_reader_due_age = self._compute_first_reader_due_age()
+        first_reader_due_age_seconds = self._compute_first_reader_due_age_seconds()
         if self._reader_rank == 0:
-            return first_reader_due_age
+            return first_reader_due_age_seconds
         return (
-            first_reader_due_age
+            first_reader_due_age_seconds
             + FAILOVER_DELAY_SECONDS
             + (self._reader_rank - 1) * FAILOVER_STEP_SECONDS
         )
 
-    def _compute_first_reader_due_age(self) -> float:
+    def _compute_first_reader_due_age_seconds(self) -> float:
         """Return the policy age, in seconds, at which the first reader reads."""
         earliest_age = READ_DUE_AGE_RATIO_RANGE[0] * self._apply_seconds
         return max(MIN_READ_DUE_AGE_SECONDS, earliest_age - MAX_PROPAGATION_SECONDS)
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -156,7 +156,9 @@
     asking.cancel()
     await asyncio.sleep(0.4)
     assert sum(instance.backend.cancelled for instance in mesh.instances) == 1
-    assert all(instance.node.in_flight == 0 for instance in mesh.instances)
+    assert all(
+        instance.node.backend_calls_in_flight == 0 for instance in mesh.instances
+    )
 
 
 async def test_route_timeout_ends_request(mesh: Mesh):
