--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -24,8 +24,8 @@
 
     Attributes:
         loads: Load of the backend servers.
-        min_costs_ms: Lowest cost of a call in each zone, in milliseconds beyond its
-            service time.
+        min_costs_ms: Lowest cost of a call in each zone, in milliseconds in addition to
+            the call's service time.
         demand: Calls per second requested by the nodes' callers.
     """
 
@@ -56,15 +56,15 @@
 
 
 def build_candidate(
-    peer: Peer, same_zone: bool = False, downstream_ms: float = 0.0
+    peer: Peer, same_zone: bool = False, downstream_cost_ms: float = 0.0
 ) -> Candidate:
     """Return a peer as a load balancing candidate.
 
     Args:
         peer: The peer.
         same_zone: Whether the peer is in this node's availability zone.
-        downstream_ms: Cost in milliseconds of the further calls that a call makes if
-            the peer serves it.
+        downstream_cost_ms: Cost in milliseconds of the further calls that a call makes
+            if the peer serves it.
     """
     state = peer.state
     return Candidate(
@@ -74,7 +74,7 @@
         peer.in_flight,
         state.service_ms,
         peer.failure_ratio,
-        downstream_ms,
+        downstream_cost_ms,
     )
 
 
@@ -126,7 +126,7 @@
         return self._peers.get(name)
 
     def update_node(self, entry: NodeEntry) -> None:
-        """Add a node, or update its entry if it was started more recently."""
+        """Add a node, or replace its entry if the new one has a later start time."""
         if entry.name == self._host.entry.name:
             return
         known_peer = self._peers.get(entry.name)
@@ -142,9 +142,9 @@
         self._supervisor.start(f"peer {entry.name}", lambda: self._run(peer))
 
     @property
-    def has_pending_calls(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether requests to other nodes await a reply."""
-        return any(peer.has_pending_calls for peer in self._peers.values())
+        return any(peer.has_pending_requests for peer in self._peers.values())
 
     def check_liveness(self, now: float) -> None:
         """Ping or disconnect peers that do not answer; ``now`` in monotonic seconds."""
@@ -156,8 +156,8 @@
 
         The reader of an availability zone is its first connected node by name, so
         nodes that see each other agree on the readers without coordination. The first
-        reader reads the configuration from the platform's store; the other nodes ask
-        readers how old their knowledge of the configuration is.
+        reader reads the configuration from the platform's store; the other nodes ask a
+        reader whether their configuration is still the newest.
         """
         names_by_zone = self.index.list_first_by_zone(1)
         return sorted(names[0] for names in names_by_zone.values())
@@ -196,7 +196,7 @@
         )
         if own_candidate is not None and own_candidate.name not in tried_names:
             same_zone_candidates.append(own_candidate)
-        min_downstream_ms = min(downstream_costs_ms.values(), default=0.0)
+        min_downstream_cost_ms = min(downstream_costs_ms.values(), default=0.0)
         chosen = choose(
             same_zone_candidates,
             lambda: self._sample(
@@ -206,7 +206,7 @@
                 downstream_costs_ms,
             ),
             cross_zone_cost_ms,
-            min_downstream_ms,
+            min_downstream_cost_ms,
             failure_cost_ms,
             self._rng,
         )
@@ -220,7 +220,7 @@
         tried_names: Collection[str],
         downstream_costs_ms: ZoneCostsMs,
     ) -> Candidate | None:
-        """Return an untried node that leaves pings unanswered, as a last resort."""
+        """Return a suspect node not yet tried, for calls with no other node left."""
         for peer in service_peers.same_zone_peers + service_peers.cross_zone_peers:
             if peer.usable and peer.entry.name not in tried_names:
                 return self._build_candidate(peer, downstream_costs_ms)
--- a/primroseglade/sidecar/node_metrics.py
+++ b/primroseglade/sidecar/node_metrics.py
@@ -38,8 +38,8 @@
 OTHER_ROUTES_LABEL = "other"
 # Maximum number of workspaces in the metrics; each adds time series.
 MAX_WORKSPACE_LABELS = 200
-# Reported instead of an unknown age, which is infinite: metrics and messages hold only
-# finite numbers. Over 11 days.
+# Reported as the age of a policy that was never confirmed. That age is infinite, but
+# metrics and messages hold only finite numbers. Over 11 days.
 MAX_REPORTED_AGE_SECONDS = 1e6
 METRIC_PREFIX = "primroseglade_"
 
@@ -48,7 +48,7 @@
     """Latency histogram of one route.
 
     Attributes:
-        bucket_counts: Requests in each bucket; the last one is unbounded.
+        bucket_counts: Requests in each bucket; the last bucket has no upper bound.
         total_seconds: Sum of the latencies.
     """
 
@@ -189,7 +189,11 @@
     age = min(node.policies.age, MAX_REPORTED_AGE_SECONDS)
     connected_peers = len(node.fleet.list_connected())
     return [
-        ("occupied", "Calls running and queued at the backend server.", node.in_flight),
+        (
+            "occupied",
+            "Calls running and queued at the backend server.",
+            node.backend_calls_in_flight,
+        ),
         (
             "slots",
             "Maximum concurrent calls to the backend server.",
@@ -216,7 +220,11 @@
             "Seconds for which a newer configuration may exist unseen.",
             age,
         ),
-        ("in_flight", "Requests in flight at this node.", node.count_in_flight()),
+        (
+            "in_flight",
+            "Requests in flight at this node.",
+            node.count_requests_in_flight(),
+        ),
     ]
 
 
--- a/primroseglade/sidecar/peer.py
+++ b/primroseglade/sidecar/peer.py
@@ -36,8 +36,8 @@
 from .token_broker import GrantHandler
 from .token_requests import TokenRequests
 
-# A ping is sent if calls are pending and nothing was received for this long. While
-# calls are answered, the answers themselves show that the peer is alive.
+# A ping is sent if requests are pending and nothing was received for this long. While
+# answers arrive, they show that the peer is alive.
 IDLE_BEFORE_PING_SECONDS = 0.25
 # A ping is answered within milliseconds, however busy the backend server is. After this
 # long without an answer other nodes are preferred, so that calls to an unreachable zone
@@ -57,7 +57,7 @@
 
 
 class PeerHost(Protocol):
-    """The node that a peer belongs to, as the peer uses it."""
+    """What a ``Peer`` needs of the local node."""
 
     @property
     def entry(self) -> NodeEntry:
@@ -68,10 +68,14 @@
         """Counter of the bytes sent to other availability zones."""
 
     def apply_drains(self, drains: dict[str, int]) -> None:
-        """Drain the backend servers that a peer has recorded as draining.
+        """Drain the local backend server if a peer has recorded it as draining.
+
+        The other recorded drains are remembered, in case one of those backend servers
+        reports to this node later.
 
         Args:
-            drains: Their start times in Unix milliseconds, by instance id.
+            drains: Start times in Unix milliseconds, by instance id. A backend server
+                that was started later under the same id is not drained.
         """
 
     def handle_state(self, peer: "Peer") -> None:
@@ -83,17 +87,22 @@
     def apply_relayed_state(self, name: str, state: NodeState) -> None:
         """Apply a peer's state that another node relayed."""
 
-    def record_policy_age(self, version: int, age: float, asked_at: float) -> None:
-        """Record the age of a peer's configuration.
+    def record_policy_age(
+        self, version: int, age_seconds: float, asked_at: float
+    ) -> None:
+        """Record when a peer's configuration was last known to be the newest.
 
         Args:
-            version: Version of the configuration in force there.
-            age: Seconds for which a newer version may exist unknown to the peer.
+            version: Version of the configuration in force at the peer.
+            age_seconds: Seconds since that version was last known to be the newest.
             asked_at: When the peer was asked, as returned by ``read_age_clock``.
         """
 
     def handle_peer_clock_known(self) -> None:
-        """Handle the first known clock reading of a peer on a new stream."""
+        """Handle that a peer's clock has become known on a new stream.
+
+        From now on, leases can be sent to the peer.
+        """
 
 
 class Peer:
@@ -125,7 +134,7 @@
         self._unanswered_ping_id = 0
         self._disconnected: asyncio.Event = asyncio.Event()
         self._hello_received = False
-        self._was_unreachable_logged = False
+        self._unreachable_logged = False
 
     @property
     def connected(self) -> bool:
@@ -142,13 +151,13 @@
         return bool(self.state.instance) and self.connected
 
     @property
-    def has_pending_calls(self) -> bool:
+    def has_pending_requests(self) -> bool:
         """Whether requests await the peer's reply."""
         return bool(self._pending_replies)
 
     @property
     def is_suspect(self) -> bool:
-        """Whether calls are pending and a ping has gone unanswered for too long."""
+        """Whether requests are pending and a ping has been unanswered for too long."""
         if not self._unanswered_ping_id or not self._pending_replies:
             return False
         stream = self._stream
@@ -157,7 +166,7 @@
         return time.monotonic() - self._ping_sent_at > SUSPECT_AFTER_SECONDS
 
     async def run(self) -> None:
-        """Keep a stream open to the node, until it is unreachable for too long."""
+        """Keep a stream open until the node has been unreachable for too long."""
         backoff = INITIAL_BACKOFF_SECONDS
         last_connected_at = time.monotonic()
         while time.monotonic() - last_connected_at < PEER_EXPIRY_SECONDS:
@@ -171,7 +180,7 @@
                 self._disconnect("peer task ended")
             if self._hello_received:
                 self._hello_received = False
-                self._was_unreachable_logged = False
+                self._unreachable_logged = False
                 backoff = INITIAL_BACKOFF_SECONDS
                 last_connected_at = time.monotonic()
             await asyncio.sleep(random.uniform(backoff / 2, backoff))
@@ -285,10 +294,11 @@
     def send_ping(self, lease_end_ms: int = 0) -> bool:
         """Send a ping, unless the previous ping may still be answered.
 
-        The answer carries the age of the peer's configuration.
+        The answer says when the peer's configuration was last known to be the newest.
 
         Args:
-            lease_end_ms: As in ``Ping``.
+            lease_end_ms: End of the lease that the ping carries, in milliseconds on the
+                peer's clock; 0 for no lease.
 
         Returns:
             Whether the ping was sent.
@@ -310,7 +320,7 @@
         return True
 
     def check_liveness(self, now: float) -> None:
-        """Ping a peer that leaves calls unanswered; disconnect if it stays silent.
+        """Ping the peer if requests stay unanswered; disconnect if it stays silent.
 
         The connection can be half-open: the other end, or a middlebox that has lost
         its state, drops what is sent. Only a new connection can help then.
@@ -332,7 +342,7 @@
                 self.send_ping()
 
     def _may_ping_again(self, now: float) -> bool:
-        """Return whether a ping is long unanswered although other frames arrived since.
+        """Return whether the last ping timed out although other frames arrived since.
 
         While nothing arrives, another ping would restart the timeout of the first.
         """
@@ -346,7 +356,7 @@
         reason = Reason.from_code(reply.reason) or Reason.OVERLOADED
         if reply.may_have_run:
             return may_have_run(reason, reply.detail)
-        if reply.reached_backend:
+        if reply.refused_by_backend:
             return BackendRefusal(reason, detail=reply.detail)
         return not_run(reason, reply.detail)
 
@@ -379,8 +389,8 @@
         self.send_ping()
 
     def _log_unreachable(self, error: Exception) -> None:
-        if not self._was_unreachable_logged:
-            self._was_unreachable_logged = True
+        if not self._unreachable_logged:
+            self._unreachable_logged = True
             reason = str(error) or "timed out"
             self._journal.emit(PEER_UNREACHABLE, peer=self.entry.name, reason=reason)
 
@@ -427,9 +437,9 @@
         self._remote_clock.record(pong.clock_ms / 1000, now)
         if not was_clock_known:
             self._host.handle_peer_clock_known()
-        age = pong.policy_age_ms / 1000
+        age_seconds = pong.policy_age_ms / 1000
         self._host.record_policy_age(
-            pong.policy_version, age, self._ping_sent_on_age_clock
+            pong.policy_version, age_seconds, self._ping_sent_on_age_clock
         )
 
     def _handle_disconnect(self, stream: FrameStream, reason: str) -> None:
