--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -137,9 +137,9 @@
 
     def announce(self, announcement: Announcement) -> bool:
         """Apply an announcement; return False if the document does not trust it."""
-        known = self._announcement
+        previous = self._announcement
         if not self._is_trusted(announcement.service, announcement.address):
-            if known is None or known.address != announcement.address:
+            if previous is None or previous.address != announcement.address:
                 self._journal.emit(
                     BACKEND_REFUSED,
                     service=announcement.service,
@@ -147,11 +147,11 @@
                 )
             return False
         was_serving = self.serving
-        is_new = known is None or known.address != announcement.address
+        is_new = previous is None or previous.address != announcement.address
         self._announcement = announcement
         if is_new:
             self._replace_pool(announcement)
-        elif known is not None and known.slots != announcement.slots:
+        elif previous is not None and previous.slots != announcement.slots:
             self._queue.replace_limit(self._build_limit(announcement))
         if is_new or was_serving != self.serving:
             event = BACKEND_ANNOUNCED if self.serving else BACKEND_DRAINING
@@ -283,10 +283,10 @@
             )
         return response
 
-    def _report_unresponsive(self, pool: Pool, idle_closed: int) -> None:
+    def _report_unresponsive(self, pool: Pool, idle_closed_count: int) -> None:
         self._metrics.silent_connections.inc()
         self._journal.emit(
-            BACKEND_UNRESPONSIVE, address=pool.address, idle_closed=idle_closed
+            BACKEND_UNRESPONSIVE, address=pool.address, idle_closed=idle_closed_count
         )
 
     def _record_latency(self, response: Response, started: float) -> None:
--- a/primroseglade/calls/context.py
+++ b/primroseglade/calls/context.py
@@ -21,7 +21,7 @@
 MAX_DEPTH = 64
 
 
-class ContextSeal:
+class ContextSigner:
     """Encodes and decodes call contexts, signed with a key of the fleet.
 
     Args:
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -178,8 +178,8 @@
         stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
             # Treat it as full, whatever load it last reported.
-            stats.reported_load = max(
-                stats.reported_load, stats.concurrency_limit or member.slots or 1
+            stats.reported_calls = max(
+                stats.reported_calls, stats.concurrency_limit or member.slots or 1
             )
             stats.reported_at = time.monotonic()
         if refusal.reason not in CONNECTION_FAILURE_REASONS:
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -15,7 +15,7 @@
 from ..verdicts import LOAD_SHEDDING_REASONS, not_run, Reason, Refusal, Verdict
 from .backend import BackendServer
 from .call import Body, Call, Context, Reply
-from .context import ContextSeal
+from .context import ContextSigner
 from .dispatch import Dispatcher
 from .entry import Entry, EntryDependencies, RequestRecord
 from .exchange import HttpExchange
@@ -58,7 +58,7 @@
 
     async def finish(
         self,
-        holder: str,
+        instance: str,
         workspace: str,
         operation: str,
         attempt: int,
@@ -135,7 +135,7 @@
     async def _run_recorded(self, call: Call, operation: str, attempt: int) -> Reply:
         """Run an operation unless it has run before, and record its verdict."""
         workspace = call.context.workspace
-        holder = await self._recorder.begin(workspace, operation, attempt)
+        recording_instance = await self._recorder.begin(workspace, operation, attempt)
         verdict = Verdict.MAY_HAVE_RUN
         reply: Reply | None = None
         try:
@@ -147,7 +147,7 @@
         finally:
             try:
                 await self._recorder.finish(
-                    holder, workspace, operation, attempt, verdict
+                    recording_instance, workspace, operation, attempt, verdict
                 )
             except BaseException:
                 # For example, the caller disconnected meanwhile. The reply will not
@@ -243,17 +243,20 @@
     Args:
         tools: Shared objects of the node.
         backend: The backend server of this node.
-        seal: Authenticates and decodes call contexts.
+        context_signer: Authenticates and decodes call contexts.
     """
 
     listener = "relay"
 
     def __init__(
-        self, dependencies: EntryDependencies, backend: BackendServer, seal: ContextSeal
+        self,
+        dependencies: EntryDependencies,
+        backend: BackendServer,
+        context_signer: ContextSigner,
     ):
         super().__init__(dependencies)
         self._backend = backend
-        self._seal = seal
+        self._context_signer = context_signer
 
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         value = exchange.get_header(CONTEXT).encode("latin-1")
@@ -261,7 +264,7 @@
             raise not_run(
                 Reason.CONTEXT_INVALID, "this address accepts only calls from nodes"
             )
-        context = self._seal.read(value)
+        context = self._context_signer.read(value)
         record.trace, record.workspace = context.root, context.workspace
         self._check_ready()
         target = self._split_target(exchange, record)
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -29,7 +29,7 @@
 
     __slots__ = (
         "configuration",
-        "decisions",
+        "decision_records",
         "in_flight",
         "journal",
         "metrics",
@@ -44,14 +44,14 @@
         journal: Journal,
         metrics: Metrics,
         tracer: Tracer,
-        decisions: Decisions,
+        decision_records: Decisions,
     ):
         self.settings = settings
         self.configuration = configuration
         self.journal = journal
         self.metrics = metrics
         self.tracer = tracer
-        self.decisions = decisions
+        self.decision_records = decision_records
         self.in_flight = InFlight()
 
 
@@ -178,7 +178,7 @@
             next_offset=dependencies.configuration.next_offset,
             seconds=round(seconds, 6),
         )
-        dependencies.decisions.add(decision)
+        dependencies.decision_records.add(decision)
         if refusal is not None:
             dependencies.journal.emit(
                 CALL_REFUSED,
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -10,7 +10,7 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal
 from .call import Call, Reply
 from .connections import build_head, Connection, iterate_until_deadline, Response
-from .context import ContextSeal
+from .context import ContextSigner
 from .headers import (
     CONTEXT,
     filter_response_headers,
@@ -33,14 +33,16 @@
 
     Args:
         settings: Limits and timeouts.
-        seal: Signs call contexts.
+        context_signer: Signs call contexts.
         network: Injects network partitions in tests.
     """
 
-    def __init__(self, settings: NodeSettings, seal: ContextSeal, network: Network):
+    def __init__(
+        self, settings: NodeSettings, context_signer: ContextSigner, network: Network
+    ):
         self._network = network
         self._settings = settings
-        self._seal = seal
+        self._context_signer = context_signer
         self._pools: dict[str, Pool] = {}
 
     async def send(self, call: Call, member: Member) -> tuple[Reply, bytes]:
@@ -67,7 +69,10 @@
                 carried = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
                 headers = [
                     *call.headers,
-                    (CONTEXT, self._seal.write(context, member.instance, carried)),
+                    (
+                        CONTEXT,
+                        self._context_signer.write(context, member.instance, carried),
+                    ),
                     (TRACEPARENT, context.traceparent),
                 ]
                 target = b"/" + call.service.encode() + call.target
@@ -108,7 +113,7 @@
             if connection is not None and not is_streamed:
                 pool.release(connection)
 
-    def remove(self, address: str) -> None:
+    def remove_pool(self, address: str) -> None:
         """Close the idle connections to a node and remove their pool."""
         pool = self._pools.pop(address, None)
         if pool is not None:
@@ -117,7 +122,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._pools):
-            self.remove(address)
+            self.remove_pool(address)
 
     def _parse_refusal(
         self, response: Response, connection: Connection
@@ -152,7 +157,7 @@
         # The most recently used pool is the last.
         self._pools[address] = pool
         while len(self._pools) > MAX_POOLS:
-            self.remove(next(iter(self._pools)))
+            self.remove_pool(next(iter(self._pools)))
         return pool
 
 
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -41,13 +41,13 @@
         "in_flight",
         "instance",
         "reported_at",
-        "reported_load",
+        "reported_calls",
     )
 
     def __init__(self, instance: str):
         self.instance = instance
         self.in_flight = 0
-        self.reported_load = 0
+        self.reported_calls = 0
         self.concurrency_limit = 0
         self.reported_at = -float("inf")
         self.failures = 0
@@ -121,7 +121,7 @@
         if len(parts) != 3 or not all(part.isdigit() for part in parts):
             return
         in_flight, concurrency_limit, queued = (int(part) for part in parts)
-        stats.reported_load = in_flight + queued
+        stats.reported_calls = in_flight + queued
         stats.concurrency_limit = concurrency_limit
         stats.reported_at = time.monotonic()
 
@@ -148,7 +148,7 @@
         stats.ejected_until = time.monotonic() + seconds
         return seconds
 
-    def remove(self, instance: str) -> None:
+    def remove_stats(self, instance: str) -> None:
         """Remove the statistics of a member that has left or failed."""
         self._stats.pop(instance, None)
 
@@ -193,11 +193,11 @@
         """Return the member's utilization, higher during slow start."""
         stats = self.get_stats(member.instance)
         age = time.monotonic() - stats.reported_at
-        reported_load = stats.reported_load * max(
+        reported_calls = stats.reported_calls * max(
             0.0, 1 - age / REPORTED_LOAD_MAX_AGE_SECONDS
         )
         concurrency_limit = stats.concurrency_limit or member.slots or DEFAULT_SLOTS
-        return max(reported_load, stats.in_flight) / (
+        return max(reported_calls, stats.in_flight) / (
             concurrency_limit * self._get_slow_start_fraction(member)
         )
 
--- a/primroseglade/calls/unresponsive_connections.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -12,7 +12,7 @@
 LATENCY_MULTIPLIER = 4.0
 # The service itself counts as slow if a call on a new connection waits for longer than
 # this fraction of the first-byte timeout.
-NEW_CONNECTION_TIMEOUT_FRACTION = 0.5
+SLOW_SERVICE_TIMEOUT_FRACTION = 0.5
 
 OnUnresponsive = Callable[[Pool, int], None]
 
@@ -112,7 +112,7 @@
         """Return whether calls on new connections have to wait as well."""
         oldest = (
             time.monotonic()
-            - NEW_CONNECTION_TIMEOUT_FRACTION * self._get_first_byte_timeout()
+            - SLOW_SERVICE_TIMEOUT_FRACTION * self._get_first_byte_timeout()
         )
         return any(
             watch.pool is pool
--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -15,7 +15,7 @@
 MAX_RETRY_AFTER_SECONDS = 5.0
 # The maximum wait is at least this multiple of the latency: a shorter one would expire
 # every call before a slot becomes free.
-MAX_WAIT_LATENCY_RATIO = 1.5
+MIN_WAIT_LATENCY_RATIO = 1.5
 # With less than this fraction of the smoothed latency left, a call cannot meet its
 # deadline. Below 1, since some calls are faster.
 MIN_REMAINING_LATENCY_RATIO = 0.9
@@ -163,7 +163,7 @@
         is_only_call = context.workspace not in self._classes[context.importance]
         if is_only_call or context.importance is Importance.CRITICAL:
             return max(0.0, context.remaining - self._limit.latency)
-        min_wait = MAX_WAIT_LATENCY_RATIO * self._limit.latency
+        min_wait = MIN_WAIT_LATENCY_RATIO * self._limit.latency
         return min(max(self._max_wait_seconds, min_wait), context.remaining)
 
     def _handle_cancellation(self, waiter: Waiter) -> None:
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -31,7 +31,7 @@
         self._baseline = 0.0
         self._latency = 0.0
         self._calls_until_baseline = CALLS_PER_BASELINE
-        self._baseline_calls_left = 0
+        self._baseline_samples_left = 0
         self._lowest_latency = float("inf")
         self._decreased_at = -float("inf")
 
@@ -62,7 +62,7 @@
                 self._increase()
             return
         self._update_baseline(seconds)
-        if self._baseline_calls_left or not is_used_up:
+        if self._baseline_samples_left or not is_used_up:
             return
         if self._latency > MAX_LATENCY_RATIO * self._baseline:
             self._decrease(now)
@@ -75,10 +75,10 @@
 
     def _update_baseline(self, seconds: float) -> None:
         """Lower the limit periodically, and take the lowest latency as baseline."""
-        if self._baseline_calls_left:
+        if self._baseline_samples_left:
             self._lowest_latency = min(self._lowest_latency, seconds)
-            self._baseline_calls_left -= 1
-            if not self._baseline_calls_left:
+            self._baseline_samples_left -= 1
+            if not self._baseline_samples_left:
                 self._baseline = self._lowest_latency
             return
         self._baseline = min(self._baseline, self._latency)
@@ -87,7 +87,7 @@
             self._calls_until_baseline = CALLS_PER_BASELINE
             self._limit = max(MIN_LIMIT, self._limit * BASELINE_LIMIT_RATIO)
             # Includes calls that began before the limit was lowered.
-            self._baseline_calls_left = 4 * self.value
+            self._baseline_samples_left = 4 * self.value
             self._lowest_latency = float("inf")
 
     def _increase(self) -> None:
--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -27,7 +27,7 @@
 PROBES_PER_WINDOW = 1.0
 # With fewer calls in the window, the fraction would be noise.
 MIN_CALLS = 5.0
-HASH_COUNT = 1 << 32
+HASH_RANGE = 1 << 32
 MAX_WINDOWS = 4096
 
 Key = tuple[str, str, Importance]
@@ -120,7 +120,7 @@
 
     def _get_hash_bound(self, window: Window) -> float:
         """Return the bound below which hashes of calls are admitted."""
-        return window.admitted_fraction * HASH_COUNT
+        return window.admitted_fraction * HASH_RANGE
 
     def _get_window(self, service: str, context: Context) -> Window:
         key = (service, context.workspace, context.importance)
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -6,7 +6,7 @@
 
 from .announcing import ANNOUNCEMENT_PATH_PREFIX, build_announcement_application
 from .calls.backend import BackendServer
-from .calls.context import ContextSeal
+from .calls.context import ContextSigner
 from .calls.dispatch import Dispatcher, RetryBudget
 from .calls.entries import CallersEntry, EntryDependencies, NestedEntry, RelayEntry
 from .calls.handles import Handles
@@ -306,7 +306,7 @@
         for component in (self._puller, self._gossip, self._confirmer, self._recorder):
             component.register(self._server)
         self._configuration.watch(self._apply_outcome)
-        self._members.watch(self._forget_unreachable)
+        self._members.watch(self._handle_member_change)
 
     def _build_rates(self) -> None:
         self._rates = RateCoordinator(
@@ -323,7 +323,7 @@
     def _build_calls(self) -> None:
         settings = self._settings
         handles = Handles()
-        seal = ContextSeal(settings.fleet_secret, settings.instance)
+        context_signer = ContextSigner(settings.fleet_secret, settings.instance)
         self._entry_dependencies = EntryDependencies(
             settings,
             self._configuration,
@@ -347,7 +347,7 @@
         )
         self._router = Router(self._members)
         self._throttle = Throttle()
-        self._relay = Relay(settings, seal, self._network)
+        self._relay = Relay(settings, context_signer, self._network)
         dispatcher = Dispatcher(
             self._members,
             self._router,
@@ -365,7 +365,9 @@
             self._rates.limiter,
             self._recorder,
         )
-        self._relay_entry = RelayEntry(self._entry_dependencies, self._backend, seal)
+        self._relay_entry = RelayEntry(
+            self._entry_dependencies, self._backend, context_signer
+        )
         self._nested_entry = NestedEntry(self._entry_dependencies, dispatcher, handles)
         self._entries = (self._callers_entry, self._relay_entry, self._nested_entry)
 
@@ -414,7 +416,7 @@
         self._rates.apply_document()
         self._gossip.exchange_now()
 
-    def _forget_unreachable(self, member: Member, _: Member | None) -> None:
+    def _handle_member_change(self, member: Member, _: Member | None) -> None:
         if not member.reachable:
-            self._router.remove(member.instance)
-            self._relay.remove(member.relay)
+            self._router.remove_stats(member.instance)
+            self._relay.remove_pool(member.relay)
--- a/primroseglade/rates/bucket.py
+++ b/primroseglade/rates/bucket.py
@@ -70,9 +70,9 @@
 
     def accrue(self, now: float) -> None:
         """Add the tokens that accrued up to now, and drop expired grants."""
-        expired = [g.id for g in self._outstanding.values() if g.expires_at <= now]
-        for grant in expired:
-            del self._outstanding[grant]
+        expired_ids = [g.id for g in self._outstanding.values() if g.expires_at <= now]
+        for grant_id in expired_ids:
+            del self._outstanding[grant_id]
         start = max(self._updated_at, self._blocked_until)
         self._updated_at = max(self._updated_at, now)
         if now <= start:
--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -11,7 +11,7 @@
 from .bucket import Bucket
 from .clock import read_clock
 from .lease import Candidate, get_partition, Lease, Partitions
-from .quota import Entitlement, LoanPart, WorkspaceQuota
+from .quota import Entitlement, LoanPart, WorkspaceTokens
 from .token_reserve import ROUNDING_TOLERANCE, TokenBatch
 
 LOAN_TIMEOUT_SECONDS = 0.25
@@ -61,7 +61,7 @@
         self._client = client
         self._get_entitlement = get_entitlement
         self._grant_lifetime = grant_lifetime
-        self._quotas: dict[str, WorkspaceQuota] = {}
+        self._states: dict[str, WorkspaceTokens] = {}
 
     def register(self, server: ControlServer) -> None:
         """Register handlers of grants and loans."""
@@ -70,77 +70,77 @@
 
     def start_lease(self, lease: Lease) -> None:
         """Reset the buckets of a partition whose lease was just acquired."""
-        for workspace in list(self._quotas):
+        for workspace in list(self._states):
             if get_partition(workspace) == lease.partition:
-                del self._quotas[workspace]
+                del self._states[workspace]
 
     def apply_entitlements(self) -> None:
         """Apply the document's rates to the buckets."""
         now = read_clock()
-        for workspace, quota in list(self._quotas.items()):
+        for workspace, state in list(self._states.items()):
             entitlement = self._get_entitlement(workspace)
             if entitlement is None:
-                del self._quotas[workspace]
+                del self._states[workspace]
             else:
-                quota.bucket.update(entitlement.rate, entitlement.burst, now)
-                quota.fleet_rate = entitlement.fleet_rate
+                state.bucket.update(entitlement.rate, entitlement.burst, now)
+                state.fleet_rate = entitlement.fleet_rate
 
     async def grant(self, request: pb.GrantRequest) -> pb.GrantReply:
         """Grant tokens of this zone and tokens borrowed from other zones."""
-        quota = self._find_quota(request.workspace)
-        if quota is None:
+        state = self._find_state(request.workspace)
+        if state is None:
             return pb.GrantReply(holder=False)
         now = read_clock()
         for grant_id in request.spent:
-            quota.bucket.record_spent(grant_id, now)
-            for part in quota.loans_by_grant.pop(grant_id, ()):
-                quota.spent_loans.setdefault(part.zone, []).append(part)
-        quota.demand.record(request.wanted)
-        reply = self._grant_tokens(quota, request.wanted)
+            state.bucket.record_spent(grant_id, now)
+            for part in state.loans_by_grant.pop(grant_id, ()):
+                state.spent_loans.setdefault(part.zone, []).append(part)
+        state.demand.record(request.wanted)
+        reply = self._grant_tokens(state, request.wanted)
         if reply is not None:
-            self._borrow_ahead(request.workspace, quota)
+            self._borrow_ahead(request.workspace, state)
         rounds = 0
         while (
             reply is None
             and rounds < MAX_LOAN_ROUNDS
-            and now >= quota.borrowing_paused_until
+            and now >= state.borrowing_paused_until
         ):
             rounds += 1
-            has_enough = await self._borrow(request.workspace, quota, request.wanted)
+            has_enough = await self._borrow(request.workspace, state, request.wanted)
             # The lease may have ended during the wait.
-            if self._find_quota(request.workspace) is not quota:
+            if self._find_state(request.workspace) is not state:
                 return pb.GrantReply(holder=False)
-            reply = self._grant_tokens(quota, request.wanted)
-            if reply is None and not has_enough and self._is_over_rate(quota):
+            reply = self._grant_tokens(state, request.wanted)
+            if reply is None and not has_enough and self._is_over_rate(state):
                 # Less than a whole token was lent. Further requests would only move
                 # fractions back and forth between zones, and delay the denial.
-                quota.borrowing_paused_until = read_clock() + BORROWING_PAUSE_SECONDS
-        if reply is None and not quota.bucket.is_unblocked(read_clock()):
+                state.borrowing_paused_until = read_clock() + BORROWING_PAUSE_SECONDS
+        if reply is None and not state.bucket.is_unblocked(read_clock()):
             # The workspace is not over its rate; this holder may not grant yet.
             return pb.GrantReply(holder=False)
-        if reply is None and not self._is_over_rate(quota):
-            reply = await self._wait_for_accrual(request, quota)
-        return reply or self._build_denial(quota)
+        if reply is None and not self._is_over_rate(state):
+            reply = await self._wait_for_accrual(request, state)
+        return reply or self._build_denial(state)
 
     def holds(self, workspace: str) -> bool:
         """Whether this instance now grants the workspace's tokens in this zone."""
-        quota = self._find_quota(workspace)
-        return quota is not None and quota.bucket.is_unblocked(read_clock())
+        state = self._find_state(workspace)
+        return state is not None and state.bucket.is_unblocked(read_clock())
 
     def describe(self) -> dict[str, dict[str, float]]:
         """Return the state of each workspace's tokens, for the operator address."""
         now = read_clock()
         described = {}
-        for workspace, quota in self._quotas.items():
-            if self._find_quota(workspace) is None:
+        for workspace, state in self._states.items():
+            if self._find_state(workspace) is None:
                 continue
-            quota.bucket.accrue(now)
+            state.bucket.accrue(now)
             described[workspace] = {
-                "level": round(quota.bucket.level, 3),
-                "out": round(quota.bucket.outstanding, 3),
-                "borrowed": round(quota.borrowed.count(now), 3),
-                "rate": quota.bucket.rate,
-                "demand": round(quota.demand.estimate(), 3),
+                "level": round(state.bucket.level, 3),
+                "out": round(state.bucket.outstanding, 3),
+                "borrowed": round(state.borrowed.count(now), 3),
+                "rate": state.bucket.rate,
+                "demand": round(state.demand.estimate(), 3),
             }
         return described
 
@@ -148,28 +148,28 @@
         return await self.grant(request)
 
     async def _handle_loan(self, request: pb.LoanRequest, _: str) -> pb.LoanReply:
-        quota = self._find_quota(request.workspace)
-        if quota is None:
+        state = self._find_state(request.workspace)
+        if state is None:
             return pb.LoanReply()
         now = read_clock()
         for part in request.spent:
-            quota.bucket.record_spent(part.loan, now, part.tokens)
-        grant = quota.bucket.grant(request.wanted, self._grant_lifetime, now)
+            state.bucket.record_spent(part.loan, now, part.tokens)
+        grant = state.bucket.grant(request.wanted, self._grant_lifetime, now)
         if grant is None:
             return pb.LoanReply()
         life_ms = int(self._grant_lifetime * 1000)
         return pb.LoanReply(tokens=grant.tokens, life_ms=life_ms, loan=grant.id)
 
     def _grant_tokens(
-        self, quota: WorkspaceQuota, wanted: float
+        self, state: WorkspaceTokens, wanted: float
     ) -> pb.GrantReply | None:
         """Return a grant of whole tokens, or None if less than one is available."""
         now = read_clock()
-        bucket = quota.bucket
+        bucket = state.bucket
         bucket.accrue(now)
         max_tokens = math.floor(min(wanted, max(1.0, bucket.level * MAX_GRANT_RATIO)))
         # Borrowed tokens first: they expire, the zone's own tokens do not.
-        if bucket.level >= 1 and quota.borrowed.count(now) < 1:
+        if bucket.level >= 1 and state.borrowed.count(now) < 1:
             grant = bucket.grant(max_tokens, self._grant_lifetime, now)
             assert grant is not None
             return pb.GrantReply(
@@ -178,14 +178,14 @@
                 life_ms=int(self._grant_lifetime * 1000),
                 holder=True,
             )
-        return self._grant_borrowed(quota, wanted, now)
+        return self._grant_borrowed(state, wanted, now)
 
     def _grant_borrowed(
-        self, quota: WorkspaceQuota, wanted: float, now: float
+        self, state: WorkspaceTokens, wanted: float, now: float
     ) -> pb.GrantReply | None:
         """Grant borrowed tokens, completed from the own bucket to whole tokens."""
-        bucket = quota.bucket
-        available = quota.borrowed.count(now) + bucket.level
+        bucket = state.bucket
+        available = state.borrowed.count(now) + bucket.level
         whole_tokens = math.floor(min(wanted, available) + ROUNDING_TOLERANCE)
         if whole_tokens < 1:
             return None
@@ -193,7 +193,7 @@
         parts = []
         earliest_expiry = now + self._grant_lifetime
         while tokens < whole_tokens - ROUNDING_TOLERANCE:
-            batch = quota.borrowed.take_oldest(now)
+            batch = state.borrowed.take_oldest(now)
             if batch is None:
                 break
             borrowed_tokens = min(batch.tokens, whole_tokens - tokens)
@@ -202,115 +202,115 @@
             earliest_expiry = min(earliest_expiry, batch.expires_at)
             if batch.tokens > borrowed_tokens:
                 batch.tokens -= borrowed_tokens
-                quota.borrowed.add(batch)
+                state.borrowed.add(batch)
         if tokens < whole_tokens - ROUNDING_TOLERANCE:
             own_grant = bucket.grant(whole_tokens - tokens, self._grant_lifetime, now)
             tokens += own_grant.tokens if own_grant else 0.0
         if tokens + ROUNDING_TOLERANCE < whole_tokens:
             return None
         grant_id = Bucket.make_id()
-        quota.loans_by_grant[grant_id] = parts
-        while len(quota.loans_by_grant) > MAX_TRACKED_GRANTS:
-            quota.loans_by_grant.popitem(last=False)
+        state.loans_by_grant[grant_id] = parts
+        while len(state.loans_by_grant) > MAX_TRACKED_GRANTS:
+            state.loans_by_grant.popitem(last=False)
         life_ms = int((earliest_expiry - now) * 1000)
         return pb.GrantReply(
             grant=grant_id, tokens=whole_tokens, life_ms=life_ms, holder=True
         )
 
-    def _borrow_ahead(self, workspace: str, quota: WorkspaceQuota) -> None:
+    def _borrow_ahead(self, workspace: str, state: WorkspaceTokens) -> None:
         """Borrow before the own bucket is empty, if demand is over the own rate.
 
         Otherwise this zone's bucket would empty while those of other zones are full
         and can accrue no more tokens.
         """
-        borrow_tokens = (
-            quota.demand.estimate() - quota.bucket.rate
+        tokens_to_borrow = (
+            state.demand.estimate() - state.bucket.rate
         ) * BORROW_AHEAD_SECONDS
-        if borrow_tokens > quota.borrowed.count(read_clock()):
-            if quota.borrow_task is None or quota.borrow_task.done():
-                quota.borrow_task = asyncio.create_task(
-                    self._request_loans(workspace, quota, borrow_tokens)
+        if tokens_to_borrow > state.borrowed.count(read_clock()):
+            if state.borrow_task is None or state.borrow_task.done():
+                state.borrow_task = asyncio.create_task(
+                    self._request_loans(workspace, state, tokens_to_borrow)
                 )
 
     async def _wait_for_accrual(
-        self, request: pb.GrantRequest, quota: WorkspaceQuota
+        self, request: pb.GrantRequest, state: WorkspaceTokens
     ) -> pb.GrantReply | None:
         """Wait for the next token if it accrues soon, as after a handover.
 
         A new holder's bucket is empty. Without the wait of some milliseconds, calls
         within the rate would be refused.
         """
-        wait_seconds = quota.bucket.get_wait_seconds(1.0)
+        wait_seconds = state.bucket.get_wait_seconds(1.0)
         if wait_seconds > MAX_ACCRUAL_WAIT_SECONDS:
             return None
         await asyncio.sleep(wait_seconds)
-        if self._find_quota(request.workspace) is not quota:
+        if self._find_state(request.workspace) is not state:
             return pb.GrantReply(holder=False)
-        return self._grant_tokens(quota, request.wanted)
+        return self._grant_tokens(state, request.wanted)
 
-    def _is_over_rate(self, quota: WorkspaceQuota) -> bool:
+    def _is_over_rate(self, state: WorkspaceTokens) -> bool:
         """Whether this zone's demand alone exceeds the rate of the whole fleet."""
-        return quota.demand.estimate() > OVER_RATE_FACTOR * quota.fleet_rate
+        return state.demand.estimate() > OVER_RATE_FACTOR * state.fleet_rate
 
-    def _build_denial(self, quota: WorkspaceQuota) -> pb.GrantReply:
-        wait_seconds = quota.bucket.get_wait_seconds(1.0)
+    def _build_denial(self, state: WorkspaceTokens) -> pb.GrantReply:
+        wait_seconds = state.bucket.get_wait_seconds(1.0)
         wait_seconds = min(
             MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, wait_seconds)
         )
         return pb.GrantReply(holder=True, retry_after_ms=int(wait_seconds * 1000))
 
     async def _borrow(
-        self, workspace: str, quota: WorkspaceQuota, wanted: float
+        self, workspace: str, state: WorkspaceTokens, wanted: float
     ) -> bool:
         """Borrow from other zones, in one task for all waiting requests.
 
         Returns:
             Whether enough was lent.
         """
-        if quota.borrow_task is None or quota.borrow_task.done():
-            missing = max(1.0, wanted) - quota.bucket.level
-            quota.borrow_task = asyncio.create_task(
-                self._request_loans(workspace, quota, missing)
+        if state.borrow_task is None or state.borrow_task.done():
+            missing = max(1.0, wanted) - state.bucket.level
+            state.borrow_task = asyncio.create_task(
+                self._request_loans(workspace, state, missing)
             )
-        return await asyncio.shield(quota.borrow_task)
+        return await asyncio.shield(state.borrow_task)
 
     async def _request_loans(
-        self, workspace: str, quota: WorkspaceQuota, missing: float
+        self, workspace: str, state: WorkspaceTokens, missing: float
     ) -> bool:
         """Request equal loans from all zones, then the rest from one after another."""
         own_zone = self._members.own.zone
         zones = _shuffle(set(self._members.zones) - {own_zone})
         if not zones:
             return False
-        missing -= quota.borrowed.count(read_clock())
+        missing -= state.borrowed.count(read_clock())
         tokens_per_zone = max(ROUNDING_TOLERANCE, missing / len(zones))
         batches = await asyncio.gather(
             *(
-                self._request_loan(zone, workspace, quota, tokens_per_zone)
+                self._request_loan(zone, workspace, state, tokens_per_zone)
                 for zone in zones
             )
         )
         lenders = []
         for zone, batch in zip(zones, batches, strict=True):
             if batch is not None:
-                quota.borrowed.add(batch)
+                state.borrowed.add(batch)
                 missing -= batch.tokens
                 lenders.append(zone)
         for zone in lenders:
             if missing <= ROUNDING_TOLERANCE:
                 break
-            batch = await self._request_loan(zone, workspace, quota, missing)
+            batch = await self._request_loan(zone, workspace, state, missing)
             if batch is not None:
-                quota.borrowed.add(batch)
+                state.borrowed.add(batch)
                 missing -= batch.tokens
         return missing <= ROUNDING_TOLERANCE
 
     async def _request_loan(
-        self, zone: str, workspace: str, quota: WorkspaceQuota, wanted: float
+        self, zone: str, workspace: str, state: WorkspaceTokens, wanted: float
     ) -> TokenBatch | None:
         spent = [
             pb.SpentLoan(loan=part.loan, tokens=part.tokens)
-            for part in quota.spent_loans.pop(zone, ())
+            for part in state.spent_loans.pop(zone, ())
         ]
         request = pb.LoanRequest(workspace=workspace, wanted=wanted, spent=spent)
         candidates = self._partitions.rank(zone, get_partition(workspace))
@@ -332,23 +332,23 @@
             return None
         return TokenBatch(reply.loan, reply.tokens, expires_at, zone)
 
-    def _find_quota(self, workspace: str) -> WorkspaceQuota | None:
+    def _find_state(self, workspace: str) -> WorkspaceTokens | None:
         """Return the workspace's tokens if this instance now holds their lease."""
         lease = self._candidate.find_lease(get_partition(workspace))
         entitlement = self._get_entitlement(workspace)
         if lease is None or entitlement is None:
             return None
-        quota = self._quotas.get(workspace)
-        if quota is None:
+        state = self._states.get(workspace)
+        if state is None:
             # A previous holder's tokens may be spent until its last grant expires, at
             # most one grant lifetime after this lease was acquired.
             blocked_until = lease.acquired_at + self._grant_lifetime
             bucket = Bucket(
                 entitlement.rate, entitlement.burst, lease.acquired_at, blocked_until
             )
-            quota = WorkspaceQuota(bucket, entitlement.fleet_rate)
-            self._quotas[workspace] = quota
-        return quota
+            state = WorkspaceTokens(bucket, entitlement.fleet_rate)
+            self._states[workspace] = state
+        return state
 
 
 def _shuffle(zones: set[str]) -> list[str]:
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -138,8 +138,8 @@
         self, zone: str, ballot: pb.Ballot, candidate: str, last_vote: CastVote | None
     ) -> bool:
         now = self._clock()
-        own = self._members.own
-        if now < self._abstains_until or zone != own.zone:
+        own_member = self._members.own
+        if now < self._abstains_until or zone != own_member.zone:
             return False
         if last_vote is not None:
             is_bound = last_vote.candidate != candidate and last_vote.expires_at > now
@@ -151,7 +151,7 @@
         if 2 * reachable <= total and total > 1:
             return False
         electors = self._partitions.rank(zone, ballot.partition)
-        if own.instance not in electors:
+        if own_member.instance not in electors:
             return False
         return hash_electors(electors) == ballot.electors
 
@@ -291,8 +291,8 @@
         granted: dict[int, int] = {}
         for votes in replies:
             for vote in votes:
-                known = self._epochs.get(vote.partition, 0)
-                self._epochs[vote.partition] = max(known, vote.epoch)
+                highest_epoch = self._epochs.get(vote.partition, 0)
+                self._epochs[vote.partition] = max(highest_epoch, vote.epoch)
                 if vote.granted:
                     granted[vote.partition] = granted.get(vote.partition, 0) + 1
         return granted
@@ -300,9 +300,11 @@
     async def _request_votes(
         self, zone: str, elector: str, ballots: list[pb.Ballot]
     ) -> list[pb.Vote]:
-        own = self._members.own.instance
-        if elector == own:
-            return [self._elector.vote(zone, ballot, own) for ballot in ballots]
+        own_instance = self._members.own.instance
+        if elector == own_instance:
+            return [
+                self._elector.vote(zone, ballot, own_instance) for ballot in ballots
+            ]
         return await self._send(elector, pb.VoteRequest(zone=zone, ballots=ballots))
 
     async def _send(self, elector: str, request: pb.VoteRequest) -> list[pb.Vote]:
--- a/primroseglade/rates/quota.py
+++ b/primroseglade/rates/quota.py
@@ -55,7 +55,7 @@
         self.tokens = tokens
 
 
-class WorkspaceQuota:
+class WorkspaceTokens:
     """A workspace's tokens in this zone: its bucket and tokens lent by other zones."""
 
     __slots__ = (
--- a/tests/test_trust.py
+++ b/tests/test_trust.py
@@ -8,7 +8,7 @@
 import pytest
 
 from primroseglade.calls.call import Context
-from primroseglade.calls.context import ContextSeal
+from primroseglade.calls.context import ContextSigner
 from primroseglade.fleet.control import ControlClient, PeerError
 from primroseglade.fleet.seal import Sealer, SealError
 from primroseglade.limits.importance import Importance
@@ -88,14 +88,14 @@
 
 def test_relayed_context_cannot_be_forged_or_used_by_another_instance():
     """A caller or backend server tries to use a context of another workspace."""
-    writer = ContextSeal(b"s" * 32, "one")
+    writer = ContextSigner(b"s" * 32, "one")
     value = writer.write(build_context(), "two", 1)
-    assert ContextSeal(b"s" * 32, "two").read(value).workspace == "north"
+    assert ContextSigner(b"s" * 32, "two").read(value).workspace == "north"
     for reader, text in (
-        (ContextSeal(b"s" * 32, "three"), value),
-        (ContextSeal(b"t" * 32, "two"), value),
-        (ContextSeal(b"s" * 32, "two"), value[:-8] + b"AAAAAAAA"),
-        (ContextSeal(b"s" * 32, "two"), b"nonsense"),
+        (ContextSigner(b"s" * 32, "three"), value),
+        (ContextSigner(b"t" * 32, "two"), value),
+        (ContextSigner(b"s" * 32, "two"), value[:-8] + b"AAAAAAAA"),
+        (ContextSigner(b"s" * 32, "two"), b"nonsense"),
     ):
         with pytest.raises(Refusal) as caught:
             reader.read(text)
