--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -68,7 +68,8 @@
 
     Args:
         settings: Limits and timeouts.
-        is_trusted: Returns whether the document trusts an address for a service.
+        is_trusted: Returns whether the configuration document trusts an address for a
+            service.
         is_key_valid: Returns whether a key of a workspace is valid.
         on_change: Called when the backend server starts or stops serving.
         handles: Issues handles for nested calls.
@@ -136,7 +137,7 @@
         return b"%d,%d,%d" % (queue.in_flight, queue.limit.value, queue.size)
 
     def announce(self, announcement: Announcement) -> bool:
-        """Apply an announcement; return False if the document does not trust it."""
+        """Apply an announcement; return False if its address is not trusted."""
         previous = self._announcement
         if not self._is_trusted(announcement.service, announcement.address):
             if previous is None or previous.address != announcement.address:
@@ -162,7 +163,7 @@
         return True
 
     def deregister(self) -> None:
-        """Stop serving: it has deregistered, or the document no longer trusts it."""
+        """Stop serving, as the server has deregistered or is no longer trusted."""
         self._announcement = None
         if self._pool is not None:
             self._pool.close_idle()
@@ -197,7 +198,8 @@
         self._metrics.queue_seconds.observe(waited)
         slot_transferred = False
         try:
-            # The key may have been withdrawn, or the server drained, in the meantime.
+            # While the call was queued, its key may have been withdrawn or the server
+            # have begun to drain.
             refusal = build_key_refusal(self._is_key_valid, call.context)
             if refusal is not None:
                 raise refusal
--- a/primroseglade/calls/call.py
+++ b/primroseglade/calls/call.py
@@ -20,7 +20,7 @@
         workspace: The workspace that makes the call.
         key: Id of the API key of the root call.
         importance: Importance class.
-        deadline: On the clock of ``time.monotonic``; the caller stops waiting then.
+        deadline: Time at which the caller stops waiting, in ``time.monotonic`` seconds.
         depth: Number of calls above this one; 0 for a root call.
         retry_tokens: Retries left for this call and its nested calls together.
         idempotent: Whether it may run more than once.
@@ -105,7 +105,7 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether it can be sent from its beginning, as a retry needs."""
+        """Whether a retry can send it from the beginning."""
         return self.content is not None or not self.started
 
 
--- a/primroseglade/calls/connections.py
+++ b/primroseglade/calls/connections.py
@@ -108,8 +108,8 @@
     def data_received(self, data: bytes) -> None:
         """Parse received bytes."""
         if self._parser is None:
-            # Bytes that belong to no request: they could not be told apart from the
-            # next response on this connection.
+            # Bytes without a request in flight: the next request on this connection
+            # would take them for its response.
             self.close()
             return
         self.first_byte_received = True
@@ -321,7 +321,7 @@
 def build_head(
     method: str, target: bytes, host: str, headers: Headers, body: Body
 ) -> bytes:
-    """Return the head of a request; its headers are not validated again."""
+    """Return the head of a request, with headers that the listener has validated."""
     lines = [b"%b %b HTTP/1.1" % (method.encode(), target), b"host: " + host.encode()]
     lines += [b"%b: %b" % header for header in headers]
     if body.length is not None:
--- a/primroseglade/calls/context.py
+++ b/primroseglade/calls/context.py
@@ -22,7 +22,7 @@
 
 
 class ContextSigner:
-    """Encodes and decodes call contexts, signed with a key of the fleet.
+    """Encodes and decodes call contexts, signed with a key that the fleet shares.
 
     Args:
         secret: The fleet secret, from which the key is derived.
@@ -44,6 +44,7 @@
         remaining_ms = max(0, int(context.remaining * 1000))
         message = pb.CallContext(
             call=context.call,
+            # The field holds a traceparent, not only the id of the root call.
             root=str(context.trace),
             workspace=context.workspace,
             key=context.key,
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -58,7 +58,7 @@
             self._balances.popitem(last=False)
 
     def try_spend(self, workspace: str) -> bool:
-        """Return whether the budget allows a retry, and spend it if so."""
+        """Spend one retry if the budget allows it, and return whether it did."""
         balance = self._balances.get(workspace, self.MAX_BALANCE)
         if balance < 1:
             return False
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -64,18 +64,18 @@
         attempt: int,
         verdict: Verdict,
     ) -> None:
-        """Record the verdict of an attempt."""
+        """Record the verdict of an attempt at the instance that ``begin`` returned."""
 
 
 class CallersEntry(Entry):
     """Serves callers: checks the key, charges the rate limit, dispatches the call.
 
     Args:
-        tools: Shared objects of the node.
+        dependencies: Objects that the entries of the node share.
         dispatcher: Dispatches the calls.
         router: Knows the nodes that serve a service, which are advertised to callers.
-        rate_limiter: Charges the workspaces.
-        recorder: Records the operations that have run.
+        rate_limiter: Charges each call against its workspace's rate.
+        recorder: Records operations that have an idempotency key.
     """
 
     listener = "callers"
@@ -151,7 +151,7 @@
                 )
             except BaseException:
                 # For example, the caller disconnected meanwhile. The reply will not
-                # be sent, so what it holds is released here.
+                # be sent, so its connection and slot are released here.
                 if reply is not None:
                     reply.close()
                 raise
@@ -241,9 +241,9 @@
     """Serves calls that other nodes relay to the backend server of this node.
 
     Args:
-        tools: Shared objects of the node.
+        dependencies: Objects that the entries of the node share.
         backend: The backend server of this node.
-        context_signer: Authenticates and decodes call contexts.
+        context_signer: Verifies and decodes call contexts.
     """
 
     listener = "relay"
@@ -294,7 +294,7 @@
     """Serves the nested calls of the backend server of this node.
 
     Args:
-        tools: Shared objects of the node.
+        dependencies: Objects that the entries of the node share.
         dispatcher: Dispatches the calls.
         handles: Maps handles to the calls in flight on the backend server.
     """
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -1,4 +1,7 @@
-"""Base class of a node's entries: replies, refusals, metrics and decision records."""
+"""Base class of a node's entries: replies, refusals, metrics and decision records.
+
+A decision record describes the outcome of a call that was refused or slow.
+"""
 
 import asyncio
 import time
@@ -20,7 +23,7 @@
     Headers,
 )
 
-# Calls that take at least this long are recorded as decisions even if they succeed.
+# Calls that take at least this long get a decision record even if they succeed.
 SLOW_CALL_SECONDS = 1.0
 
 
@@ -56,7 +59,7 @@
 
 
 class RequestRecord:
-    """What is known of a request, for its metrics, decision record and log events."""
+    """Data of a request for its metrics, decision record and log events."""
 
     __slots__ = ("call", "service", "shed", "started", "trace", "workspace")
 
@@ -99,8 +102,8 @@
             try:
                 await self._serve(exchange, record)
             except (asyncio.CancelledError, CallerDisconnectedError):
-                # The caller disconnected. What the call held has been released by
-                # now, and nobody is left to receive a response.
+                # The caller disconnected. The call's connection and slot have been
+                # released by now, and nobody is left to receive a response.
                 refusal = Refusal(Reason.CANCELLED, Verdict.MAY_HAVE_RUN)
                 self._record_outcome(record, refusal)
 
@@ -190,7 +193,7 @@
             )
 
     def _split_target(self, exchange: HttpExchange, record: RequestRecord) -> bytes:
-        """Store the service, the first segment of the path, and return the rest."""
+        """Record the service (the first path segment), and return the rest."""
         first, slash, rest = exchange.target[1:].partition(b"/")
         if not slash:
             first, question, query = first.partition(b"?")
--- a/primroseglade/calls/exchange.py
+++ b/primroseglade/calls/exchange.py
@@ -2,7 +2,7 @@
 
 The listeners for calls use ASGI directly: a response has to reach the caller with the
 headers and framing of the backend server, which the response object of a framework
-would replace. Figures are in docs/MEASUREMENTS.md.
+would replace. docs/MEASUREMENTS.md compares the CPU time per call.
 """
 
 import asyncio
@@ -114,7 +114,7 @@
 
         Raises:
             Refusal: The reply's body is truncated; the caller's connection has to be
-                aborted, lest the response look complete.
+                aborted, so that the response does not look complete.
         """
         headers = reply.headers + added
         if reply.length is not None:
@@ -169,6 +169,7 @@
             chunk, more = await self._receive_chunk()
             size += len(chunk)
             if size > self._max_body_bytes:
-                # Part of it has been sent; closing the connection cancels the call.
+                # Part of the body has been forwarded; the call is cancelled by closing
+                # the connection.
                 raise CallerDisconnectedError
             yield chunk
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -44,7 +44,7 @@
 
     @property
     def address(self) -> str:
-        """Address to which the connections lead."""
+        """Address to which the connections are opened."""
         return self._address
 
     @property
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -56,7 +56,7 @@
             The reply, and the load reported with it.
 
         Raises:
-            Refusal: From that node, or because no response arrived.
+            Refusal: Returned by the member's node, or because no response arrived.
         """
         pool = self._get_pool(member.relay)
         context = call.context
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -5,24 +5,26 @@
 
 from ..fleet.members import Member, Members, State
 
-# The maximum ejection time is twice this at first, and doubles with each ejection.
+# The first ejection lasts a random time between this and twice this. Both bounds double
+# with each further ejection.
 BASE_EJECTION_SECONDS = 2.0
 MAX_EJECTION_SECONDS = 20.0
 # Most of a service's members stay candidates however many fail: if all of them seem
-# to fail, the fault is more likely on this side.
+# to fail, the fault is more likely at this node.
 MAX_EJECTED_FRACTION = 0.3
 # Consecutive connection failures after which a member is ejected.
 FAILURES_TO_EJECT = 3
 # The weight of a reported load decreases to zero over this time; after that, only the
 # number of this node's own calls in flight counts.
 REPORTED_LOAD_MAX_AGE_SECONDS = 1.0
-# A call leaves its zone only if the utilization there is lower by more than this.
+# A call leaves its zone only if the utilization of the other zone's candidate is lower
+# by more than this.
 CROSS_ZONE_UTILIZATION_MARGIN = 0.3
 # Slow start: a backend server that has just started receives calls as if only a
 # fraction of its concurrency limit applied, which grows to 1 over this time.
 SLOW_START_SECONDS = 10.0
 MIN_SLOW_START_FRACTION = 0.1
-# Assumed for a member that has reported neither a limit nor its slots.
+# Concurrency limit assumed for a member that reported neither a limit nor slots.
 DEFAULT_SLOTS = 20
 
 
@@ -58,7 +60,8 @@
 class Router:
     """Balances calls by power of two choices, and prefers backends in the same zone.
 
-    Compares utilization, from this node's calls in flight and the last reported load.
+    Utilization is estimated from this node's calls in flight to the backend server and
+    from the load that it last reported.
 
     Args:
         members: The members of the fleet, with the services they serve.
@@ -131,7 +134,7 @@
         stats.ejections = max(0, stats.ejections - 1)
 
     def record_failure(self, stats: BackendStats) -> float:
-        """Record that the connection to a member failed, and eject it if due.
+        """Record a connection failure; eject the member after several in a row.
 
         Returns:
             Seconds for which it is ejected; 0 if it is not.
--- a/primroseglade/calls/unresponsive_connections.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -39,7 +39,7 @@
     """Monitors the requests that wait for their first response byte.
 
     If a device between the two ends drops the state of a connection, what is sent on
-    it is lost without an error, and so it is on other connections of that age. The
+    it is lost without an error, and usually on other connections of its age, too. The
     symptom is that requests on reused connections time out while new connections
     work. If requests on new connections wait too, the service is slow, and closing
     connections would only double its work.
@@ -93,7 +93,7 @@
         task.add_done_callback(self._probes.discard)
 
     async def _probe_and_replace(self, watch: Watch) -> None:
-        """Probe on a new connection, and close the old ones if only it gets a response.
+        """Probe on a new connection, and close the idle ones if it gets a response.
 
         A non-idempotent call keeps waiting: its response may still arrive, and closing
         its connection would gain nothing, since it must not be retried.
--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -13,8 +13,8 @@
 
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 5.0
-# The maximum wait is at least this multiple of the latency: a shorter one would expire
-# every call before a slot becomes free.
+# Lower bound of the maximum wait, as a multiple of the latency: a shorter wait would
+# expire every call before a slot becomes free.
 MIN_WAIT_LATENCY_RATIO = 1.5
 # With less than this fraction of the smoothed latency left, a call cannot meet its
 # deadline. Below 1, since some calls are faster.
@@ -38,7 +38,7 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Whether the call has neither been admitted nor refused."""
+        """Whether the call is still queued."""
         return not self.slot.done()
 
 
@@ -46,8 +46,8 @@
     """Return a root call's position in the shedding order.
 
     Every hop sheds the calls with the highest value first. If each hop had an order of
-    its own, a call over five hops that each shed one in five would be served one time
-    in three, and the other two would have used slots for nothing.
+    its own, a call over five hops that each shed one call in five would be served one
+    time in three; the other two times it would have used slots for nothing.
     """
     return int(root[-8:], 16)
 
@@ -57,8 +57,9 @@
 
     Higher importance classes go first. Within a class, workspaces are served round
     robin, so that one with many calls cannot starve one with few. Within a workspace
-    the oldest call goes first, unless the queue has not been empty for the maximum
-    wait: then the call goes first that other hops would shed last, too.
+    the oldest call goes first. Once the queue has been non-empty for longer than the
+    maximum wait (a standing queue), the call that is last in the shedding order, which
+    all hops share, goes first.
 
     Args:
         limit: Limits the calls in flight.
@@ -93,7 +94,7 @@
         return self._limit
 
     def replace_limit(self, limit: ConcurrencyLimit) -> None:
-        """Use another limit, as for another backend server."""
+        """Replace the concurrency limit, for example for a new backend server."""
         self._limit = limit
         self._admit_waiters()
 
@@ -129,7 +130,7 @@
                 waiter.slot.set_exception(refusal)
 
     def estimate_retry_after(self) -> float:
-        """Return seconds until a slot may be free, with jitter to spread callers."""
+        """Estimate seconds until the queue is empty, with jitter to spread retries."""
         seconds_per_call = self._limit.latency / self._limit.value
         drain_seconds = self._size * seconds_per_call
         base = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, drain_seconds))
@@ -155,10 +156,10 @@
         """Return the maximum wait of a call in seconds.
 
         Most callers do better with an early refusal and a retry. Two kinds of calls
-        wait as long as they can still meet their deadline. Critical calls are few and
-        queue only behind each other. A workspace's only queued call goes next when the
-        round robin reaches the workspace; with a shorter wait, a workspace with few
-        calls would lose them while those with many are served.
+        wait as long as they can still meet their deadline: critical calls, which are
+        few and queue only behind each other, and a workspace's only queued call, which
+        goes next when the round robin reaches the workspace. With a shorter wait, a
+        workspace with few calls would lose them while those with many are served.
         """
         is_only_call = context.workspace not in self._classes[context.importance]
         if is_only_call or context.importance is Importance.CRITICAL:
@@ -246,9 +247,9 @@
     def _is_doomed(self, context: Context) -> bool:
         """Whether a call of usual latency would miss its deadline.
 
-        Applies only while others are queued, which can make better use of the slot.
-        While there are free slots every call is tried: otherwise a service that became
-        fast again would never be noticed.
+        Applies only while other calls are queued, which can make better use of the
+        slot. With an empty queue every call is tried: otherwise the latency estimate
+        would stay high after the service became fast again.
         """
         needed_seconds = (
             MIN_REMAINING_LATENCY_RATIO * self._limit.latency if self._size else 0.0
@@ -271,7 +272,7 @@
         return waiter
 
     def _is_standing(self) -> bool:
-        """Whether the queue has not been empty for the maximum wait."""
+        """Whether the queue has been non-empty for longer than the maximum wait."""
         standing_since = self._standing_since
         return (
             standing_since is not None
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -3,7 +3,7 @@
 # Applied when shed calls or the latency show that the limit is too high. A tenth less,
 # as in TCP's gentler variants.
 DECREASE_FACTOR = 0.9
-# Many calls of one overload fail together; they lower the limit once within this time.
+# Many calls fail together in one overload; they lower the limit once in this time.
 MIN_DECREASE_INTERVAL_SECONDS = 0.1
 MIN_LIMIT = 1.0
 # Without announced slots, a latency above this multiple of the baseline shows that
@@ -74,7 +74,7 @@
         self._decrease(now)
 
     def _update_baseline(self, seconds: float) -> None:
-        """Lower the limit periodically, and take the lowest latency as baseline."""
+        """Lower the limit periodically, and take the lowest latency then as baseline."""
         if self._baseline_samples_left:
             self._lowest_latency = min(self._lowest_latency, seconds)
             self._baseline_samples_left -= 1
@@ -86,7 +86,7 @@
         if self._calls_until_baseline <= 0:
             self._calls_until_baseline = CALLS_PER_BASELINE
             self._limit = max(MIN_LIMIT, self._limit * BASELINE_LIMIT_RATIO)
-            # Includes calls that began before the limit was lowered.
+            # Enough samples, although the first calls began before the limit was lowered.
             self._baseline_samples_left = 4 * self.value
             self._lowest_latency = float("inf")
 
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -47,7 +47,7 @@
 
     Args:
         settings: Settings of this process.
-        network: Reachability of addresses; tests inject partitions.
+        network: Reachability of addresses; tests inject network partitions.
     """
 
     def __init__(self, settings: NodeSettings, network: Network | None = None):
@@ -82,7 +82,7 @@
 
     @property
     def confirmer(self) -> Confirmer:
-        """Collects which configuration the instances have."""
+        """Collects from all instances which configuration they have."""
         return self._confirmer
 
     @property
@@ -97,7 +97,7 @@
 
     @property
     def decisions(self) -> Decisions:
-        """Recorded decisions on refused and slow calls."""
+        """Records of refused and slow calls."""
         return self._decisions
 
     @property
@@ -112,7 +112,7 @@
 
     @property
     def backend(self) -> BackendServer:
-        """The backend server beside this node."""
+        """The local backend server of this node."""
         return self._backend
 
     @property
@@ -234,7 +234,7 @@
         await self._log.close()
 
     async def _load_state(self) -> None:
-        """Load configuration and members from the log, or from peers without it."""
+        """Load configuration and members from the log, else from peers."""
         contacts = list(self._settings.seeds)
         try:
             async with asyncio.timeout(START_TIMEOUT_SECONDS):
--- a/primroseglade/rates/bucket.py
+++ b/primroseglade/rates/bucket.py
@@ -2,8 +2,8 @@
 
 The tokens in the bucket and the outstanding ones, which were granted and may still be
 spent, never exceed the burst together. So the tokens spent in any window are at most
-those that were in the bucket or outstanding at its start, plus those that accrued in
-it: burst + rate × time.
+those that were in the bucket or outstanding at its start, plus those that accrued
+during it: burst + rate × time.
 """
 
 import itertools
@@ -28,8 +28,8 @@
         rate: Tokens per second.
         burst: Maximum number of tokens, in the bucket and outstanding.
         now: Seconds on the caller's clock.
-        blocked_until: Time until which a previous holder's grants may be spent. Until
-            then they are assumed to be the whole burst.
+        blocked_until: Time at which a previous holder's last grant expires. Until then
+            nothing is granted, as the previous grants may be for the whole burst.
     """
 
     _ids = itertools.count(1)
@@ -62,7 +62,7 @@
         return now > self._blocked_until
 
     def update(self, rate: float, burst: float, now: float) -> None:
-        """Update the rate and burst from now on."""
+        """Accrue up to now at the old rate, then apply the new rate and burst."""
         self.accrue(now)
         self._rate = rate
         self._burst = burst
@@ -98,8 +98,9 @@
     def record_spent(self, grant_id: int, now: float, tokens: float = math.inf) -> None:
         """Record that some or all tokens of a grant were spent.
 
-        If spent tokens stayed outstanding until their grant expires, a burst smaller
-        than the tokens spent in that time would limit the rate.
+        Otherwise spent tokens would count against the burst until their grant expires,
+        and a burst smaller than the tokens spent in a grant's lifetime would limit the
+        rate.
         """
         self.accrue(now)
         grant = self._outstanding.get(grant_id)
@@ -115,7 +116,7 @@
         return next(cls._ids)
 
     def get_wait_seconds(self, tokens: float) -> float:
-        """Return seconds until this many tokens are available."""
+        """Return seconds until this many tokens are available, infinite at rate 0."""
         missing = tokens - self._level
         blocked_seconds = max(0.0, self._blocked_until - self._updated_at)
         return (
--- a/primroseglade/rates/coordinator.py
+++ b/primroseglade/rates/coordinator.py
@@ -16,13 +16,13 @@
 
 
 class RateCoordinator:
-    """Wires the components of rate limiting and applies the document to them.
+    """Wires the components of rate limiting and applies the configuration to them.
 
     Args:
         settings: Settings of the node.
         members: Members of the fleet.
         configuration: Holds the configuration document.
-        confirmer: Collects which configuration the instances have.
+        confirmer: Collects from all instances which configuration they have.
         client: Sends control messages to other nodes.
         journal: Logs acquired and lost leases.
         metrics: Counts tokens and leases.
@@ -76,7 +76,7 @@
 
     @property
     def holder(self) -> Holder:
-        """Grants the rate tokens for which this instance holds the lease."""
+        """Grants tokens of the partitions that are leased to this instance."""
         return self._holder
 
     @property
@@ -96,7 +96,7 @@
         supervisor.start("shares", self._zone_share.run)
 
     def apply_document(self) -> None:
-        """Apply the rates and shares in the document."""
+        """Apply the rates and shares in the configuration document."""
         self._zone_share.apply_document()
         self._holder.apply_entitlements()
 
--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -15,21 +15,23 @@
 from .token_reserve import ROUNDING_TOLERANCE, TokenBatch
 
 LOAN_TIMEOUT_SECONDS = 0.25
-# Demand over the zone's own rate is borrowed for this time ahead.
+# Borrowing ahead covers the demand above the zone's own rate for this time.
 BORROW_AHEAD_SECONDS = 0.3
-# Maximum fraction of the bucket's level in one grant, so that some remains for the
-# next node.
+# Maximum fraction of the bucket's level that one grant takes, so that some remains for
+# other nodes.
 MAX_GRANT_RATIO = 0.5
 MAX_RETRY_AFTER_SECONDS = 5.0
-# If enough was lent but other requests took it, another loan is requested immediately.
+# Rounds of loans per request: if enough was lent but other requests took the tokens,
+# the next round follows immediately.
 MAX_LOAN_ROUNDS = 3
-# If a round of loans brings less than a token for a workspace whose demand is over this
-# multiple of its rate, calls are refused without another round for a short time.
+# If a round of loans yields less than a token and the workspace's demand is above this
+# multiple of its rate, no loans are requested for the time of the pause.
 OVER_RATE_FACTOR = 1.1
 BORROWING_PAUSE_SECONDS = 0.05
 # Requests of a workspace within its rate wait at most this long for a token to accrue.
 MAX_ACCRUAL_WAIT_SECONDS = 0.1
-# Grants made of loans that no node has reported spent yet; older ones have expired.
+# Maximum number of grants of borrowed tokens that are tracked until a node reports them
+# spent. Beyond it the oldest are dropped; they have expired.
 MAX_TRACKED_GRANTS = 1024
 MIN_RETRY_AFTER_SECONDS = 0.05
 
@@ -42,7 +44,7 @@
         partitions: Ranks the instances that should hold each partition.
         candidate: Keeps the leases of this instance.
         client: Sends requests to other zones' holders.
-        get_entitlement: Returns a workspace's rate in this zone, None if it has none.
+        get_entitlement: Returns a workspace's rates and burst, None if it has no limit.
         grant_lifetime: Seconds in which granted tokens may be spent.
     """
 
@@ -116,7 +118,8 @@
                 # fractions back and forth between zones, and delay the denial.
                 state.borrowing_paused_until = read_clock() + BORROWING_PAUSE_SECONDS
         if reply is None and not state.bucket.is_unblocked(read_clock()):
-            # The workspace is not over its rate; this holder may not grant yet.
+            # Not a denial: this holder must not grant before its predecessor's grants
+            # have expired, so it replies as if it were not the holder.
             return pb.GrantReply(holder=False)
         if reply is None and not self._is_over_rate(state):
             reply = await self._wait_for_accrual(request, state)
@@ -168,7 +171,8 @@
         bucket = state.bucket
         bucket.accrue(now)
         max_tokens = math.floor(min(wanted, max(1.0, bucket.level * MAX_GRANT_RATIO)))
-        # Borrowed tokens first: they expire, the zone's own tokens do not.
+        # The zone's own tokens are granted only if none are borrowed: borrowed tokens
+        # expire, those in the bucket do not.
         if bucket.level >= 1 and state.borrowed.count(now) < 1:
             grant = bucket.grant(max_tokens, self._grant_lifetime, now)
             assert grant is not None
@@ -183,7 +187,7 @@
     def _grant_borrowed(
         self, state: WorkspaceTokens, wanted: float, now: float
     ) -> pb.GrantReply | None:
-        """Grant borrowed tokens, completed from the own bucket to whole tokens."""
+        """Grant whole tokens: borrowed ones, topped up from this zone's bucket."""
         bucket = state.bucket
         available = state.borrowed.count(now) + bucket.level
         whole_tokens = math.floor(min(wanted, available) + ROUNDING_TOLERANCE)
@@ -218,10 +222,9 @@
         )
 
     def _borrow_ahead(self, workspace: str, state: WorkspaceTokens) -> None:
-        """Borrow before the own bucket is empty, if demand is over the own rate.
+        """Start to borrow before this zone's bucket is empty, if demand exceeds its rate.
 
-        Otherwise this zone's bucket would empty while those of other zones are full
-        and can accrue no more tokens.
+        Until it borrows, other zones' buckets may be full and accrue no more tokens.
         """
         tokens_to_borrow = (
             state.demand.estimate() - state.bucket.rate
@@ -265,7 +268,7 @@
         """Borrow from other zones, in one task for all waiting requests.
 
         Returns:
-            Whether enough was lent.
+            Whether all missing tokens were lent.
         """
         if state.borrow_task is None or state.borrow_task.done():
             missing = max(1.0, wanted) - state.bucket.level
@@ -277,7 +280,14 @@
     async def _request_loans(
         self, workspace: str, state: WorkspaceTokens, missing: float
     ) -> bool:
-        """Request equal loans from all zones, then the rest from one after another."""
+        """Request loans from other zones, and add them to the borrowed tokens.
+
+        Each zone is asked for an equal part of the missing tokens at the same time;
+        what is still missing then is requested from one lender after another.
+
+        Returns:
+            Whether all missing tokens were lent.
+        """
         own_zone = self._members.own.zone
         zones = _shuffle(set(self._members.zones) - {own_zone})
         if not zones:
@@ -325,15 +335,15 @@
         except PeerError:
             # Tokens in a lost reply cannot be spent; they expire at the lender.
             return None
-        # Counted from before the request was sent, so that they expire here before
-        # they expire at the lender.
+        # The lifetime is counted from before the request was sent, so that the tokens
+        # expire here before they expire at the lender.
         expires_at = sent_at + reply.life_ms / 1000
         if reply.tokens <= 0:
             return None
         return TokenBatch(reply.loan, reply.tokens, expires_at, zone)
 
     def _find_state(self, workspace: str) -> WorkspaceTokens | None:
-        """Return the workspace's tokens if this instance now holds their lease."""
+        """Return the state of a workspace's tokens, None without a lease or rate."""
         lease = self._candidate.find_lease(get_partition(workspace))
         entitlement = self._get_entitlement(workspace)
         if lease is None or entitlement is None:
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -1,6 +1,7 @@
-"""Leases on partitions of workspaces: at most one holder per zone, without the log.
+"""Leases on partitions of workspaces, each with at most one holder in a zone.
 
-Each partition has five electors, selected by rendezvous hashing. An elector votes for
+Instances of the zone elect the holder, independently of the configuration log. Each
+partition has five electors, selected by rendezvous hashing. An elector votes for
 one candidate at a time, for the duration of a lease. A holder needs four votes (fewer
 in a small zone): even if nodes with different views of the members see sets of electors
 that differ by up to two, any two majorities share a voter.
@@ -54,7 +55,7 @@
         self._ranking = ZoneRanking(members)
 
     def rank(self, zone: str, partition: int) -> list[str]:
-        """Return the partition's electors, the one that should hold it first."""
+        """Return the partition's electors; the first one should hold its lease."""
         return self._ranking.get(zone, f"rates/{partition}", ELECTORS_PER_PARTITION)
 
 
@@ -145,8 +146,8 @@
             is_bound = last_vote.candidate != candidate and last_vote.expires_at > now
             if is_bound or ballot.epoch < last_vote.epoch:
                 return False
-        # Members in the smaller part of a partitioned zone see the others as dead, and
-        # would select electors among themselves: only the larger part votes.
+        # If the network splits the zone, members in the smaller part see the others as
+        # dead and would select electors among themselves: only the larger part votes.
         reachable, total = self._members.count_electorate(zone)
         if 2 * reachable <= total and total > 1:
             return False
@@ -170,7 +171,7 @@
         partitions: Ranks the electors of each partition.
         elector: This instance's own elector.
         client: Sends vote requests to other electors.
-        get_partitions: Returns the partitions that contain a workspace.
+        get_partitions: Returns the partitions that contain a rate-limited workspace.
         on_acquired: Called with each new lease, but not on renewals.
         lease_seconds: Duration of a lease.
         journal: Logs acquired and lost leases.
@@ -320,8 +321,8 @@
         return list(reply.votes)
 
     def _store_lease(self, partition: int, epoch: int, sent_at: float) -> None:
-        # Counted from before the request was sent, so that the lease expires here
-        # before the vote expires at any elector.
+        # The duration is counted from before the request was sent, so that the lease
+        # expires here before the vote expires at any elector.
         expires_at = sent_at + self._lease_seconds
         if expires_at <= read_clock():
             return
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -1,4 +1,4 @@
-"""Limits the rate of a node's root calls, with tokens requested slightly ahead."""
+"""Limits the rate of root calls at a node, with tokens prefetched from holders."""
 
 import asyncio
 import math
@@ -18,14 +18,14 @@
 from .token_reserve import TokenBatch, TokenReserve
 
 GRANT_TIMEOUT_SECONDS = 0.6
-# Each request asks for the tokens of this time; more would be unused at one node while
-# another one refuses calls.
+# Each request asks for the tokens that the node's demand needs for this time. If it
+# asked for more, tokens would be unused at one node while another refuses calls.
 PREFETCH_SECONDS = 0.1
 DEMAND_SMOOTHING_SECONDS = 0.5
 MAX_LOCAL_HOLDERS = 2
 NO_HOLDER_RETRY_AFTER_SECONDS = 1.0
-# A lost holder is replaced within the duration of a lease. Calls wait part of that time
-# before they are refused.
+# While no holder can be reached, calls wait at most this long before they are refused:
+# part of the lease duration, within which a lost holder is replaced.
 MAX_HANDOVER_WAIT_SECONDS = 1.0
 HOLDER_RETRY_SECONDS = 0.1
 # Time for which a holder's denial also applies to the node's other calls.
@@ -99,7 +99,8 @@
             max_wait: Maximum time to wait for a token, in seconds.
 
         Raises:
-            Refusal: ``not run``: no token, or no holder can be reached.
+            Refusal: ``not run``: the workspace is over its rate, ``max_wait`` passed,
+                or no holder can be reached.
         """
         rate = self._get_rate(workspace)
         if rate is None:
@@ -149,11 +150,11 @@
             state.waiting_calls -= 1
 
     def _is_holder_unreachable(self, state: WorkspaceState) -> bool:
-        """Whether no holder was reached, as while one is being replaced."""
+        """Whether the last refill reached no holder, as while one is replaced."""
         return state.denial is not None and state.denial.retry_after < 0
 
     def _raise_denial(self, state: WorkspaceState) -> None:
-        """Refuse the call, unless tokens arrived but other calls spent them."""
+        """Raise the last refill's denial; return if it got tokens that others spent."""
         denial = state.denial
         if denial is None:
             return
--- a/primroseglade/rates/quota.py
+++ b/primroseglade/rates/quota.py
@@ -8,7 +8,7 @@
 from .clock import read_clock
 from .token_reserve import TokenReserve
 
-# Long enough that a single call does not count as demand.
+# Long enough that a single call does not look like lasting demand.
 DEMAND_SMOOTHING_SECONDS = 2.0
 
 
@@ -39,11 +39,11 @@
 
 
 class LoanPart:
-    """A number of tokens of one loan.
+    """Tokens taken from one loan.
 
     Args:
         zone: Zone of the holder that lent them.
-        loan: The loan's number at that holder.
+        loan: Id of the loan, assigned by that holder.
         tokens: Number of tokens.
     """
 
@@ -74,7 +74,7 @@
         self.fleet_rate = fleet_rate
         self.borrowed = TokenReserve()
         self.demand = DemandEstimator(DEMAND_SMOOTHING_SECONDS)
-        # Loans that a grant was made of, by grant, until a node reports it spent.
+        # Parts of loans that make up a grant, by grant id, until it is reported spent.
         self.loans_by_grant: collections.OrderedDict[int, list[LoanPart]] = (
             collections.OrderedDict()
         )
@@ -85,7 +85,10 @@
 
 
 class Entitlement:
-    """A workspace's rate and burst in one zone, and its rate in the whole fleet."""
+    """A workspace's rate and burst in one zone, and its rate in the whole fleet.
+
+    Rates are in tokens per second, the burst in tokens.
+    """
 
     __slots__ = ("burst", "fleet_rate", "rate")
 
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -11,18 +11,18 @@
 
 
 class ZoneShare:
-    """Applies a smaller share at once, a larger one when every instance confirmed it.
+    """Applies a smaller share at once, a larger one once all instances confirm it.
 
-    When a share moves from one zone to another, both would spend it until the first
-    has received the change. So the second waits until every instance has confirmed the
-    change. A zone that is partitioned off does not confirm: the moved share remains
+    If part of a share moves from one zone to another, both could spend it until the
+    losing zone has received the change. So the gaining zone waits until every instance
+    has confirmed the change. A zone that is partitioned off does not confirm: the moved share remains
     unused until the zone is back, or until its instances are removed from the members.
 
     Args:
         zone: Availability zone of this instance.
         configuration: Holds the configuration document.
         confirmer: Collects confirmations from the fleet.
-        on_change: Called when another share is in force.
+        on_change: Called when the share in force may have changed.
     """
 
     def __init__(
@@ -42,12 +42,15 @@
 
     @property
     def share(self) -> float:
-        """The share in force."""
+        """The share in force, as a fraction of every rate."""
         return self._share or 0.0
 
     @property
     def awaited_offset(self) -> int | None:
-        """Offset to be confirmed before the share is raised, or None."""
+        """Offset in the configuration log that precedes a raise of the share, or None.
+
+        The share is raised once all instances have confirmed this offset.
+        """
         return self._awaited_offset
 
     def activate(self, reported_shares: list[float]) -> None:
--- a/primroseglade/rates/token_reserve.py
+++ b/primroseglade/rates/token_reserve.py
@@ -14,7 +14,7 @@
         grant: Its id, to report it spent; a loan is a grant of the lender.
         tokens: How many are left.
         expires_at: When they expire.
-        source: Control address of who granted them, or the lending zone.
+        source: Control address of the granting holder, or the lending zone.
     """
 
     __slots__ = ("expires_at", "grant", "source", "tokens")
