--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -74,7 +74,7 @@
         self._decrease(now)
 
     def _update_baseline(self, seconds: float) -> None:
-        """Lower the limit periodically, and take the lowest latency then as baseline."""
+        """Lower the limit periodically, and use the lowest latency as baseline."""
         if self._baseline_samples_left:
             self._lowest_latency = min(self._lowest_latency, seconds)
             self._baseline_samples_left -= 1
@@ -86,7 +86,8 @@
         if self._calls_until_baseline <= 0:
             self._calls_until_baseline = CALLS_PER_BASELINE
             self._limit = max(MIN_LIMIT, self._limit * BASELINE_LIMIT_RATIO)
-            # Enough samples, although the first calls began before the limit was lowered.
+            # A multiple of the limit, as the first of these calls began before it was
+            # lowered.
             self._baseline_samples_left = 4 * self.value
             self._lowest_latency = float("inf")
 
--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -1,9 +1,10 @@
 """Adaptive throttling: refuses calls early that a later hop would shed.
 
-A call that is shed at its fourth hop has used a slot at three others. Each node therefore counts,
-per service, workspace and importance class, how many of its calls were shed recently,
-and limits the calls it admits to a multiple of the accepted ones. Enough calls are
-still shed to detect the end of the overload, and few enough that little work is wasted.
+A call that is shed at its fourth hop has used a slot at three others. Each node
+therefore counts, per service, workspace and importance class, how many of its calls
+were shed recently, and limits the calls it admits to a multiple of the accepted ones.
+Enough calls are still shed to detect the end of the overload, and few enough that
+little work is wasted.
 This is the adaptive throttling of Google's "Site Reliability Engineering" (2016),
 chapter 21, with two changes. Calls are refused in the shedding order that all hops
 share, not at random. And as classes and workspaces are counted separately, throttling
@@ -22,8 +23,8 @@
 # Calls are admitted up to this multiple of the accepted ones.
 ACCEPTED_CALLS_MULTIPLE = 2.0
 WINDOW_SECONDS = 0.5
-# Calls admitted in addition: without these, a workspace that had no call accepted for some
-# time would be refused for good.
+# Calls admitted in addition: without these, a workspace that had no call accepted for
+# some time would be refused for good.
 PROBES_PER_WINDOW = 1.0
 # With fewer calls in the window, the fraction would be noise, and all are admitted.
 MIN_CALLS = 5.0
--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -222,7 +222,7 @@
         )
 
     def _borrow_ahead(self, workspace: str, state: WorkspaceTokens) -> None:
-        """Start to borrow before this zone's bucket is empty, if demand exceeds its rate.
+        """Borrow before this zone's bucket is empty, if demand exceeds its rate.
 
         Until it borrows, other zones' buckets may be full and accrue no more tokens.
         """
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -15,8 +15,9 @@
 
     If part of a share moves from one zone to another, both could spend it until the
     losing zone has received the change. So the gaining zone waits until every instance
-    has confirmed the change. A zone that is partitioned off does not confirm: the moved share remains
-    unused until the zone is back, or until its instances are removed from the members.
+    has confirmed the change. A zone that is partitioned off does not confirm: the moved
+    part remains unused until the zone is back, or until its instances are removed from
+    the members.
 
     Args:
         zone: Availability zone of this instance.
