--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -338,7 +338,7 @@
             "limit": self._queue.limit.value,
             "queued": self._queue.size,
             "latency": round(self._queue.limit.latency, 6),
-            "connections": self._pool.open if self._pool else 0,
+            "connections": self._pool.open_count if self._pool else 0,
         }
 
 
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -193,8 +193,10 @@
     def _try_reserve_retry(
         self, call: Call, refusal: Refusal, excluded: set[str]
     ) -> bool:
-        lost = refusal.reason in CONNECTION_FAILURE_REASONS and call.context.idempotent
-        if not lost and refusal.reason not in RETRYABLE_REASONS:
+        retryable_failure = (
+            refusal.reason in CONNECTION_FAILURE_REASONS and call.context.idempotent
+        )
+        if not retryable_failure and refusal.reason not in RETRYABLE_REASONS:
             return False
         if refusal.verdict is not Verdict.NOT_RUN and not call.context.idempotent:
             return False
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -95,7 +95,7 @@
         self._recorder = recorder
 
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
-        record.trace, trace = self._read_trace(exchange)
+        record.trace_id, trace = self._read_trace(exchange)
         self._check_ready()
         target = self._split_target(exchange, record)
         context = self._authenticate(exchange, record, trace, target)
@@ -209,8 +209,8 @@
     ) -> float:
         text = exchange.get_header(TIMEOUT_MS)
         if not text:
-            known = document.services[service].timeout
-            return known or self._dependencies.settings.timeouts.call
+            configured_timeout = document.services[service].timeout
+            return configured_timeout or self._dependencies.settings.timeouts.call
         if not text.isdecimal() or not 0 < int(text) <= MAX_TIMEOUT_SECONDS * 1000:
             name = TIMEOUT_MS.decode()
             raise not_run(Reason.MALFORMED_REQUEST, f"invalid number of ms in {name}")
@@ -229,7 +229,7 @@
 
     def _build_headers(self, record: RequestRecord) -> Headers:
         headers = super()._build_headers(record)
-        headers.append((b"primroseglade-trace", record.trace.encode()))
+        headers.append((b"primroseglade-trace", record.trace_id.encode()))
         # Only callers with a valid key receive addresses of nodes.
         nodes = self._router.find_nodes(record.service, MAX_ADVERTISED_NODES)
         if nodes and record.workspace:
@@ -265,7 +265,7 @@
                 Reason.CONTEXT_INVALID, "this address accepts only calls from nodes"
             )
         context = self._context_signer.read(value)
-        record.trace, record.workspace = context.root, context.workspace
+        record.trace_id, record.workspace = context.root, context.workspace
         self._check_ready()
         target = self._split_target(exchange, record)
         self._check_key(context)
@@ -311,7 +311,7 @@
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         handle = exchange.get_header(HANDLE).encode("latin-1")
         parent = self._handles.find_context(handle)
-        record.trace, record.workspace = parent.root, parent.workspace
+        record.trace_id, record.workspace = parent.root, parent.workspace
         target = self._split_target(exchange, record)
         path = target.partition(b"?")[0].decode("latin-1")
         service = record.service
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -61,7 +61,7 @@
 class RequestRecord:
     """Data of a request for its metrics, decision record and log events."""
 
-    __slots__ = ("call", "service", "shed", "started", "trace", "workspace")
+    __slots__ = ("call", "service", "shed", "started", "trace_id", "workspace")
 
     def __init__(self) -> None:
         self.started = time.monotonic()
@@ -69,7 +69,7 @@
         self.shed = False
         self.service = ""
         self.workspace = ""
-        self.trace = ""
+        self.trace_id = ""
 
     @property
     def seconds(self) -> float:
@@ -124,7 +124,9 @@
             )
         except Exception as error:
             text = f"{type(error).__name__}: {error}"
-            self._dependencies.journal.emit(CALL_FAILED, error=text, trace=record.trace)
+            self._dependencies.journal.emit(
+                CALL_FAILED, error=text, trace=record.trace_id
+            )
             refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error of the node")
             self._record_outcome(record, refusal)
             if exchange.started:
@@ -170,7 +172,7 @@
         if refusal is None and seconds < SLOW_CALL_SECONDS:
             return
         decision = Decision(
-            trace=record.trace,
+            trace=record.trace_id,
             listener=self.listener,
             service=record.service,
             workspace=record.workspace,
@@ -187,7 +189,7 @@
                 CALL_REFUSED,
                 reason=outcome,
                 verdict=refusal.verdict.value,
-                trace=record.trace,
+                trace=record.trace_id,
                 service=record.service,
                 workspace=record.workspace,
             )
@@ -208,5 +210,7 @@
     def _is_idempotent(self, exchange: HttpExchange, service: str, path: str) -> bool:
         if exchange.method in IDEMPOTENT_METHODS:
             return True
-        known = self._dependencies.configuration.document.services[service]
-        return path.startswith(known.idempotent) if known.idempotent else False
+        definition = self._dependencies.configuration.document.services[service]
+        return (
+            path.startswith(definition.idempotent) if definition.idempotent else False
+        )
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -48,7 +48,7 @@
         return self._address
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Number of open connections."""
         return self._open
 
@@ -109,10 +109,10 @@
             return False
 
     def _pop_idle(self) -> Connection | None:
-        idle_since_limit = asyncio.get_running_loop().time() - MAX_IDLE_SECONDS
+        min_idle_since = asyncio.get_running_loop().time() - MAX_IDLE_SECONDS
         while self._idle:
             connection = self._idle.pop()
-            if connection.reusable and connection.idle_since > idle_since_limit:
+            if connection.reusable and connection.idle_since > min_idle_since:
                 return connection
             self._discard(connection)
         return None
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -66,23 +66,25 @@
         try:
             async with asyncio.timeout(context.remaining):
                 connection = await pool.acquire()
-                carried = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
+                passed_on_tokens = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
                 headers = [
                     *call.headers,
                     (
                         CONTEXT,
-                        self._context_signer.write(context, member.instance, carried),
+                        self._context_signer.write(
+                            context, member.instance, passed_on_tokens
+                        ),
                     ),
                     (TRACEPARENT, context.traceparent),
                 ]
                 target = b"/" + call.service.encode() + call.target
                 head = build_head(call.method, target, pool.address, headers, call.body)
-                context.retry_tokens -= carried
+                context.retry_tokens -= passed_on_tokens
                 sent = True
                 response = await connection.exchange(
                     head, call.body, call.method == "HEAD"
                 )
-            context.retry_tokens += _parse_returned_tokens(response, carried)
+            context.retry_tokens += _parse_returned_tokens(response, passed_on_tokens)
             refusal = self._parse_refusal(response, connection)
             if refusal is not None:
                 raise refusal
@@ -161,7 +163,7 @@
         return pool
 
 
-def _parse_returned_tokens(response: Response, carried: int) -> int:
+def _parse_returned_tokens(response: Response, passed_on_tokens: int) -> int:
     """Return the number of retry tokens returned, at most those passed on."""
     value = find_header(response.headers, RETRY_TOKENS)
-    return min(int(value), carried) if value.isdigit() else 0
+    return min(int(value), passed_on_tokens) if value.isdigit() else 0
--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -74,7 +74,7 @@
         self._in_flight = 0
         self._size = 0
         self._standing_since: float | None = None
-        self._classes: dict[
+        self._queues: dict[
             Importance, collections.OrderedDict[str, collections.deque[Waiter]]
         ] = {level: collections.OrderedDict() for level in Importance}
 
@@ -161,7 +161,7 @@
         goes next when the round robin reaches the workspace. With a shorter wait, a
         workspace with few calls would lose them while those with many are served.
         """
-        is_only_call = context.workspace not in self._classes[context.importance]
+        is_only_call = context.workspace not in self._queues[context.importance]
         if is_only_call or context.importance is Importance.CRITICAL:
             return max(0.0, context.remaining - self._limit.latency)
         min_wait = MIN_WAIT_LATENCY_RATIO * self._limit.latency
@@ -200,7 +200,7 @@
         for level in Importance:
             if level > context.importance:
                 return None
-            queues = self._classes[level]
+            queues = self._queues[level]
             if not queues:
                 continue
             largest = max(queues, key=lambda name: len(queues[name]))
@@ -218,13 +218,13 @@
     def _add(self, waiter: Waiter) -> None:
         if not self._size:
             self._standing_since = waiter.arrived_at
-        queues = self._classes[waiter.context.importance]
+        queues = self._queues[waiter.context.importance]
         queue = queues.setdefault(waiter.context.workspace, collections.deque())
         queue.append(waiter)
         self._size += 1
 
     def _remove(self, waiter: Waiter) -> None:
-        queues = self._classes[waiter.context.importance]
+        queues = self._queues[waiter.context.importance]
         queue = queues.get(waiter.context.workspace)
         if queue is None or waiter not in queue:
             return
@@ -258,9 +258,7 @@
 
     def _pop_next(self) -> Waiter:
         queues = next(
-            self._classes[level]
-            for level in reversed(Importance)
-            if self._classes[level]
+            self._queues[level] for level in reversed(Importance) if self._queues[level]
         )
         workspace, queue = next(iter(queues.items()))
         waiter = (
@@ -280,6 +278,6 @@
         )
 
     def _iterate_waiters(self) -> Iterator[Waiter]:
-        for queues in self._classes.values():
+        for queues in self._queues.values():
             for queue in queues.values():
                 yield from queue
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -22,7 +22,7 @@
 # asked for more, tokens would be unused at one node while another refuses calls.
 PREFETCH_SECONDS = 0.1
 DEMAND_SMOOTHING_SECONDS = 0.5
-MAX_LOCAL_HOLDERS = 2
+MAX_SAME_ZONE_HOLDERS = 2
 NO_HOLDER_RETRY_AFTER_SECONDS = 1.0
 # While no holder can be reached, calls wait at most this long before they are refused:
 # part of the lease duration, within which a lost holder is replaced.
@@ -231,7 +231,7 @@
         """Return addresses and names of possible holders, this zone's first."""
         own_zone = self._members.own.zone
         partition = get_partition(workspace)
-        names = self._partitions.rank(own_zone, partition)[:MAX_LOCAL_HOLDERS]
+        names = self._partitions.rank(own_zone, partition)[:MAX_SAME_ZONE_HOLDERS]
         zones = sorted(set(self._members.zones) - {own_zone})
         random.shuffle(zones)
         for zone in zones:
--- a/primroseglade/rates/quota.py
+++ b/primroseglade/rates/quota.py
@@ -19,12 +19,12 @@
         seconds: Time constant of the decay.
     """
 
-    __slots__ = ("_at", "_rate", "_seconds")
+    __slots__ = ("_rate", "_seconds", "_updated_at")
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self._rate = 0.0
-        self._at = read_clock()
+        self._updated_at = read_clock()
 
     def record(self, tokens: float) -> None:
         """Record tokens requested now."""
@@ -33,8 +33,8 @@
     def estimate(self) -> float:
         """Return the current demand in tokens per second."""
         now = read_clock()
-        self._rate *= math.exp((self._at - now) / self._seconds)
-        self._at = now
+        self._rate *= math.exp((self._updated_at - now) / self._seconds)
+        self._updated_at = now
         return self._rate
 
 
