--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -177,7 +177,7 @@
     def _record_refusal(self, member: Member, refusal: Refusal) -> None:
         stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
-            # Treat it as full, whatever load it last reported.
+            # Treat the member as full, regardless of the load it last reported.
             stats.reported_calls = max(
                 stats.reported_calls, stats.concurrency_limit or member.slots or 1
             )
--- a/primroseglade/calls/unresponsive_connections.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -93,7 +93,7 @@
         task.add_done_callback(self._probes.discard)
 
     async def _probe_and_replace(self, watch: Watch) -> None:
-        """Probe on a new connection, and close the idle ones if it gets a response.
+        """Probe on a new connection; close the idle ones if only the probe succeeds.
 
         A non-idempotent call keeps waiting: its response may still arrive, and closing
         its connection would gain nothing, since it must not be retried.
--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -77,7 +77,7 @@
                 del self._states[workspace]
 
     def apply_entitlements(self) -> None:
-        """Apply the document's rates to the buckets."""
+        """Apply the rates in the configuration document to the buckets."""
         now = read_clock()
         for workspace, state in list(self._states.items()):
             entitlement = self._get_entitlement(workspace)
@@ -224,7 +224,8 @@
     def _borrow_ahead(self, workspace: str, state: WorkspaceTokens) -> None:
         """Borrow before this zone's bucket is empty, if demand exceeds its rate.
 
-        Until it borrows, other zones' buckets may be full and accrue no more tokens.
+        Waiting until it is empty would waste tokens: other zones' full buckets accrue
+        none.
         """
         tokens_to_borrow = (
             state.demand.estimate() - state.bucket.rate
--- a/primroseglade/rates/limiter.py
+++ b/primroseglade/rates/limiter.py
@@ -154,7 +154,10 @@
         return state.denial is not None and state.denial.retry_after < 0
 
     def _raise_denial(self, state: WorkspaceState) -> None:
-        """Raise the last refill's denial; return if it got tokens that others spent."""
+        """Raise the last refill's denial, if any.
+
+        Without a denial the refill got tokens, but other calls have spent them.
+        """
         denial = state.denial
         if denial is None:
             return
--- a/primroseglade/rates/shares.py
+++ b/primroseglade/rates/shares.py
@@ -48,9 +48,9 @@
 
     @property
     def awaited_offset(self) -> int | None:
-        """Offset in the configuration log that precedes a raise of the share, or None.
+        """Offset in the configuration log that instances have to reach, or None.
 
-        The share is raised once all instances have confirmed this offset.
+        A larger share comes into force once all instances have confirmed this offset.
         """
         return self._awaited_offset
 
@@ -66,7 +66,7 @@
         self.apply_document()
 
     def apply_document(self) -> None:
-        """Apply the document's share, or await confirmations of a larger one."""
+        """Apply the configured share, or await confirmations of a larger one."""
         if self._share is None:
             return
         configured_share = self._get_configured_share()
