--- a/primroseglade/limits/admission.py
+++ b/primroseglade/limits/admission.py
@@ -76,7 +76,7 @@
         self._standing_since: float | None = None
         self._queues: dict[
             Importance, collections.OrderedDict[str, collections.deque[Waiter]]
-        ] = {level: collections.OrderedDict() for level in Importance}
+        ] = {importance: collections.OrderedDict() for importance in Importance}
 
     @property
     def in_flight(self) -> int:
@@ -197,15 +197,15 @@
         victim.slot.set_exception(self._build_refusal(victim.context))
 
     def _find_victim(self, context: Context) -> Waiter | None:
-        for level in Importance:
-            if level > context.importance:
+        for importance in Importance:
+            if importance > context.importance:
                 return None
-            queues = self._queues[level]
+            queues = self._queues[importance]
             if not queues:
                 continue
             largest = max(queues, key=lambda name: len(queues[name]))
             victim = max(queues[largest], key=lambda waiter: waiter.shed_order)
-            if level < context.importance:
+            if importance < context.importance:
                 return victim
             own_calls = len(queues.get(context.workspace, ())) + 1
             if largest != context.workspace and len(queues[largest]) > own_calls:
@@ -258,7 +258,9 @@
 
     def _pop_next(self) -> Waiter:
         queues = next(
-            self._queues[level] for level in reversed(Importance) if self._queues[level]
+            self._queues[importance]
+            for importance in reversed(Importance)
+            if self._queues[importance]
         )
         workspace, queue = next(iter(queues.items()))
         waiter = (
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -200,7 +200,7 @@
         self._journal = journal
         self._metrics = metrics
         self._leases: dict[int, Lease] = {}
-        self._epochs: dict[int, int] = {}
+        self._highest_epochs: dict[int, int] = {}
         self._is_stopping = False
 
     @property
@@ -263,15 +263,15 @@
             if not electors or electors[0] != self._members.own.instance:
                 continue
             lease = self.find_lease(partition)
-            epoch = lease.epoch if lease else self._epochs.get(partition, 0) + 1
+            epoch = lease.epoch if lease else self._highest_epochs.get(partition, 0) + 1
             ballot = pb.Ballot(
                 partition=partition, epoch=epoch, electors=hash_electors(electors)
             )
             ballots[partition] = (ballot, electors)
         sent_at = read_clock()
-        granted = await self._collect_votes(zone, ballots)
+        vote_counts = await self._collect_votes(zone, ballots)
         for partition, (ballot, electors) in ballots.items():
-            if granted.get(partition, 0) >= count_quorum(len(electors)):
+            if vote_counts.get(partition, 0) >= count_quorum(len(electors)):
                 self._store_lease(partition, ballot.epoch, sent_at)
         self._metrics.leases.set(len(self._leases))
 
@@ -289,14 +289,14 @@
                 for name, elector_ballots in ballots_by_elector.items()
             )
         )
-        granted: dict[int, int] = {}
+        vote_counts: dict[int, int] = {}
         for votes in replies:
             for vote in votes:
-                highest_epoch = self._epochs.get(vote.partition, 0)
-                self._epochs[vote.partition] = max(highest_epoch, vote.epoch)
+                highest_epoch = self._highest_epochs.get(vote.partition, 0)
+                self._highest_epochs[vote.partition] = max(highest_epoch, vote.epoch)
                 if vote.granted:
-                    granted[vote.partition] = granted.get(vote.partition, 0) + 1
-        return granted
+                    vote_counts[vote.partition] = vote_counts.get(vote.partition, 0) + 1
+        return vote_counts
 
     async def _request_votes(
         self, zone: str, elector: str, ballots: list[pb.Ballot]
