--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -5,6 +5,7 @@
 were shed recently, and limits the calls it admits to a multiple of the accepted ones.
 Enough calls are still shed to detect the end of the overload, and few enough that
 little work is wasted.
+
 This is the adaptive throttling of Google's "Site Reliability Engineering" (2016),
 chapter 21, with two changes. Calls are refused in the shedding order that all hops
 share, not at random. And as classes and workspaces are counted separately, throttling
@@ -26,7 +27,7 @@
 # Calls admitted in addition: without these, a workspace that had no call accepted for
 # some time would be refused for good.
 PROBES_PER_WINDOW = 1.0
-# With fewer calls in the window, the fraction would be noise, and all are admitted.
+# With fewer calls in the window, the admitted fraction would be noise; all are admitted.
 MIN_CALLS = 5.0
 # Number of different values of hash_root.
 HASH_RANGE = 1 << 32
