--- a/primroseglade/rates/holder.py
+++ b/primroseglade/rates/holder.py
@@ -15,7 +15,7 @@
 from .token_reserve import ROUNDING_TOLERANCE, TokenBatch
 
 LOAN_TIMEOUT_SECONDS = 0.25
-# Tokens borrowed ahead cover the demand above the zone's own rate for this long.
+# Loans ahead of time cover the demand above the zone's own rate for this long.
 BORROW_AHEAD_SECONDS = 0.3
 # Maximum fraction of the bucket's level that one grant takes, so that some remains for
 # other nodes.
