--- a/primroseglade/limits/throttle.py
+++ b/primroseglade/limits/throttle.py
@@ -27,7 +27,7 @@
 # Calls admitted in addition: without these, a workspace that had no call accepted for
 # some time would be refused for good.
 PROBES_PER_WINDOW = 1.0
-# With fewer calls in the window, the admitted fraction would be noise; all are admitted.
+# With fewer calls in the window, all are admitted: the fraction would be noise.
 MIN_CALLS = 5.0
 # Number of different values of hash_root.
 HASH_RANGE = 1 << 32
