--- a/primroseglade/calls/backend.py
+++ b/primroseglade/calls/backend.py
@@ -68,7 +68,8 @@
 
     Args:
         settings: Limits and timeouts.
-        is_trusted: Returns whether the document trusts an address for a service.
+        is_trusted: Returns whether the configuration document trusts an address for a
+            service.
         is_key_valid: Returns whether a key of a workspace is valid.
         on_change: Called when the backend server starts or stops serving.
         handles: Issues handles for nested calls.
@@ -136,10 +137,10 @@
         return b"%d,%d,%d" % (queue.in_flight, queue.limit.value, queue.size)
 
     def announce(self, announcement: Announcement) -> bool:
-        """Apply an announcement; return False if the document does not trust it."""
-        known = self._announcement
+        """Apply an announcement; return False if its address is not trusted."""
+        previous = self._announcement
         if not self._is_trusted(announcement.service, announcement.address):
-            if known is None or known.address != announcement.address:
+            if previous is None or previous.address != announcement.address:
                 self._journal.emit(
                     BACKEND_REFUSED,
                     service=announcement.service,
@@ -147,11 +148,11 @@
                 )
             return False
         was_serving = self.serving
-        is_new = known is None or known.address != announcement.address
+        is_new = previous is None or previous.address != announcement.address
         self._announcement = announcement
         if is_new:
             self._replace_pool(announcement)
-        elif known is not None and known.slots != announcement.slots:
+        elif previous is not None and previous.slots != announcement.slots:
             self._queue.replace_limit(self._build_limit(announcement))
         if is_new or was_serving != self.serving:
             event = BACKEND_ANNOUNCED if self.serving else BACKEND_DRAINING
@@ -162,7 +163,7 @@
         return True
 
     def deregister(self) -> None:
-        """Stop serving: it has deregistered, or the document no longer trusts it."""
+        """Stop serving, as the server has deregistered or is no longer trusted."""
         self._announcement = None
         if self._pool is not None:
             self._pool.close_idle()
@@ -197,7 +198,8 @@
         self._metrics.queue_seconds.observe(waited)
         slot_transferred = False
         try:
-            # The key may have been withdrawn, or the server drained, in the meantime.
+            # While the call was queued, its key may have been withdrawn or the server
+            # have begun to drain.
             refusal = build_key_refusal(self._is_key_valid, call.context)
             if refusal is not None:
                 raise refusal
@@ -283,10 +285,10 @@
             )
         return response
 
-    def _report_unresponsive(self, pool: Pool, idle_closed: int) -> None:
+    def _report_unresponsive(self, pool: Pool, idle_closed_count: int) -> None:
         self._metrics.silent_connections.inc()
         self._journal.emit(
-            BACKEND_UNRESPONSIVE, address=pool.address, idle_closed=idle_closed
+            BACKEND_UNRESPONSIVE, address=pool.address, idle_closed=idle_closed_count
         )
 
     def _record_latency(self, response: Response, started: float) -> None:
@@ -336,7 +338,7 @@
             "limit": self._queue.limit.value,
             "queued": self._queue.size,
             "latency": round(self._queue.limit.latency, 6),
-            "connections": self._pool.open if self._pool else 0,
+            "connections": self._pool.open_count if self._pool else 0,
         }
 
 
--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -58,7 +58,7 @@
             self._balances.popitem(last=False)
 
     def try_spend(self, workspace: str) -> bool:
-        """Return whether the budget allows a retry, and spend it if so."""
+        """Spend one retry if the budget allows it, and return whether it did."""
         balance = self._balances.get(workspace, self.MAX_BALANCE)
         if balance < 1:
             return False
@@ -177,9 +177,9 @@
     def _record_refusal(self, member: Member, refusal: Refusal) -> None:
         stats = self._router.get_stats(member.instance)
         if refusal.reason is Reason.OVERLOADED:
-            # Treat it as full, whatever load it last reported.
-            stats.reported_load = max(
-                stats.reported_load, stats.concurrency_limit or member.slots or 1
+            # Treat the member as full, regardless of the load it last reported.
+            stats.reported_calls = max(
+                stats.reported_calls, stats.concurrency_limit or member.slots or 1
             )
             stats.reported_at = time.monotonic()
         if refusal.reason not in CONNECTION_FAILURE_REASONS:
@@ -193,8 +193,10 @@
     def _try_reserve_retry(
         self, call: Call, refusal: Refusal, excluded: set[str]
     ) -> bool:
-        lost = refusal.reason in CONNECTION_FAILURE_REASONS and call.context.idempotent
-        if not lost and refusal.reason not in RETRYABLE_REASONS:
+        retryable_failure = (
+            refusal.reason in CONNECTION_FAILURE_REASONS and call.context.idempotent
+        )
+        if not retryable_failure and refusal.reason not in RETRYABLE_REASONS:
             return False
         if refusal.verdict is not Verdict.NOT_RUN and not call.context.idempotent:
             return False
--- a/primroseglade/calls/entries.py
+++ b/primroseglade/calls/entries.py
@@ -15,7 +15,7 @@
 from ..verdicts import LOAD_SHEDDING_REASONS, not_run, Reason, Refusal, Verdict
 from .backend import BackendServer
 from .call import Body, Call, Context, Reply
-from .context import ContextSeal
+from .context import ContextSigner
 from .dispatch import Dispatcher
 from .entry import Entry, EntryDependencies, RequestRecord
 from .exchange import HttpExchange
@@ -58,24 +58,24 @@
 
     async def finish(
         self,
-        holder: str,
+        instance: str,
         workspace: str,
         operation: str,
         attempt: int,
         verdict: Verdict,
     ) -> None:
-        """Record the verdict of an attempt."""
+        """Record the verdict of an attempt at the instance that ``begin`` returned."""
 
 
 class CallersEntry(Entry):
     """Serves callers: checks the key, charges the rate limit, dispatches the call.
 
     Args:
-        tools: Shared objects of the node.
+        dependencies: Objects that the entries of the node share.
         dispatcher: Dispatches the calls.
         router: Knows the nodes that serve a service, which are advertised to callers.
-        rate_limiter: Charges the workspaces.
-        recorder: Records the operations that have run.
+        rate_limiter: Charges each call against its workspace's rate.
+        recorder: Records operations that have an idempotency key.
     """
 
     listener = "callers"
@@ -95,7 +95,7 @@
         self._recorder = recorder
 
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
-        record.trace, trace = self._read_trace(exchange)
+        record.trace_id, trace = self._read_trace(exchange)
         self._check_ready()
         target = self._split_target(exchange, record)
         context = self._authenticate(exchange, record, trace, target)
@@ -135,7 +135,7 @@
     async def _run_recorded(self, call: Call, operation: str, attempt: int) -> Reply:
         """Run an operation unless it has run before, and record its verdict."""
         workspace = call.context.workspace
-        holder = await self._recorder.begin(workspace, operation, attempt)
+        recording_instance = await self._recorder.begin(workspace, operation, attempt)
         verdict = Verdict.MAY_HAVE_RUN
         reply: Reply | None = None
         try:
@@ -147,11 +147,11 @@
         finally:
             try:
                 await self._recorder.finish(
-                    holder, workspace, operation, attempt, verdict
+                    recording_instance, workspace, operation, attempt, verdict
                 )
             except BaseException:
                 # For example, the caller disconnected meanwhile. The reply will not
-                # be sent, so what it holds is released here.
+                # be sent, so its connection and slot are released here.
                 if reply is not None:
                     reply.close()
                 raise
@@ -209,8 +209,8 @@
     ) -> float:
         text = exchange.get_header(TIMEOUT_MS)
         if not text:
-            known = document.services[service].timeout
-            return known or self._dependencies.settings.timeouts.call
+            configured_timeout = document.services[service].timeout
+            return configured_timeout or self._dependencies.settings.timeouts.call
         if not text.isdecimal() or not 0 < int(text) <= MAX_TIMEOUT_SECONDS * 1000:
             name = TIMEOUT_MS.decode()
             raise not_run(Reason.MALFORMED_REQUEST, f"invalid number of ms in {name}")
@@ -229,7 +229,7 @@
 
     def _build_headers(self, record: RequestRecord) -> Headers:
         headers = super()._build_headers(record)
-        headers.append((b"primroseglade-trace", record.trace.encode()))
+        headers.append((b"primroseglade-trace", record.trace_id.encode()))
         # Only callers with a valid key receive addresses of nodes.
         nodes = self._router.find_nodes(record.service, MAX_ADVERTISED_NODES)
         if nodes and record.workspace:
@@ -241,19 +241,22 @@
     """Serves calls that other nodes relay to the backend server of this node.
 
     Args:
-        tools: Shared objects of the node.
+        dependencies: Objects that the entries of the node share.
         backend: The backend server of this node.
-        seal: Authenticates and decodes call contexts.
+        context_signer: Verifies and decodes call contexts.
     """
 
     listener = "relay"
 
     def __init__(
-        self, dependencies: EntryDependencies, backend: BackendServer, seal: ContextSeal
+        self,
+        dependencies: EntryDependencies,
+        backend: BackendServer,
+        context_signer: ContextSigner,
     ):
         super().__init__(dependencies)
         self._backend = backend
-        self._seal = seal
+        self._context_signer = context_signer
 
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         value = exchange.get_header(CONTEXT).encode("latin-1")
@@ -261,8 +264,8 @@
             raise not_run(
                 Reason.CONTEXT_INVALID, "this address accepts only calls from nodes"
             )
-        context = self._seal.read(value)
-        record.trace, record.workspace = context.root, context.workspace
+        context = self._context_signer.read(value)
+        record.trace_id, record.workspace = context.root, context.workspace
         self._check_ready()
         target = self._split_target(exchange, record)
         self._check_key(context)
@@ -291,7 +294,7 @@
     """Serves the nested calls of the backend server of this node.
 
     Args:
-        tools: Shared objects of the node.
+        dependencies: Objects that the entries of the node share.
         dispatcher: Dispatches the calls.
         handles: Maps handles to the calls in flight on the backend server.
     """
@@ -308,7 +311,7 @@
     async def _handle(self, exchange: HttpExchange, record: RequestRecord) -> None:
         handle = exchange.get_header(HANDLE).encode("latin-1")
         parent = self._handles.find_context(handle)
-        record.trace, record.workspace = parent.root, parent.workspace
+        record.trace_id, record.workspace = parent.root, parent.workspace
         target = self._split_target(exchange, record)
         path = target.partition(b"?")[0].decode("latin-1")
         service = record.service
--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -1,4 +1,7 @@
-"""Base class of a node's entries: replies, refusals, metrics and decision records."""
+"""Base class of a node's entries: replies, refusals, metrics and decision records.
+
+A decision record describes the outcome of a call that was refused or slow.
+"""
 
 import asyncio
 import time
@@ -20,7 +23,7 @@
     Headers,
 )
 
-# Calls that take at least this long are recorded as decisions even if they succeed.
+# Calls that take at least this long get a decision record even if they succeed.
 SLOW_CALL_SECONDS = 1.0
 
 
@@ -29,7 +32,7 @@
 
     __slots__ = (
         "configuration",
-        "decisions",
+        "decision_records",
         "in_flight",
         "journal",
         "metrics",
@@ -44,21 +47,21 @@
         journal: Journal,
         metrics: Metrics,
         tracer: Tracer,
-        decisions: Decisions,
+        decision_records: Decisions,
     ):
         self.settings = settings
         self.configuration = configuration
         self.journal = journal
         self.metrics = metrics
         self.tracer = tracer
-        self.decisions = decisions
+        self.decision_records = decision_records
         self.in_flight = InFlight()
 
 
 class RequestRecord:
-    """What is known of a request, for its metrics, decision record and log events."""
+    """Data of a request for its metrics, decision record and log events."""
 
-    __slots__ = ("call", "service", "shed", "started", "trace", "workspace")
+    __slots__ = ("call", "service", "shed", "started", "trace_id", "workspace")
 
     def __init__(self) -> None:
         self.started = time.monotonic()
@@ -66,7 +69,7 @@
         self.shed = False
         self.service = ""
         self.workspace = ""
-        self.trace = ""
+        self.trace_id = ""
 
     @property
     def seconds(self) -> float:
@@ -99,8 +102,8 @@
             try:
                 await self._serve(exchange, record)
             except (asyncio.CancelledError, CallerDisconnectedError):
-                # The caller disconnected. What the call held has been released by
-                # now, and nobody is left to receive a response.
+                # The caller disconnected. The call's connection and slot have been
+                # released by now, and nobody is left to receive a response.
                 refusal = Refusal(Reason.CANCELLED, Verdict.MAY_HAVE_RUN)
                 self._record_outcome(record, refusal)
 
@@ -121,7 +124,9 @@
             )
         except Exception as error:
             text = f"{type(error).__name__}: {error}"
-            self._dependencies.journal.emit(CALL_FAILED, error=text, trace=record.trace)
+            self._dependencies.journal.emit(
+                CALL_FAILED, error=text, trace=record.trace_id
+            )
             refusal = may_have_run(Reason.ANSWER_BROKEN, "internal error of the node")
             self._record_outcome(record, refusal)
             if exchange.started:
@@ -167,7 +172,7 @@
         if refusal is None and seconds < SLOW_CALL_SECONDS:
             return
         decision = Decision(
-            trace=record.trace,
+            trace=record.trace_id,
             listener=self.listener,
             service=record.service,
             workspace=record.workspace,
@@ -178,19 +183,19 @@
             next_offset=dependencies.configuration.next_offset,
             seconds=round(seconds, 6),
         )
-        dependencies.decisions.add(decision)
+        dependencies.decision_records.add(decision)
         if refusal is not None:
             dependencies.journal.emit(
                 CALL_REFUSED,
                 reason=outcome,
                 verdict=refusal.verdict.value,
-                trace=record.trace,
+                trace=record.trace_id,
                 service=record.service,
                 workspace=record.workspace,
             )
 
     def _split_target(self, exchange: HttpExchange, record: RequestRecord) -> bytes:
-        """Store the service, the first segment of the path, and return the rest."""
+        """Record the service (the first path segment), and return the rest."""
         first, slash, rest = exchange.target[1:].partition(b"/")
         if not slash:
             first, question, query = first.partition(b"?")
@@ -205,5 +210,7 @@
     def _is_idempotent(self, exchange: HttpExchange, service: str, path: str) -> bool:
         if exchange.method in IDEMPOTENT_METHODS:
             return True
-        known = self._dependencies.configuration.document.services[service]
-        return path.startswith(known.idempotent) if known.idempotent else False
+        definition = self._dependencies.configuration.document.services[service]
+        return (
+            path.startswith(definition.idempotent) if definition.idempotent else False
+        )
--- a/primroseglade/calls/relay.py
+++ b/primroseglade/calls/relay.py
@@ -10,7 +10,7 @@
 from ..verdicts import may_have_run, not_run, Reason, Refusal
 from .call import Call, Reply
 from .connections import build_head, Connection, iterate_until_deadline, Response
-from .context import ContextSeal
+from .context import ContextSigner
 from .headers import (
     CONTEXT,
     filter_response_headers,
@@ -33,14 +33,16 @@
 
     Args:
         settings: Limits and timeouts.
-        seal: Signs call contexts.
+        context_signer: Signs call contexts.
         network: Injects network partitions in tests.
     """
 
-    def __init__(self, settings: NodeSettings, seal: ContextSeal, network: Network):
+    def __init__(
+        self, settings: NodeSettings, context_signer: ContextSigner, network: Network
+    ):
         self._network = network
         self._settings = settings
-        self._seal = seal
+        self._context_signer = context_signer
         self._pools: dict[str, Pool] = {}
 
     async def send(self, call: Call, member: Member) -> tuple[Reply, bytes]:
@@ -54,7 +56,7 @@
             The reply, and the load reported with it.
 
         Raises:
-            Refusal: From that node, or because no response arrived.
+            Refusal: Returned by the member's node, or because no response arrived.
         """
         pool = self._get_pool(member.relay)
         context = call.context
@@ -64,20 +66,25 @@
         try:
             async with asyncio.timeout(context.remaining):
                 connection = await pool.acquire()
-                carried = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
+                passed_on_tokens = max(0, context.retry_tokens - RETRY_TOKENS_KEPT)
                 headers = [
                     *call.headers,
-                    (CONTEXT, self._seal.write(context, member.instance, carried)),
+                    (
+                        CONTEXT,
+                        self._context_signer.write(
+                            context, member.instance, passed_on_tokens
+                        ),
+                    ),
                     (TRACEPARENT, context.traceparent),
                 ]
                 target = b"/" + call.service.encode() + call.target
                 head = build_head(call.method, target, pool.address, headers, call.body)
-                context.retry_tokens -= carried
+                context.retry_tokens -= passed_on_tokens
                 sent = True
                 response = await connection.exchange(
                     head, call.body, call.method == "HEAD"
                 )
-            context.retry_tokens += _parse_returned_tokens(response, carried)
+            context.retry_tokens += _parse_returned_tokens(response, passed_on_tokens)
             refusal = self._parse_refusal(response, connection)
             if refusal is not None:
                 raise refusal
@@ -108,7 +115,7 @@
             if connection is not None and not is_streamed:
                 pool.release(connection)
 
-    def remove(self, address: str) -> None:
+    def remove_pool(self, address: str) -> None:
         """Close the idle connections to a node and remove their pool."""
         pool = self._pools.pop(address, None)
         if pool is not None:
@@ -117,7 +124,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for address in list(self._pools):
-            self.remove(address)
+            self.remove_pool(address)
 
     def _parse_refusal(
         self, response: Response, connection: Connection
@@ -152,11 +159,11 @@
         # The most recently used pool is the last.
         self._pools[address] = pool
         while len(self._pools) > MAX_POOLS:
-            self.remove(next(iter(self._pools)))
+            self.remove_pool(next(iter(self._pools)))
         return pool
 
 
-def _parse_returned_tokens(response: Response, carried: int) -> int:
+def _parse_returned_tokens(response: Response, passed_on_tokens: int) -> int:
     """Return the number of retry tokens returned, at most those passed on."""
     value = find_header(response.headers, RETRY_TOKENS)
-    return min(int(value), carried) if value.isdigit() else 0
+    return min(int(value), passed_on_tokens) if value.isdigit() else 0
--- a/primroseglade/calls/unresponsive_connections.py
+++ b/primroseglade/calls/unresponsive_connections.py
@@ -12,7 +12,7 @@
 LATENCY_MULTIPLIER = 4.0
 # The service itself counts as slow if a call on a new connection waits for longer than
 # this fraction of the first-byte timeout.
-NEW_CONNECTION_TIMEOUT_FRACTION = 0.5
+SLOW_SERVICE_TIMEOUT_FRACTION = 0.5
 
 OnUnresponsive = Callable[[Pool, int], None]
 
@@ -39,7 +39,7 @@
     """Monitors the requests that wait for their first response byte.
 
     If a device between the two ends drops the state of a connection, what is sent on
-    it is lost without an error, and so it is on other connections of that age. The
+    it is lost without an error, and usually on other connections of its age, too. The
     symptom is that requests on reused connections time out while new connections
     work. If requests on new connections wait too, the service is slow, and closing
     connections would only double its work.
@@ -93,7 +93,7 @@
         task.add_done_callback(self._probes.discard)
 
     async def _probe_and_replace(self, watch: Watch) -> None:
-        """Probe on a new connection, and close the old ones if only it gets a response.
+        """Probe on a new connection; close the idle ones if only the probe succeeds.
 
         A non-idempotent call keeps waiting: its response may still arrive, and closing
         its connection would gain nothing, since it must not be retried.
@@ -112,7 +112,7 @@
         """Return whether calls on new connections have to wait as well."""
         oldest = (
             time.monotonic()
-            - NEW_CONNECTION_TIMEOUT_FRACTION * self._get_first_byte_timeout()
+            - SLOW_SERVICE_TIMEOUT_FRACTION * self._get_first_byte_timeout()
         )
         return any(
             watch.pool is pool
--- a/primroseglade/limits/concurrency.py
+++ b/primroseglade/limits/concurrency.py
@@ -3,7 +3,7 @@
 # Applied when shed calls or the latency show that the limit is too high. A tenth less,
 # as in TCP's gentler variants.
 DECREASE_FACTOR = 0.9
-# Many calls of one overload fail together; they lower the limit once within this time.
+# Many calls fail together in one overload; they lower the limit once in this time.
 MIN_DECREASE_INTERVAL_SECONDS = 0.1
 MIN_LIMIT = 1.0
 # Without announced slots, a latency above this multiple of the baseline shows that
@@ -31,7 +31,7 @@
         self._baseline = 0.0
         self._latency = 0.0
         self._calls_until_baseline = CALLS_PER_BASELINE
-        self._baseline_calls_left = 0
+        self._baseline_samples_left = 0
         self._lowest_latency = float("inf")
         self._decreased_at = -float("inf")
 
@@ -62,7 +62,7 @@
                 self._increase()
             return
         self._update_baseline(seconds)
-        if self._baseline_calls_left or not is_used_up:
+        if self._baseline_samples_left or not is_used_up:
             return
         if self._latency > MAX_LATENCY_RATIO * self._baseline:
             self._decrease(now)
@@ -74,11 +74,11 @@
         self._decrease(now)
 
     def _update_baseline(self, seconds: float) -> None:
-        """Lower the limit periodically, and take the lowest latency as baseline."""
-        if self._baseline_calls_left:
+        """Lower the limit periodically, and use the lowest latency as baseline."""
+        if self._baseline_samples_left:
             self._lowest_latency = min(self._lowest_latency, seconds)
-            self._baseline_calls_left -= 1
-            if not self._baseline_calls_left:
+            self._baseline_samples_left -= 1
+            if not self._baseline_samples_left:
                 self._baseline = self._lowest_latency
             return
         self._baseline = min(self._baseline, self._latency)
@@ -86,8 +86,9 @@
         if self._calls_until_baseline <= 0:
             self._calls_until_baseline = CALLS_PER_BASELINE
             self._limit = max(MIN_LIMIT, self._limit * BASELINE_LIMIT_RATIO)
-            # Includes calls that began before the limit was lowered.
-            self._baseline_calls_left = 4 * self.value
+            # A multiple of the limit, as the first of these calls began before it was
+            # lowered.
+            self._baseline_samples_left = 4 * self.value
             self._lowest_latency = float("inf")
 
     def _increase(self) -> None:
--- a/primroseglade/rates/lease.py
+++ b/primroseglade/rates/lease.py
@@ -1,6 +1,7 @@
-"""Leases on partitions of workspaces: at most one holder per zone, without the log.
+"""Leases on partitions of workspaces, each with at most one holder in a zone.
 
-Each partition has five electors, selected by rendezvous hashing. An elector votes for
+Instances of the zone elect the holder, independently of the configuration log. Each
+partition has five electors, selected by rendezvous hashing. An elector votes for
 one candidate at a time, for the duration of a lease. A holder needs four votes (fewer
 in a small zone): even if nodes with different views of the members see sets of electors
 that differ by up to two, any two majorities share a voter.
@@ -54,7 +55,7 @@
         self._ranking = ZoneRanking(members)
 
     def rank(self, zone: str, partition: int) -> list[str]:
-        """Return the partition's electors, the one that should hold it first."""
+        """Return the partition's electors; the first one should hold its lease."""
         return self._ranking.get(zone, f"rates/{partition}", ELECTORS_PER_PARTITION)
 
 
@@ -138,20 +139,20 @@
         self, zone: str, ballot: pb.Ballot, candidate: str, last_vote: CastVote | None
     ) -> bool:
         now = self._clock()
-        own = self._members.own
-        if now < self._abstains_until or zone != own.zone:
+        own_member = self._members.own
+        if now < self._abstains_until or zone != own_member.zone:
             return False
         if last_vote is not None:
             is_bound = last_vote.candidate != candidate and last_vote.expires_at > now
             if is_bound or ballot.epoch < last_vote.epoch:
                 return False
-        # Members in the smaller part of a partitioned zone see the others as dead, and
-        # would select electors among themselves: only the larger part votes.
+        # If the network splits the zone, members in the smaller part see the others as
+        # dead and would select electors among themselves: only the larger part votes.
         reachable, total = self._members.count_electorate(zone)
         if 2 * reachable <= total and total > 1:
             return False
         electors = self._partitions.rank(zone, ballot.partition)
-        if own.instance not in electors:
+        if own_member.instance not in electors:
             return False
         return hash_electors(electors) == ballot.electors
 
@@ -170,7 +171,7 @@
         partitions: Ranks the electors of each partition.
         elector: This instance's own elector.
         client: Sends vote requests to other electors.
-        get_partitions: Returns the partitions that contain a workspace.
+        get_partitions: Returns the partitions that contain a rate-limited workspace.
         on_acquired: Called with each new lease, but not on renewals.
         lease_seconds: Duration of a lease.
         journal: Logs acquired and lost leases.
@@ -199,7 +200,7 @@
         self._journal = journal
         self._metrics = metrics
         self._leases: dict[int, Lease] = {}
-        self._epochs: dict[int, int] = {}
+        self._highest_epochs: dict[int, int] = {}
         self._is_stopping = False
 
     @property
@@ -262,15 +263,15 @@
             if not electors or electors[0] != self._members.own.instance:
                 continue
             lease = self.find_lease(partition)
-            epoch = lease.epoch if lease else self._epochs.get(partition, 0) + 1
+            epoch = lease.epoch if lease else self._highest_epochs.get(partition, 0) + 1
             ballot = pb.Ballot(
                 partition=partition, epoch=epoch, electors=hash_electors(electors)
             )
             ballots[partition] = (ballot, electors)
         sent_at = read_clock()
-        granted = await self._collect_votes(zone, ballots)
+        vote_counts = await self._collect_votes(zone, ballots)
         for partition, (ballot, electors) in ballots.items():
-            if granted.get(partition, 0) >= count_quorum(len(electors)):
+            if vote_counts.get(partition, 0) >= count_quorum(len(electors)):
                 self._store_lease(partition, ballot.epoch, sent_at)
         self._metrics.leases.set(len(self._leases))
 
@@ -288,21 +289,23 @@
                 for name, elector_ballots in ballots_by_elector.items()
             )
         )
-        granted: dict[int, int] = {}
+        vote_counts: dict[int, int] = {}
         for votes in replies:
             for vote in votes:
-                known = self._epochs.get(vote.partition, 0)
-                self._epochs[vote.partition] = max(known, vote.epoch)
+                highest_epoch = self._highest_epochs.get(vote.partition, 0)
+                self._highest_epochs[vote.partition] = max(highest_epoch, vote.epoch)
                 if vote.granted:
-                    granted[vote.partition] = granted.get(vote.partition, 0) + 1
-        return granted
+                    vote_counts[vote.partition] = vote_counts.get(vote.partition, 0) + 1
+        return vote_counts
 
     async def _request_votes(
         self, zone: str, elector: str, ballots: list[pb.Ballot]
     ) -> list[pb.Vote]:
-        own = self._members.own.instance
-        if elector == own:
-            return [self._elector.vote(zone, ballot, own) for ballot in ballots]
+        own_instance = self._members.own.instance
+        if elector == own_instance:
+            return [
+                self._elector.vote(zone, ballot, own_instance) for ballot in ballots
+            ]
         return await self._send(elector, pb.VoteRequest(zone=zone, ballots=ballots))
 
     async def _send(self, elector: str, request: pb.VoteRequest) -> list[pb.Vote]:
@@ -318,8 +321,8 @@
         return list(reply.votes)
 
     def _store_lease(self, partition: int, epoch: int, sent_at: float) -> None:
-        # Counted from before the request was sent, so that the lease expires here
-        # before the vote expires at any elector.
+        # The duration is counted from before the request was sent, so that the lease
+        # expires here before the vote expires at any elector.
         expires_at = sent_at + self._lease_seconds
         if expires_at <= read_clock():
             return
--- a/primroseglade/rates/quota.py
+++ b/primroseglade/rates/quota.py
@@ -8,7 +8,7 @@
 from .clock import read_clock
 from .token_reserve import TokenReserve
 
-# Long enough that a single call does not count as demand.
+# Long enough that a single call does not look like lasting demand.
 DEMAND_SMOOTHING_SECONDS = 2.0
 
 
@@ -19,12 +19,12 @@
         seconds: Time constant of the decay.
     """
 
-    __slots__ = ("_at", "_rate", "_seconds")
+    __slots__ = ("_rate", "_seconds", "_updated_at")
 
     def __init__(self, seconds: float) -> None:
         self._seconds = seconds
         self._rate = 0.0
-        self._at = read_clock()
+        self._updated_at = read_clock()
 
     def record(self, tokens: float) -> None:
         """Record tokens requested now."""
@@ -33,17 +33,17 @@
     def estimate(self) -> float:
         """Return the current demand in tokens per second."""
         now = read_clock()
-        self._rate *= math.exp((self._at - now) / self._seconds)
-        self._at = now
+        self._rate *= math.exp((self._updated_at - now) / self._seconds)
+        self._updated_at = now
         return self._rate
 
 
 class LoanPart:
-    """A number of tokens of one loan.
+    """Tokens taken from one loan.
 
     Args:
         zone: Zone of the holder that lent them.
-        loan: The loan's number at that holder.
+        loan: Id of the loan, assigned by that holder.
         tokens: Number of tokens.
     """
 
@@ -55,7 +55,7 @@
         self.tokens = tokens
 
 
-class WorkspaceQuota:
+class WorkspaceTokens:
     """A workspace's tokens in this zone: its bucket and tokens lent by other zones."""
 
     __slots__ = (
@@ -74,7 +74,7 @@
         self.fleet_rate = fleet_rate
         self.borrowed = TokenReserve()
         self.demand = DemandEstimator(DEMAND_SMOOTHING_SECONDS)
-        # Loans that a grant was made of, by grant, until a node reports it spent.
+        # Parts of loans that make up a grant, by grant id, until it is reported spent.
         self.loans_by_grant: collections.OrderedDict[int, list[LoanPart]] = (
             collections.OrderedDict()
         )
@@ -85,7 +85,10 @@
 
 
 class Entitlement:
-    """A workspace's rate and burst in one zone, and its rate in the whole fleet."""
+    """A workspace's rate and burst in one zone, and its rate in the whole fleet.
+
+    Rates are in tokens per second, the burst in tokens.
+    """
 
     __slots__ = ("burst", "fleet_rate", "rate")
 
