--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -9,7 +9,7 @@
 from primroseglade.emulator.rate_plays import (
     add_callers,
     CallOutcomes,
-    count_ideal,
+    count_ideal_admissions,
     count_tolerated_calls,
     Demand,
     WARM_UP_SECONDS,
@@ -52,7 +52,7 @@
         self.worst_window_ratio = (
             calls.get_max_calls_per_window() / count_tolerated_calls(rate, rate)
         )
-        ideal = count_ideal(calls.arrivals, rate, rate)
+        ideal = count_ideal_admissions(calls.arrivals, rate, rate)
         self.served_ratio = len(calls.admitted) / max(1, ideal)
         waits = sorted(calls.wait_seconds)
         self.p99_wait_ms = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
@@ -61,11 +61,11 @@
 def simulate_scenario(name: str, node_count: int, seed: int) -> list[WorkspaceResult]:
     """Simulate a scenario with one workspace for each rate and demand."""
     scenario = build_scenarios()[name]
-    lead_seconds = WARM_UP_SECONDS if scenario.first_start else 0.0
+    warm_up_seconds = WARM_UP_SECONDS if scenario.first_start else 0.0
     partitions = [
         NetworkPartition(
-            partition.start + lead_seconds,
-            partition.end + lead_seconds,
+            partition.start + warm_up_seconds,
+            partition.end + warm_up_seconds,
             partition.get_side,
         )
         for partition in scenario.partitions
@@ -74,7 +74,7 @@
     fleet = RateFleet(zones, seed, partitions, scenario.first_start)
     for event_time, event in scenario.events:
         fleet.simulation.schedule(
-            lead_seconds + event_time, lambda event=event: event(fleet)
+            warm_up_seconds + event_time, lambda event=event: event(fleet)
         )
     workspace_calls = []
     for rate in RATES_PER_SECOND:
@@ -86,12 +86,12 @@
                 fleet,
                 tenant,
                 demand,
-                lead_seconds,
-                lead_seconds + CALLS_SECONDS,
+                warm_up_seconds,
+                warm_up_seconds + CALLS_SECONDS,
                 range(node_count),
             )
             workspace_calls.append((demand_name, rate, calls))
-    fleet.simulation.run(lead_seconds + CALLS_SECONDS)
+    fleet.simulation.run(warm_up_seconds + CALLS_SECONDS)
     return [
         WorkspaceResult(demand, rate, calls) for demand, rate, calls in workspace_calls
     ]
--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -60,9 +60,11 @@
         self._zones = zones
         self._partitions = partitions
         self._rng = rng
-        self._reconnects = [rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones]
+        self._reconnect_seconds = [
+            rng.uniform(0.05, MAX_RECONNECT_SECONDS) for _ in zones
+        ]
         #: Start time of each node's process; infinite while it is down.
-        self.started = [math.inf] * len(zones)
+        self.started_at = [math.inf] * len(zones)
         #: Time until which each node's process is frozen.
         self.frozen_until = [0.0] * len(zones)
 
@@ -74,7 +76,7 @@
     def is_running(self, node: int) -> bool:
         """Return whether a node's process is up and not frozen."""
         now = self._simulation.now
-        return self.started[node] <= now and self.frozen_until[node] <= now
+        return self.started_at[node] <= now and self.frozen_until[node] <= now
 
     def is_connected(self, a: int, b: int) -> bool:
         """Return whether node ``a`` regards node ``b`` as reachable.
@@ -84,14 +86,16 @@
         now = self._simulation.now
         if a == b:
             return True
-        if now < self.started[b] + (self._reconnects[b] if self.started[b] else 0.0):
+        if now < self.started_at[b] + (
+            self._reconnect_seconds[b] if self.started_at[b] else 0.0
+        ):
             return False
         # A freeze of five seconds is detected after `FAILURE_DETECTION_SECONDS`.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
         for partition in self._partitions:
             detected_at = partition.start + FAILURE_DETECTION_SECONDS
-            reconnected_at = partition.end + self._reconnects[a]
+            reconnected_at = partition.end + self._reconnect_seconds[a]
             if detected_at <= now < reconnected_at and partition.separates(a, b):
                 return False
         return True
@@ -105,12 +109,12 @@
         ) * self._rng.uniform(1, 2)
         if self._rng.random() < DELAYED_MESSAGE_RATIO:
             delay += self._rng.uniform(0.0, MAX_EXTRA_DELAY_SECONDS)
-        receiver_started_at = self.started[b]
+        receiver_started_at = self.started_at[b]
         if not self.is_reachable(a, b):
             return
 
         def arrive() -> None:
-            if self.started[b] != receiver_started_at:
+            if self.started_at[b] != receiver_started_at:
                 return
             if self.frozen_until[b] > self._simulation.now:
                 self._simulation.schedule(self.frozen_until[b], arrive)
@@ -123,7 +127,7 @@
     def is_reachable(self, a: int, b: int) -> bool:
         """Return whether node ``b`` is up and not cut off from ``a``."""
         now = self._simulation.now
-        if self.started[b] > now:
+        if self.started_at[b] > now:
             return False
         return not any(
             partition.start <= now < partition.end and partition.separates(a, b)
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -51,10 +51,10 @@
     ) + TOLERATED_EXTRA_CALLS
 
 
-def count_ideal(arrivals: Sequence[float], rate: float, burst: float) -> int:
+def count_ideal_admissions(arrivals: Sequence[float], rate: float, burst: float) -> int:
     """Return the number of calls that one exact token bucket would admit.
 
-    >>> count_ideal([0.0, 0.0, 0.0, 1.0], rate=1.0, burst=2.0)
+    >>> count_ideal_admissions([0.0, 0.0, 0.0, 1.0], rate=1.0, burst=2.0)
     3
     """
     tokens = burst
@@ -83,7 +83,7 @@
         self.multiple = multiple
         self.rise = rise
 
-    def get(self, now: float) -> float:
+    def get_multiple(self, now: float) -> float:
         """Return the multiple at a time in seconds."""
         if self.rise is not None and now >= self.rise[0]:
             return self.rise[1]
@@ -118,28 +118,31 @@
     """
     # A generator of its own, so that every design and setting gets the same calls.
     rng = random.Random(f"{fleet.seed} {tenant.name}")
-    play = CallOutcomes()
+    outcomes = CallOutcomes()
     weights = [rng.uniform(0.5, 2.0) for _ in nodes]
     max_calls_per_second = demand.max_multiple * tenant.rate
 
     def arrive() -> None:
         now = fleet.simulation.now
         fleet.simulation.schedule(now + rng.expovariate(max_calls_per_second), arrive)
-        if now >= end or rng.random() >= demand.get(now - start) / demand.max_multiple:
+        if (
+            now >= end
+            or rng.random() >= demand.get_multiple(now - start) / demand.max_multiple
+        ):
             return
-        play.arrivals.append(now - start)
+        outcomes.arrivals.append(now - start)
         number = rng.choices(nodes, cum_weights=cumulative_weights)[0]
 
         def record_decision(granted: bool) -> None:
             if granted:
-                play.wait_seconds.append(fleet.simulation.now - now)
-                play.admitted.append(fleet.simulation.now - start)
+                outcomes.wait_seconds.append(fleet.simulation.now - now)
+                outcomes.admitted.append(fleet.simulation.now - start)
 
         fleet.call(number, tenant, record_decision)
 
     cumulative_weights = [sum(weights[: index + 1]) for index in range(len(weights))]
     fleet.simulation.schedule(start + rng.expovariate(max_calls_per_second), arrive)
-    return play
+    return outcomes
 
 
 def simulate_workspace(
@@ -171,16 +174,22 @@
     Returns:
         The calls and their outcome.
     """
-    lead = WARM_UP_SECONDS if first_start else 0.0
-    shifted = [
+    warm_up_seconds = WARM_UP_SECONDS if first_start else 0.0
+    shifted_partitions = [
         NetworkPartition(
-            partition.start + lead, partition.end + lead, partition.get_side
+            partition.start + warm_up_seconds,
+            partition.end + warm_up_seconds,
+            partition.get_side,
         )
         for partition in partitions
     ]
-    fleet = RateFleet([n % zones for n in range(nodes)], seed, shifted, first_start)
+    fleet = RateFleet(
+        [node % zones for node in range(nodes)], seed, shifted_partitions, first_start
+    )
     inject_faults(fleet)
     tenant = Tenant("north", 1, rate, rate)
-    play = add_callers(fleet, tenant, demand, lead, lead + seconds, range(nodes))
-    fleet.simulation.run(lead + seconds)
-    return play
+    outcomes = add_callers(
+        fleet, tenant, demand, warm_up_seconds, warm_up_seconds + seconds, range(nodes)
+    )
+    fleet.simulation.run(warm_up_seconds + seconds)
+    return outcomes
--- a/primroseglade/emulator/rate_scenarios.py
+++ b/primroseglade/emulator/rate_scenarios.py
@@ -7,7 +7,7 @@
 
 # Time from the first call to the rise of demand and to the faults injected at the rise.
 DEMAND_RISE_SECONDS = 7.0
-FAULT_SECONDS = 5.0
+FAULT_DURATION_SECONDS = 5.0
 HOLDER_COUNT = 6
 
 
@@ -52,30 +52,30 @@
     return {name: build() for name, build in _scenarios.items()}
 
 
-def split_zones(number: int) -> int:
+def get_side_of_split_between_zones(node: int) -> int:
     """Return a node's side of a partition between halves of the zones."""
-    return number % 2
+    return node % 2
 
 
-def split_each_zone(number: int) -> int:
+def get_side_of_split_within_zones(node: int) -> int:
     """Return a node's side of a partition through every zone."""
-    return number // 7 % 2
+    return node // 7 % 2
 
 
-def isolate_zone(number: int) -> int:
+def get_side_of_isolated_zone(node: int) -> int:
     """Return a node's side of a partition around one zone."""
-    return int(number % HOLDER_COUNT == 1)
+    return int(node % HOLDER_COUNT == 1)
 
 
-def isolate_nodes(number: int) -> int:
+def get_side_of_isolated_nodes(node: int) -> int:
     """Return a node's side; two holders and another node are each on their own."""
-    return number if number in (0, 1, 9) else -1
+    return node if node in (0, 1, 9) else -1
 
 
 def build_partition(start: float, get_side: Callable[[int], int]) -> Scenario:
     """Return a scenario with one partition of `FAULT_SECONDS`."""
     return Scenario(
-        partitions=(NetworkPartition(start, start + FAULT_SECONDS, get_side),)
+        partitions=(NetworkPartition(start, start + FAULT_DURATION_SECONDS, get_side),)
     )
 
 
@@ -88,43 +88,43 @@
 @scenario("half cut off before the rise")
 def build_partition_before_rise() -> Scenario:
     """Cut off half of each zone 3 s before the rise, for 5 s."""
-    return build_partition(DEMAND_RISE_SECONDS - 3.0, split_each_zone)
+    return build_partition(DEMAND_RISE_SECONDS - 3.0, get_side_of_split_within_zones)
 
 
 @scenario("half cut off at the rise")
 def build_partition_at_rise() -> Scenario:
     """Cut off half of the nodes of each zone at the rise."""
-    return build_partition(DEMAND_RISE_SECONDS, split_each_zone)
+    return build_partition(DEMAND_RISE_SECONDS, get_side_of_split_within_zones)
 
 
 @scenario("half cut off after the rise")
 def build_partition_after_rise() -> Scenario:
     """Cut off half of the nodes of each zone just after the rise."""
-    return build_partition(DEMAND_RISE_SECONDS + 0.3, split_each_zone)
+    return build_partition(DEMAND_RISE_SECONDS + 0.3, get_side_of_split_within_zones)
 
 
 @scenario("half of the zones cut off at the rise")
 def build_partitioned_zones() -> Scenario:
     """Cut off half of the zones at the rise."""
-    return build_partition(DEMAND_RISE_SECONDS, split_zones)
+    return build_partition(DEMAND_RISE_SECONDS, get_side_of_split_between_zones)
 
 
 @scenario("zone cut off at the rise")
 def build_isolated_zone() -> Scenario:
     """Cut off one zone at the rise."""
-    return build_partition(DEMAND_RISE_SECONDS, isolate_zone)
+    return build_partition(DEMAND_RISE_SECONDS, get_side_of_isolated_zone)
 
 
 @scenario("nodes cut off at the rise")
 def build_isolated_nodes() -> Scenario:
     """Isolate two token holders and another node at the rise."""
-    return build_partition(DEMAND_RISE_SECONDS, isolate_nodes)
+    return build_partition(DEMAND_RISE_SECONDS, get_side_of_isolated_nodes)
 
 
 def kill_holders(fleet: RateFleet) -> None:
     """Kill the token holders of all zones; they restart after 0.2 s."""
-    for number in range(HOLDER_COUNT):
-        fleet.kill(number, 0.2)
+    for node in range(HOLDER_COUNT):
+        fleet.kill(node, 0.2)
 
 
 @scenario("holders killed twice in a second")
@@ -136,8 +136,8 @@
 
 def freeze_holders(fleet: RateFleet) -> None:
     """Freeze the token holders of half of the zones."""
-    for number in range(HOLDER_COUNT // 2):
-        fleet.freeze(number, FAULT_SECONDS)
+    for node in range(HOLDER_COUNT // 2):
+        fleet.freeze(node, FAULT_DURATION_SECONDS)
 
 
 @scenario("holders frozen for 5 s")
@@ -148,8 +148,8 @@
 
 def kill_all(fleet: RateFleet) -> None:
     """Kill all nodes; they restart at different times."""
-    for number in range(fleet.size):
-        fleet.kill(number, fleet.rng.uniform(0.5, 1.5))
+    for node in range(fleet.size):
+        fleet.kill(node, fleet.rng.uniform(0.5, 1.5))
 
 
 @scenario("all nodes killed at the rise")
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -96,14 +96,14 @@
         fleet.network.send(
             self._number,
             number,
-            lambda: fleet.nodes[number].broker.handle(
+            lambda: fleet.nodes[number].broker.handle_request(
                 str(self._number), request, reply
             ),
         )
         timeout = fleet.simulation.now + REQUEST_TIMEOUT_SECONDS
         fleet.simulation.schedule(timeout, lambda: finish(None))
 
-    def renew(self) -> None:
+    def renew_lease(self) -> None:
         """Lend the share to its assigned holder by a ping, if a renewal is due."""
         fleet = self._fleet
         now = fleet.simulation.now
@@ -154,7 +154,7 @@
         self.nodes: list[RateNode] = []
         self._views: dict[int, tuple[float, tuple[str, list[str]]]] = {}
         for number in range(len(zones)):
-            self.network.started[number] = 0.0
+            self.network.started_at[number] = 0.0
             self.nodes.append(RateNode(self, number, first_start))
             self._schedule_renewal(
                 number, self.rng.uniform(0.0, MAX_FIRST_RENEWAL_SECONDS)
@@ -167,7 +167,7 @@
 
     def kill(self, number: int, down_seconds: float) -> None:
         """Kill a node's process, and start a new one after ``down_seconds``."""
-        self.network.started[number] = math.inf
+        self.network.started_at[number] = math.inf
         self._views.clear()
         self.simulation.schedule(
             self.simulation.now + down_seconds, lambda: self._start(number)
@@ -196,7 +196,7 @@
             was_known = clock.estimate(self.simulation.now) is not None
             clock.record(now, self.simulation.now)
             if not was_known:
-                node.renew()
+                node.renew_lease()
 
         self.network.send(holder, lender, record)
 
@@ -213,7 +213,7 @@
         self.nodes[number].quotas.acquire(tenant, tenant.priority or 1, True, take)
 
     def _start(self, number: int) -> None:
-        self.network.started[number] = self.simulation.now
+        self.network.started_at[number] = self.simulation.now
         self._views.clear()
         self.nodes[number] = RateNode(self, number, first_start=False)
         for other, node in enumerate(self.nodes):
@@ -231,7 +231,7 @@
             if self.nodes[number] is not node:
                 return
             if self.network.frozen_until[number] <= self.simulation.now:
-                node.renew()
+                node.renew_lease()
             pause = TICK_SECONDS * self.rng.uniform(
                 1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO
             )
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -220,7 +220,7 @@
     rate: float
     burst: float
     version: int
-    initial: float = 0.0
+    initial_tokens: float = 0.0
 
 
 class TokenRequest(msgspec.Struct, array_like=True, tag=14):
@@ -243,11 +243,11 @@
 
     id: int
     limits: TokenLimits
-    needed: int
-    prefetch: int = 0
-    unspent: int = 0
-    returned: int = 0
-    loan: float = 0.0
+    waiting_calls: int
+    expected_calls: int = 0
+    unspent_tokens: int = 0
+    returned_tokens: int = 0
+    loan_tokens: float = 0.0
 
 
 class TokenGrant(msgspec.Struct, array_like=True, tag=15):
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -9,11 +9,11 @@
 from .rate_tolerance import RateTolerance
 from .retry_budget import SlidingCount
 from .token_broker import TokenBroker, TokenNetwork
-from .token_pool import DEMAND_WINDOW_SECONDS, PREFETCHED_TOKEN_SECONDS
+from .token_pool import DEMAND_WINDOW_SECONDS, PREFETCHED_TOKEN_TTL_SECONDS
 
 # Tokens are requested for the calls expected within this time, once at most half as
 # many are left.
-PREFETCH_SECONDS = 0.25
+PREFETCH_HORIZON_SECONDS = 0.25
 # For this time after a refusal, calls are refused without a request to the holder.
 REFUSAL_CACHE_SECONDS = 0.05
 # A token holder that did not answer gets no requests for this time.
@@ -51,7 +51,7 @@
     Attributes:
         tenant: The workspace with the operator's limits; a rate of 0 means no limit.
         limits: Enforced limits.
-        tokens: Pairs of expiry and number of unspent tokens, oldest first.
+        token_batches: Pairs of expiry and number of unspent tokens, oldest first.
         pending_returns: Expired and returned tokens that go back to a holder with the
             next request.
         waiting: Calls that wait for the holder's answer.
@@ -71,13 +71,13 @@
         "refused_until",
         "request_in_flight",
         "tenant",
-        "tokens",
+        "token_batches",
         "waiting",
     )
 
     def __init__(self, tenant: Tenant, limits: TokenLimits):
         self.set_limits(tenant, limits)
-        self.tokens: collections.deque[list[float]] = collections.deque()
+        self.token_batches: collections.deque[list[float]] = collections.deque()
         self.pending_returns = 0
         self.waiting: collections.deque[DecisionHandler] = collections.deque()
         self.request_in_flight = False
@@ -91,16 +91,16 @@
         self.limits = limits
         self.refused_until = 0.0
 
-    def count_unspent(self, now: float) -> int:
+    def count_unspent_tokens(self, now: float) -> int:
         """Return the number of unspent tokens, without those that have expired."""
-        while self.tokens and self.tokens[0][0] <= now:
-            self.pending_returns += int(self.tokens.popleft()[1])
-        return int(sum(count for _, count in self.tokens))
+        while self.token_batches and self.token_batches[0][0] <= now:
+            self.pending_returns += int(self.token_batches.popleft()[1])
+        return int(sum(count for _, count in self.token_batches))
 
-    def add(self, count: int, until: float) -> None:
+    def add_tokens(self, count: int, expires_at: float) -> None:
         """Add tokens that expire at ``until``."""
         if count > 0:
-            self.tokens.append([until, count])
+            self.token_batches.append([expires_at, count])
 
     def return_token(self) -> None:
         """Return the token of a call that did not run.
@@ -114,17 +114,19 @@
 
     def try_spend(self, now: float) -> bool:
         """Spend one token; return False if there is none."""
-        if not self.count_unspent(now):
+        if not self.count_unspent_tokens(now):
             return False
-        self.tokens[0][1] -= 1
-        if not self.tokens[0][1]:
-            self.tokens.popleft()
+        self.token_batches[0][1] -= 1
+        if not self.token_batches[0][1]:
+            self.token_batches.popleft()
         self.admitted += 1
         return True
 
-    def estimate_upcoming_calls(self, now: float) -> int:
+    def estimate_expected_calls(self, now: float) -> int:
         """Return the number of calls expected within `PREFETCH_SECONDS`."""
-        return int(self.demand.total(now) / DEMAND_WINDOW_SECONDS * PREFETCH_SECONDS)
+        return int(
+            self.demand.total(now) / DEMAND_WINDOW_SECONDS * PREFETCH_HORIZON_SECONDS
+        )
 
 
 class Quotas:
@@ -182,8 +184,11 @@
         cache.demand.add(now)
         if not cache.waiting and cache.try_spend(now):
             self._deliver_token(cache, done)
-            expected = cache.estimate_upcoming_calls(now)
-            if expected > 1 and cache.count_unspent(now) * 2 <= expected:
+            expected_calls = cache.estimate_expected_calls(now)
+            if (
+                expected_calls > 1
+                and cache.count_unspent_tokens(now) * 2 <= expected_calls
+            ):
                 self._request_tokens(cache, now)
         elif now < cache.refused_until:
             done(cache.refusal)
@@ -227,22 +232,22 @@
             self._refuse_waiting(cache, TokenDecision(False), now)
             return
         cache.request_in_flight = True
-        returned, cache.pending_returns = cache.pending_returns, 0
-        unspent = cache.count_unspent(now)
+        returned_tokens, cache.pending_returns = cache.pending_returns, 0
+        unspent_tokens = cache.count_unspent_tokens(now)
         request = TokenRequest(
             0,
             cache.limits,
             len(cache.waiting),
-            max(0, cache.estimate_upcoming_calls(now) - unspent),
-            unspent,
-            returned,
+            max(0, cache.estimate_expected_calls(now) - unspent_tokens),
+            unspent_tokens,
+            returned_tokens,
         )
 
         def handle(grant: TokenGrant | None) -> None:
             self._handle_grant(cache, holder, request, now, grant)
 
         if holder == self._name:
-            self._broker.handle(self._name, request, handle)
+            self._broker.handle_request(self._name, request, handle)
         else:
             self._network.request_tokens(holder, request, handle)
 
@@ -268,12 +273,12 @@
             if cache.waiting:
                 self._request_tokens(cache, now)
             return
-        cache.add(int(grant.tokens), requested_at + PREFETCHED_TOKEN_SECONDS)
+        cache.add_tokens(int(grant.tokens), requested_at + PREFETCHED_TOKEN_TTL_SECONDS)
         while cache.waiting and cache.try_spend(now):
             self._deliver_token(cache, cache.waiting.popleft())
         if not cache.waiting:
             return
-        if grant.tokens > 0 or not request.needed:
+        if grant.tokens > 0 or not request.waiting_calls:
             self._request_tokens(cache, now)
         else:
             self._refuse_waiting(
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -103,7 +103,7 @@
             if grant is not None:
                 send(grant)
 
-        self.broker.handle(sender, request, reply)
+        self.broker.handle_request(sender, request, reply)
 
     def renew_lease(self, now: float) -> None:
         """Lend this node's share to its assigned holder, if a renewal is due."""
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -45,8 +45,10 @@
         >>> tolerance = RateTolerance(0.1, 20)
         >>> tenant = Tenant("north", 1, 100.0, 50.0)
         >>> limits = tolerance.compute_enforced_limits(tenant, 1)
-        >>> round(limits.rate, 3), round(limits.burst, 3), round(limits.initial, 3)
-        (105.25, 76.25, 15.0)
+        >>> round(limits.rate, 3), round(limits.burst, 3)
+        (105.25, 76.25)
+        >>> round(limits.initial_tokens, 3)
+        15.0
         """
         if tenant.rate <= 0:
             return TokenLimits(tenant.name, 0.0, 0.0, version)
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -114,14 +114,14 @@
     """
 
     def __init__(self, count_nodes: Callable[[], int], started_at: float):
-        self.on_lease_lost: Callable[[], None] = lambda: None
+        self.on_lease_end: Callable[[], None] = lambda: None
         self._count_nodes = count_nodes
         self._expiries: dict[str, float] = {}
         self._next_expiry = math.inf
         self._advanced_at = -math.inf
-        self._accrued_seconds = 0.0
-        self._accrued_at_last_loss = 0.0
-        self._uninterrupted = True
+        self._full_rate_seconds = 0.0
+        self._full_rate_seconds_at_lease_end = 0.0
+        self._no_lease_ended = True
         self._initial_until = started_at + INITIAL_LEASE_SECONDS
         self._initial_share = 0.0
 
@@ -140,26 +140,26 @@
         return min(1.0, len(self._expiries) / nodes) if nodes else 0.0
 
     @property
-    def accrued_seconds(self) -> float:
+    def full_rate_seconds(self) -> float:
         """Full-rate seconds accrued here up to the last call of `advance`."""
-        return self._accrued_seconds
+        return self._full_rate_seconds
 
     @property
-    def uninterrupted(self) -> bool:
+    def no_lease_ended(self) -> bool:
         """Whether no lease has ended since this node started."""
-        return self._uninterrupted
+        return self._no_lease_ended
 
     @property
-    def uninterrupted_seconds(self) -> float:
+    def uninterrupted_full_rate_seconds(self) -> float:
         """Full-rate seconds accrued since a lease last ended."""
-        return self._accrued_seconds - self._accrued_at_last_loss
+        return self._full_rate_seconds - self._full_rate_seconds_at_lease_end
 
-    def renew(self, lender: str, until: float, now: float) -> None:
+    def renew(self, lender: str, lease_end: float, now: float) -> None:
         """Add or extend a lease, unless it has already expired."""
         self.advance(now)
-        if until <= now:
+        if lease_end <= now:
             return
-        self._expiries[lender] = until
+        self._expiries[lender] = lease_end
         self._next_expiry = min(self._expiries.values())
         if now <= self._initial_until:
             self._initial_share = max(self._initial_share, self.share)
@@ -174,21 +174,23 @@
         """End expired leases; return the full-rate seconds accrued here until now."""
         while self._next_expiry <= now:
             self._accrue(self._next_expiry)
-            expired = [n for n, at in self._expiries.items() if at <= self._next_expiry]
-            for name in expired:
-                del self._expiries[name]
+            expired = [
+                name for name, at in self._expiries.items() if at <= self._next_expiry
+            ]
+            for lender in expired:
+                del self._expiries[lender]
             self._record_lease_end()
         self._accrue(now)
-        return self._accrued_seconds
+        return self._full_rate_seconds
 
     def _accrue(self, until: float) -> None:
         if until > self._advanced_at:
             if self._expiries:
-                self._accrued_seconds += self.share * (until - self._advanced_at)
+                self._full_rate_seconds += self.share * (until - self._advanced_at)
             self._advanced_at = until
 
     def _record_lease_end(self) -> None:
         self._next_expiry = min(self._expiries.values(), default=math.inf)
-        self._uninterrupted = False
-        self._accrued_at_last_loss = self._accrued_seconds
-        self.on_lease_lost()
+        self._no_lease_ended = False
+        self._full_rate_seconds_at_lease_end = self._full_rate_seconds
+        self.on_lease_end()
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -17,7 +17,7 @@
 INITIAL_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.5
 # Holders that are asked one after another while a call waits.
-MAX_LENDERS_PER_CALL = 3
+MAX_TRIED_LENDERS = 3
 
 
 class TokenNetwork(Protocol):
@@ -71,9 +71,9 @@
         )
 
     @property
-    def needed(self) -> int:
+    def waiting_calls(self) -> int:
         """Number of calls that wait for tokens."""
-        return sum(request.needed for _, request, _ in self.requests)
+        return sum(request.waiting_calls for _, request, _ in self.requests)
 
 
 class TokenBroker:
@@ -103,22 +103,26 @@
         self._waiting: dict[str, WaitingRequests] = {}
         self._lenders: dict[tuple[str, str], LenderState] = {}
 
-    def handle(self, sender: str, request: TokenRequest, reply: GrantHandler) -> None:
+    def handle_request(
+        self, sender: str, request: TokenRequest, reply: GrantHandler
+    ) -> None:
         """Answer a node's request, at once or after borrowing tokens."""
         limits = request.limits
         now = self._clock()
-        if request.loan > 0:
-            urgent = request.needed > 0
-            lent = self._pool.lend(limits, request.loan, urgent, now)
-            reply(self._build_grant(request, lent))
+        if request.loan_tokens > 0:
+            urgent = request.waiting_calls > 0
+            lent_tokens = self._pool.lend(limits, request.loan_tokens, urgent, now)
+            reply(self._build_grant(request, lent_tokens))
             return
         self._pool.record_request(sender, request, now)
         waiting = self._waiting.get(limits.workspace)
         if waiting is not None:
             waiting.requests.append((sender, request, reply))
             return
-        granted = self._pool.take(limits, request.needed, request.prefetch, now, sender)
-        if granted or not request.needed:
+        granted = self._pool.take(
+            limits, request.waiting_calls, request.expected_calls, now, sender
+        )
+        if granted or not request.waiting_calls:
             reply(self._build_grant(request, granted))
             self._top_up_reserve(limits, now)
             return
@@ -136,8 +140,12 @@
             return
         self._waiting[workspace] = waiting
         waiting.tried_lenders.add(lender)
-        loan = self._pool.count_tokens_to_borrow(waiting.limits, waiting.needed, now)
-        request = TokenRequest(0, waiting.limits, waiting.needed, loan=loan)
+        loan_tokens = self._pool.count_tokens_to_borrow(
+            waiting.limits, waiting.waiting_calls, now
+        )
+        request = TokenRequest(
+            0, waiting.limits, waiting.waiting_calls, loan_tokens=loan_tokens
+        )
         self._network.request_tokens(
             lender, request, lambda grant: self._handle_loan(waiting, lender, grant)
         )
@@ -150,13 +158,13 @@
         tokens = grant.tokens if grant is not None else 0.0
         key = (limits.workspace, lender)
         self._lenders.setdefault(key, LenderState()).record_grant(grant, now)
-        self._pool.deposit(limits, tokens, now, waiting.needed)
+        self._pool.deposit(limits, tokens, now, waiting.waiting_calls)
         while waiting.requests:
             sender, request, reply = waiting.requests[0]
             granted = self._pool.take(
-                limits, request.needed, request.prefetch, now, sender
+                limits, request.waiting_calls, request.expected_calls, now, sender
             )
-            if not granted and request.needed:
+            if not granted and request.waiting_calls:
                 break
             waiting.requests.popleft()
             reply(self._build_grant(request, granted))
@@ -167,10 +175,10 @@
 
     def _top_up_reserve(self, limits: TokenLimits, now: float) -> None:
         """Fill the reserve here with tokens that would overflow at another holder."""
-        loan = self._pool.get_reserve_shortfall(limits, now)
+        loan_tokens = self._pool.get_reserve_shortfall(limits, now)
         key = (limits.workspace, "")
         state = self._lenders.get(key)
-        if loan <= 0 or (state is not None and now < state.backoff_until):
+        if loan_tokens <= 0 or (state is not None and now < state.backoff_until):
             return
         others = [name for name in self._network.list_holders() if name != self._name]
         if not others:
@@ -184,11 +192,11 @@
             if grant is not None:
                 self._pool.deposit(limits, grant.tokens, self._clock())
 
-        request = TokenRequest(0, limits, 0, loan=loan)
+        request = TokenRequest(0, limits, 0, loan_tokens=loan_tokens)
         self._network.request_tokens(self._rng.choice(others), request, handle)
 
     def _choose_lender(self, waiting: WaitingRequests, now: float) -> str | None:
-        if len(waiting.tried_lenders) >= MAX_LENDERS_PER_CALL:
+        if len(waiting.tried_lenders) >= MAX_TRIED_LENDERS:
             return None
         workspace = waiting.limits.workspace
         candidates: list[tuple[float, float, str]] = []
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -7,7 +7,7 @@
 from .share_leases import LeaseTable
 
 # Tokens that an entry node has not spent after this time expire and are returned.
-PREFETCHED_TOKEN_SECONDS = 0.5
+PREFETCHED_TOKEN_TTL_SECONDS = 0.5
 # Fraction of a bucket's capacity that is reserved for waiting calls and not prefetched.
 # A bucket with less borrows tokens that would overflow at another holder.
 RESERVED_CAPACITY_RATIO = 0.5
@@ -36,28 +36,32 @@
     """
 
     __slots__ = (
-        "accrued_seconds",
         "demand",
+        "full_rate_seconds_at_refill",
         "initial_share",
         "limits",
-        "prefetched",
+        "prefetched_by_entry",
         "tokens",
     )
 
-    def __init__(self, limits: TokenLimits, accrued_seconds: float):
+    def __init__(self, limits: TokenLimits, full_rate_seconds_at_refill: float):
         self.limits = limits
         self.tokens = 0.0
         self.demand = SlidingCount(DEMAND_WINDOW_SECONDS)
-        self.accrued_seconds = accrued_seconds
+        self.full_rate_seconds_at_refill = full_rate_seconds_at_refill
         self.initial_share = 0.0
-        self.prefetched: dict[str, tuple[float, int]] = {}
+        self.prefetched_by_entry: dict[str, tuple[float, int]] = {}
 
-    def count_prefetched(self, now: float) -> int:
+    def count_prefetched_tokens(self, now: float) -> int:
         """Return the number of prefetched tokens that may still be unspent."""
-        expired = [name for name, (until, _) in self.prefetched.items() if until <= now]
+        expired = [
+            name
+            for name, (until, _) in self.prefetched_by_entry.items()
+            if until <= now
+        ]
         for name in expired:
-            del self.prefetched[name]
-        return sum(count for _, count in self.prefetched.values())
+            del self.prefetched_by_entry[name]
+        return sum(count for _, count in self.prefetched_by_entry.values())
 
     def get_demand(self, now: float) -> float:
         """Return the demand in calls per second."""
@@ -77,7 +81,7 @@
         self._leases = leases
         self._first_start = first_start
         self._buckets: dict[str, Bucket] = {}
-        leases.on_lease_lost = self._drop_excess
+        leases.on_lease_end = self._drop_excess_tokens
 
     def __iter__(self) -> Iterator[Bucket]:
         return iter(self._buckets.values())
@@ -90,18 +94,23 @@
     def record_request(self, entry: str, request: TokenRequest, now: float) -> None:
         """Record an entry node's demand, its unspent tokens, and those it returns."""
         bucket = self._refill(request.limits, now)
-        bucket.demand.add(now, request.needed)
-        grant = bucket.prefetched.get(entry)
+        bucket.demand.add(now, request.waiting_calls)
+        grant = bucket.prefetched_by_entry.get(entry)
         if grant is not None:
-            bucket.prefetched[entry] = (
+            bucket.prefetched_by_entry[entry] = (
                 grant[0],
-                min(grant[1], request.unspent),
+                min(grant[1], request.unspent_tokens),
             )
-        if request.returned:
-            self.deposit(request.limits, request.returned, now)
+        if request.returned_tokens:
+            self.deposit(request.limits, request.returned_tokens, now)
 
     def take(
-        self, limits: TokenLimits, needed: int, ahead: int, now: float, entry: str = ""
+        self,
+        limits: TokenLimits,
+        waiting_calls: int,
+        expected_calls: int,
+        now: float,
+        entry: str = "",
     ) -> int:
         """Take tokens for waiting calls, and for expected ones if there are enough.
 
@@ -117,15 +126,15 @@
             Number of tokens taken.
         """
         bucket = self._refill(limits, now)
-        granted = min(needed, int(bucket.tokens + TOKEN_EPSILON))
-        if granted == needed:
+        granted = min(waiting_calls, int(bucket.tokens + TOKEN_EPSILON))
+        if granted == waiting_calls:
             reserved = RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
-            extra = min(ahead, int(bucket.tokens - granted - reserved))
+            extra = min(expected_calls, int(bucket.tokens - granted - reserved))
             if extra > 0:
-                _, unspent = bucket.prefetched.get(entry, (0.0, 0))
-                bucket.prefetched[entry] = (
-                    now + PREFETCHED_TOKEN_SECONDS,
-                    unspent + extra,
+                _, unspent_tokens = bucket.prefetched_by_entry.get(entry, (0.0, 0))
+                bucket.prefetched_by_entry[entry] = (
+                    now + PREFETCHED_TOKEN_TTL_SECONDS,
+                    unspent_tokens + extra,
                 )
                 granted += extra
         bucket.tokens -= granted
@@ -156,14 +165,14 @@
                 reserved, RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
             )
         spare = bucket.tokens - reserved
-        lent = min(requested, spare)
-        if lent < MIN_LOAN_TOKENS:
+        lent_tokens = min(requested, spare)
+        if lent_tokens < MIN_LOAN_TOKENS:
             return 0.0
-        bucket.tokens -= lent
-        return lent
+        bucket.tokens -= lent_tokens
+        return lent_tokens
 
     def deposit(
-        self, limits: TokenLimits, tokens: float, now: float, needed: int = 0
+        self, limits: TokenLimits, tokens: float, now: float, waiting_calls: int = 0
     ) -> None:
         """Add borrowed or returned tokens, up to the capacity.
 
@@ -174,17 +183,17 @@
             needed: Number of waiting calls, whose tokens may exceed the capacity.
         """
         bucket = self._refill(limits, now)
-        max_tokens = max(needed, bucket.tokens, self._get_capacity(bucket, now))
+        max_tokens = max(waiting_calls, bucket.tokens, self._get_capacity(bucket, now))
         bucket.tokens = min(max_tokens, bucket.tokens + tokens)
 
     def count_tokens_to_borrow(
-        self, limits: TokenLimits, needed: int, now: float
+        self, limits: TokenLimits, waiting_calls: int, now: float
     ) -> float:
         """Return the number of tokens to borrow for waiting and expected calls."""
         bucket = self._refill(limits, now)
-        room = max(0.0, self._get_capacity(bucket, now) - needed)
-        expected = min(room, bucket.get_demand(now) * BORROW_AHEAD_SECONDS)
-        return needed + expected - bucket.tokens
+        room = max(0.0, self._get_capacity(bucket, now) - waiting_calls)
+        expected_calls = min(room, bucket.get_demand(now) * BORROW_AHEAD_SECONDS)
+        return waiting_calls + expected_calls - bucket.tokens
 
     def get_reserve_shortfall(self, limits: TokenLimits, now: float) -> float:
         """Return how many tokens are missing to `RESERVED_CAPACITY_RATIO`."""
@@ -202,9 +211,9 @@
         if bucket is None:
             bucket = self._buckets[limits.workspace] = Bucket(limits, seconds)
             # No call has spent the tokens accrued since a lease last ended.
-            accrued = limits.rate * self._leases.uninterrupted_seconds
+            accrued = limits.rate * self._leases.uninterrupted_full_rate_seconds
             bucket.tokens = min(accrued, self._get_capacity(bucket, now))
-            if not self._leases.uninterrupted:
+            if not self._leases.no_lease_ended:
                 bucket.initial_share = self._leases.initial_share
         # Tokens borrowed for waiting calls are kept even beyond the capacity.
         max_tokens = max(bucket.tokens, self._get_capacity(bucket, now))
@@ -217,16 +226,18 @@
         return bucket
 
     def _accrue(self, bucket: Bucket, seconds: float) -> None:
-        bucket.tokens += bucket.limits.rate * (seconds - bucket.accrued_seconds)
-        bucket.accrued_seconds = seconds
+        bucket.tokens += bucket.limits.rate * (
+            seconds - bucket.full_rate_seconds_at_refill
+        )
+        bucket.full_rate_seconds_at_refill = seconds
 
-    def _drop_excess(self) -> None:
+    def _drop_excess_tokens(self) -> None:
         """Drop the tokens that exceed the burst of the remaining leases."""
-        seconds = self._leases.accrued_seconds
+        seconds = self._leases.full_rate_seconds
         for bucket in self._buckets.values():
             self._accrue(bucket, seconds)
-            stored = bucket.limits.burst * self._leases.share
-            bucket.tokens = min(bucket.tokens, stored)
+            share_of_burst = bucket.limits.burst * self._leases.share
+            bucket.tokens = min(bucket.tokens, share_of_burst)
 
     def _add_initial_tokens(self, bucket: Bucket) -> None:
         """Add the initial tokens for shares lent since the last call.
@@ -237,10 +248,12 @@
         added_share = self._leases.initial_share - bucket.initial_share
         if added_share > 0:
             limits = bucket.limits
-            initial = limits.burst if self._first_start else limits.initial
-            bucket.tokens += initial * added_share
+            initial_tokens = (
+                limits.burst if self._first_start else limits.initial_tokens
+            )
+            bucket.tokens += initial_tokens * added_share
             bucket.initial_share += added_share
 
     def _get_capacity(self, bucket: Bucket, now: float) -> float:
-        stored = bucket.limits.burst * self._leases.share
-        return max(0.0, stored - bucket.count_prefetched(now))
+        share_of_burst = bucket.limits.burst * self._leases.share
+        return max(0.0, share_of_burst - bucket.count_prefetched_tokens(now))
--- a/tests/rates.py
+++ b/tests/rates.py
@@ -63,7 +63,7 @@
         if self.silent:
             done(None)
         else:
-            self.broker.handle("here", request, done)
+            self.broker.handle_request("here", request, done)
 
     def decide(
         self, tenant: Tenant, version: int = 1, rolled_out: bool = True
--- a/tests/test_mesh_rates.py
+++ b/tests/test_mesh_rates.py
@@ -88,7 +88,8 @@
     """Guards against refusals without the holder and its remaining tokens."""
     async with run_two_zones(1.0) as mesh:
         answers = [
-            await send_request(mesh.instances[0], "/deep/a", f"r{n}") for n in range(40)
+            await send_request(mesh.instances[0], "/deep/a", f"r{number}")
+            for number in range(40)
         ]
         refused = [answer.body for answer in answers if answer.status == 429]
         assert refused
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,7 +8,7 @@
 from primroseglade.emulator.rate_plays import (
     add_callers,
     CallOutcomes,
-    count_ideal,
+    count_ideal_admissions,
     count_tolerated_calls,
     Demand,
     simulate_workspace,
@@ -16,10 +16,10 @@
 )
 from primroseglade.emulator.rate_scenarios import (
     freeze_holders,
+    get_side_of_split_between_zones,
+    get_side_of_split_within_zones,
     kill_all,
     kill_holders,
-    split_each_zone,
-    split_zones,
 )
 from primroseglade.emulator.rates import RateFleet, WINDOW_SECONDS
 from primroseglade.sidecar.model import Tenant
@@ -27,9 +27,9 @@
 from .rates import OneHolder
 
 
-def assert_rate_kept(play: CallOutcomes, rate: float) -> None:
+def assert_rate_kept(outcomes: CallOutcomes, rate: float) -> None:
     """Check that no window has more admitted calls than operators tolerate."""
-    assert play.get_max_calls_per_window() <= count_tolerated_calls(rate, rate)
+    assert outcomes.get_max_calls_per_window() <= count_tolerated_calls(rate, rate)
 
 
 @pytest.mark.parametrize(
@@ -40,9 +40,9 @@
     nodes: int, rate: float, times: float
 ):
     """Guards against many nodes spending the same tokens when calls begin."""
-    play = simulate_workspace(nodes, rate, Demand(times), 12.0, seed=1)
-    assert_rate_kept(play, rate)
-    assert len(play.admitted) >= 0.75 * rate * 12.0
+    outcomes = simulate_workspace(nodes, rate, Demand(times), 12.0, seed=1)
+    assert_rate_kept(outcomes, rate)
+    assert len(outcomes.admitted) >= 0.75 * rate * 12.0
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -61,12 +61,14 @@
     nodes: int, rate: float, times: float, seed: int
 ):
     """Guards against all nodes spending the same tokens when demand rises suddenly."""
-    play = simulate_workspace(nodes, rate, Demand(1.1, (7.0, times)), 14.0, seed)
-    assert_rate_kept(play, rate)
+    outcomes = simulate_workspace(nodes, rate, Demand(1.1, (7.0, times)), 14.0, seed)
+    assert_rate_kept(outcomes, rate)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-@pytest.mark.parametrize("sides", [split_zones, split_each_zone])
+@pytest.mark.parametrize(
+    "sides", [get_side_of_split_between_zones, get_side_of_split_within_zones]
+)
 @pytest.mark.parametrize(
     ("partition", "rise_at"),
     [((6.0, 11.0), 8.0), ((6.0, 15.0), 13.0), ((6.0, 11.0), 6.0), ((6.0, 11.0), 5.8)],
@@ -77,10 +79,10 @@
     """Guards against each half of a split fleet exceeding its part of the rate."""
     demand = Demand(1.06, (rise_at, 7.5))
     partitions = [NetworkPartition(*partition, sides)]
-    play = simulate_workspace(14, 147.0, demand, 18.0, seed, partitions=partitions)
-    assert_rate_kept(play, 147.0)
-    ideal = count_ideal(play.arrivals, 147.0, 147.0)
-    assert len(play.admitted) >= 0.8 * ideal
+    outcomes = simulate_workspace(14, 147.0, demand, 18.0, seed, partitions=partitions)
+    assert_rate_kept(outcomes, 147.0)
+    ideal = count_ideal_admissions(outcomes.arrivals, 147.0, 147.0)
+    assert len(outcomes.admitted) >= 0.8 * ideal
 
 
 def schedule_at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
@@ -103,24 +105,24 @@
     resumed, or restarted twice within a second.
     """
     demand = Demand(3.0, (5.5, 7.5))
-    play = simulate_workspace(
+    outcomes = simulate_workspace(
         nodes, rate, demand, 16.0, seed, inject_faults=schedule_at_rise(event)
     )
-    assert_rate_kept(play, rate)
+    assert_rate_kept(outcomes, rate)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4, 5, 6])
 def test_a_small_rate_is_kept_by_many_nodes(seed: int):
     """Guards against many nodes that exceed a small rate by a few calls each."""
-    play = simulate_workspace(78, 20.0, Demand(4.5), 12.0, seed)
-    assert_rate_kept(play, 20.0)
+    outcomes = simulate_workspace(78, 20.0, Demand(4.5), 12.0, seed)
+    assert_rate_kept(outcomes, 20.0)
 
 
 @pytest.mark.parametrize("nodes", [18, 88])
 def test_a_workspace_within_its_rate_is_not_refused(nodes: int):
     """Guards against refusing calls at the usual load of 60 % of the rate."""
-    play = simulate_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
-    assert len(play.admitted) >= 0.98 * len(play.arrivals)
+    outcomes = simulate_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
+    assert len(outcomes.admitted) >= 0.98 * len(outcomes.arrivals)
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(14, 147.0), (88, 60.0), (195, 5.0)])
@@ -128,8 +130,10 @@
     nodes: int, rate: float
 ):
     """Guards against refusing calls while a holder in another zone has tokens."""
-    play = simulate_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
-    assert len(play.admitted) >= 0.999 * count_ideal(play.arrivals, rate, rate)
+    outcomes = simulate_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
+    assert len(outcomes.admitted) >= 0.999 * count_ideal_admissions(
+        outcomes.arrivals, rate, rate
+    )
 
 
 @pytest.mark.parametrize("nodes", [14, 195])
@@ -137,21 +141,27 @@
     """Guards against refusing all calls of a workspace whose burst is so small that
     holders have to borrow fractions to get a whole token.
     """
-    plays = [
+    all_outcomes = [
         simulate_workspace(nodes, 2.0, Demand(0.9), 16.0, seed) for seed in (1, 2, 3)
     ]
-    ideal = sum(count_ideal(play.arrivals, 2.0, 2.0) for play in plays)
-    assert sum(len(play.admitted) for play in plays) >= 0.95 * ideal
+    ideal = sum(
+        count_ideal_admissions(outcomes.arrivals, 2.0, 2.0) for outcomes in all_outcomes
+    )
+    assert sum(len(outcomes.admitted) for outcomes in all_outcomes) >= 0.95 * ideal
 
 
 def test_callers_of_one_zone_get_the_whole_rate():
     """Guards against refusing calls while only zones without calls have tokens."""
-    fleet = RateFleet([n % 6 for n in range(30)], seed=1)
+    fleet = RateFleet([node % 6 for node in range(30)], seed=1)
     tenant = Tenant("north", 1, 60.0, 60.0)
-    zone_nodes = [n for n in range(30) if n % 6 == 2]
-    play = add_callers(fleet, tenant, Demand(0.9), WARM_UP_SECONDS, 20.0, zone_nodes)
+    zone_nodes = [node for node in range(30) if node % 6 == 2]
+    outcomes = add_callers(
+        fleet, tenant, Demand(0.9), WARM_UP_SECONDS, 20.0, zone_nodes
+    )
     fleet.simulation.run(20.0)
-    assert len(play.admitted) >= 0.99 * count_ideal(play.arrivals, 60.0, 60.0)
+    assert len(outcomes.admitted) >= 0.99 * count_ideal_admissions(
+        outcomes.arrivals, 60.0, 60.0
+    )
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 60.0), (78, 45.0)])
@@ -161,10 +171,12 @@
     """Guards against refusing most calls in the first seconds after a restart of all
     nodes, when no holder has any tokens stored.
     """
-    play = simulate_workspace(nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False)
-    calls = len(play.arrivals)
-    assert len(play.admitted) >= 0.75 * calls
-    assert sum(now < 1.0 for now in play.admitted) >= 0.5 * calls / 3.0
+    outcomes = simulate_workspace(
+        nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False
+    )
+    calls = len(outcomes.arrivals)
+    assert len(outcomes.admitted) >= 0.75 * calls
+    assert sum(now < 1.0 for now in outcomes.admitted) >= 0.5 * calls / 3.0
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 20.0), (88, 5.0), (195, 5.0)])
@@ -172,12 +184,12 @@
     """Guards against refusing all calls of workspaces with small rates for a second
     after a restart of all nodes, until each holder has accrued a whole token.
     """
-    plays = [
+    all_outcomes = [
         simulate_workspace(nodes, rate, Demand(0.65), 2.0, seed, first_start=False)
         for seed in range(1, 11)
     ]
-    calls = sum(len(play.arrivals) for play in plays)
-    assert sum(len(play.admitted) for play in plays) >= 0.9 * calls
+    calls = sum(len(outcomes.arrivals) for outcomes in all_outcomes)
+    assert sum(len(outcomes.admitted) for outcomes in all_outcomes) >= 0.9 * calls
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -192,10 +204,10 @@
                 lambda: [fleet.kill(number, 0.3) for number in range(fleet.size)],
             )
 
-    play = simulate_workspace(
+    outcomes = simulate_workspace(
         14, rate, Demand(7.5), 14.0, seed, inject_faults=inject_faults
     )
-    assert_rate_kept(play, rate)
+    assert_rate_kept(outcomes, rate)
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 60.0), (78, 45.0), (78, 300.0)])
@@ -203,17 +215,17 @@
     """Guards against a second burst for workspaces that spent theirs just before the
     whole fleet was restarted.
     """
-    play = simulate_workspace(
+    outcomes = simulate_workspace(
         nodes, rate, Demand(4.5), WINDOW_SECONDS, seed=2, first_start=False
     )
-    assert len(play.admitted) <= rate * WINDOW_SECONDS * 1.1 + 20
+    assert len(outcomes.admitted) <= rate * WINDOW_SECONDS * 1.1 + 20
 
 
 def test_a_workspace_a_little_over_its_rate_may_use_the_tolerance():
     """Guards against refusing calls beyond the rate that operators tolerate."""
-    play = simulate_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
-    assert len(play.admitted) >= 0.98 * len(play.arrivals)
-    assert_rate_kept(play, 100.0)
+    outcomes = simulate_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
+    assert len(outcomes.admitted) >= 0.98 * len(outcomes.arrivals)
+    assert_rate_kept(outcomes, 100.0)
 
 
 def test_refunded_tokens_can_be_used_again():
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -7,9 +7,9 @@
     WARM_UP_SECONDS,
 )
 from primroseglade.emulator.rate_scenarios import (
-    isolate_nodes,
-    split_each_zone,
-    split_zones,
+    get_side_of_isolated_nodes,
+    get_side_of_split_between_zones,
+    get_side_of_split_within_zones,
 )
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.share_leases import (
@@ -84,14 +84,23 @@
     assert leases.advance(0.5) == 0.0
 
 
-@pytest.mark.parametrize("sides", [split_zones, split_each_zone, isolate_nodes])
+@pytest.mark.parametrize(
+    "sides",
+    [
+        get_side_of_split_between_zones,
+        get_side_of_split_within_zones,
+        get_side_of_isolated_nodes,
+    ],
+)
 @pytest.mark.parametrize("nodes", [14, 78])
 def test_shares_of_all_holders_never_exceed_the_whole(nodes: int, sides):
     """Guards against two holders of one share while nodes are cut off, killed twice
     within a second, and frozen for five seconds.
     """
     partition = NetworkPartition(WARM_UP_SECONDS, WARM_UP_SECONDS + 5.0, sides)
-    fleet = RateFleet([n % 6 for n in range(nodes)], seed=1, partitions=[partition])
+    fleet = RateFleet(
+        [node % 6 for node in range(nodes)], seed=1, partitions=[partition]
+    )
     simulation = fleet.simulation
 
     def inject_faults() -> None:
--- a/tests/test_token_pool.py
+++ b/tests/test_token_pool.py
@@ -95,8 +95,8 @@
     """Guards against a request that returns more tokens than the capacity."""
     holder = OneHolder()
     limits = TokenLimits("north", 1.0, 10.0, 1)
-    holder.broker.handle(
-        "here", TokenRequest(1, limits, 0, returned=1000), lambda _: None
+    holder.broker.handle_request(
+        "here", TokenRequest(1, limits, 0, returned_tokens=1000), lambda _: None
     )
     assert holder.pool.take(limits, 100, 0, 0.0) == 10
 
