--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -19,11 +19,11 @@
 
 
 class NetworkPartition:
-    """A network partition.
+    """Period during which nodes on different sides cannot reach each other.
 
     Args:
-        start: Start of the partition, in seconds.
-        end: End of the partition, in seconds.
+        start: Start of the partition, in seconds of simulated time.
+        end: End of the partition, in seconds of simulated time.
         get_side: Maps the number of a node to its side of the partition.
     """
 
@@ -81,7 +81,7 @@
     def is_connected(self, a: int, b: int) -> bool:
         """Return whether node ``a`` regards node ``b`` as reachable.
 
-        Failures are detected only after some time.
+        A failed node is regarded as reachable until the failure is detected.
         """
         now = self._simulation.now
         if a == b:
@@ -90,7 +90,8 @@
             self._reconnect_seconds[b] if self.started_at[b] else 0.0
         ):
             return False
-        # A freeze of five seconds is detected after `FAILURE_DETECTION_SECONDS`.
+        # A freeze lasts five seconds. It is detected `FAILURE_DETECTION_SECONDS` after
+        # its start, which is 3.5 s before its end.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
         for partition in self._partitions:
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -13,7 +13,8 @@
     WINDOW_SECONDS,
 )
 
-# Nodes are up for this long before the first call, unless they were just restarted.
+# Nodes are up for this long before the first call, unless the simulation begins with a
+# restart of the fleet.
 WARM_UP_SECONDS = 5.0
 
 
@@ -45,7 +46,7 @@
 
 
 def count_tolerated_calls(rate: float, burst: float) -> float:
-    """Return the number of calls that operators tolerate in any window."""
+    """Return the number of calls that operators tolerate within `WINDOW_SECONDS`."""
     return (rate * WINDOW_SECONDS + burst) * (
         1.0 + TOLERATED_OVERSHOOT_RATIO
     ) + TOLERATED_EXTRA_CALLS
@@ -116,7 +117,8 @@
     Returns:
         The calls, which are recorded while the simulation runs.
     """
-    # A generator of its own, so that every design and setting gets the same calls.
+    # A separate generator, so that the same calls arrive whatever random numbers the
+    # fleet draws.
     rng = random.Random(f"{fleet.seed} {tenant.name}")
     outcomes = CallOutcomes()
     weights = [rng.uniform(0.5, 2.0) for _ in nodes]
@@ -156,7 +158,7 @@
     partitions: Sequence[NetworkPartition] = (),
     inject_faults: Callable[[RateFleet], None] = lambda fleet: None,
 ) -> CallOutcomes:
-    """Simulate one workspace whose burst is a second of its rate.
+    """Simulate one workspace whose burst is the calls of one second at its rate.
 
     Args:
         nodes: Number of nodes.
--- a/primroseglade/emulator/rate_scenarios.py
+++ b/primroseglade/emulator/rate_scenarios.py
@@ -1,4 +1,4 @@
-"""Fault scenarios for an emulated fleet whose workspaces are at their rates."""
+"""Fault scenarios for an emulated fleet that enforces the rates of workspaces."""
 
 from collections.abc import Callable
 
@@ -8,6 +8,8 @@
 # Time from the first call to the rise of demand and to the faults injected at the rise.
 DEMAND_RISE_SECONDS = 7.0
 FAULT_DURATION_SECONDS = 5.0
+# The fleet has six zones, and the zone of a node is its number modulo six. The first
+# six nodes are the token holders, one in each zone.
 HOLDER_COUNT = 6
 
 
@@ -53,27 +55,30 @@
 
 
 def get_side_of_split_between_zones(node: int) -> int:
-    """Return a node's side of a partition between halves of the zones."""
+    """Return a node's side of a partition between zones with even and odd numbers."""
     return node % 2
 
 
 def get_side_of_split_within_zones(node: int) -> int:
     """Return a node's side of a partition through every zone."""
+    # The side changes every seven nodes and the zone with every node, so that each of
+    # the six zones has nodes on both sides.
     return node // 7 % 2
 
 
 def get_side_of_isolated_zone(node: int) -> int:
-    """Return a node's side of a partition around one zone."""
+    """Return a node's side of a partition that cuts off zone 1."""
+    # There are as many zones as holders.
     return int(node % HOLDER_COUNT == 1)
 
 
 def get_side_of_isolated_nodes(node: int) -> int:
-    """Return a node's side; two holders and another node are each on their own."""
+    """Return a node's side; two holders and node 9 are each cut off from all others."""
     return node if node in (0, 1, 9) else -1
 
 
 def build_partition(start: float, get_side: Callable[[int], int]) -> Scenario:
-    """Return a scenario with one partition of `FAULT_SECONDS`."""
+    """Return a scenario with one partition of `FAULT_DURATION_SECONDS`."""
     return Scenario(
         partitions=(NetworkPartition(start, start + FAULT_DURATION_SECONDS, get_side),)
     )
@@ -160,5 +165,5 @@
 
 @scenario("start after the end of all nodes")
 def build_restart() -> Scenario:
-    """Let calls begin while all nodes restart."""
+    """Begin the calls just after all nodes were restarted."""
     return Scenario(first_start=False)
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -26,10 +26,10 @@
 
 # A node first lends its share within this time of its start.
 MAX_FIRST_RENEWAL_SECONDS = 0.1
-# Interval at which a node updates which others it reaches.
+# Interval at which a node refreshes its list of reachable nodes.
 VIEW_REFRESH_SECONDS = 0.25
-# Operators tolerate, in any window, this fraction of rate and burst and this number of
-# calls on top of them.
+# In any window of this length, operators tolerate more calls than rate and burst allow:
+# this fraction of the allowed calls, and this number of calls in addition.
 WINDOW_SECONDS = 5.0
 TOLERATED_OVERSHOOT_RATIO = 0.1
 TOLERATED_EXTRA_CALLS = 20
@@ -104,7 +104,7 @@
         fleet.simulation.schedule(timeout, lambda: finish(None))
 
     def renew_lease(self) -> None:
-        """Lend the share to its assigned holder by a ping, if a renewal is due."""
+        """Lend the share to the assigned holder by a ping, if a renewal is due."""
         fleet = self._fleet
         now = fleet.simulation.now
         holder = int(fleet.find_holder(self._number))
@@ -186,7 +186,7 @@
         return self._get_view(number)[1]
 
     def handle_ping(self, lender: int, holder: int, until: float) -> None:
-        """Record a ping's lease at its holder, and send the holder's clock back."""
+        """Record the lease in a ping at the holder, and send back its clock reading."""
         now = self.simulation.now
         self.nodes[holder].leases.renew(str(lender), until, now)
 
@@ -210,6 +210,8 @@
             done(decision.granted)
             return True
 
+        # The priority is passed as the version of the configuration. Any constant would
+        # do, because limits do not change during a simulation.
         self.nodes[number].quotas.acquire(tenant, tenant.priority or 1, True, take)
 
     def _start(self, number: int) -> None:
@@ -240,7 +242,7 @@
         self.simulation.schedule(at, renew)
 
     def _get_view(self, number: int) -> tuple[str, list[str]]:
-        """Return a node's assigned holder and all holders, by its view of the fleet."""
+        """Return the holder assigned to a node, and all holders that it reaches."""
         now = self.simulation.now
         cached = self._views.get(number)
         if cached is not None and now - cached[0] < VIEW_REFRESH_SECONDS:
--- a/primroseglade/sidecar/bucket_snapshot.py
+++ b/primroseglade/sidecar/bucket_snapshot.py
@@ -2,7 +2,8 @@
 
 from .token_pool import Bucket, TokenPool
 
-# Fraction of a holder's part of the burst below which a bucket is low on tokens.
+# A bucket with less than this fraction of the holder's share of the burst is low on
+# tokens.
 LOW_TOKENS_RATIO = 0.5
 
 
@@ -10,7 +11,7 @@
     """State of a workspace's bucket at one holder.
 
     Attributes:
-        rate: Enforced calls per second over the whole fleet.
+        rate: Enforced rate limit of the whole fleet, in calls per second.
         burst: Enforced burst of the whole fleet, in calls.
         share: Fraction of rate and burst that is lent to this holder.
         demand: Calls per second for which tokens are requested here.
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -212,8 +212,8 @@
         rate: Calls per second over the whole fleet.
         burst: Token bucket capacity over the whole fleet, in calls.
         version: Version of the configuration that defines the limits.
-        initial: Tokens that all token holders (see ``TokenRequest``) together have
-            after the whole fleet restarts.
+        initial_tokens: Tokens that all token holders (see ``TokenRequest``) together
+            have after the whole fleet restarts.
     """
 
     workspace: str
@@ -232,13 +232,13 @@
     Attributes:
         id: Id of the request on this stream.
         limits: Limits of the workspace.
-        needed: Number of waiting calls.
-        prefetch: Number of further calls expected soon.
-        unspent: Tokens that the sender was granted ahead of need and still has.
-        returned: Tokens granted earlier that will not be spent.
-        loan: Tokens, possibly a fraction, that the sender wants to borrow if it is
-            itself a token holder; else 0. The lender lends at most its spare tokens if
-            calls wait, and otherwise at most those above half of its capacity.
+        waiting_calls: Number of waiting calls.
+        expected_calls: Number of further calls expected soon.
+        unspent_tokens: Tokens that the sender was granted ahead of need and still has.
+        returned_tokens: Tokens granted earlier that will not be spent.
+        loan_tokens: Tokens, possibly a fraction, that the sender wants to borrow if it
+            is itself a token holder; else 0. The lender lends at most its spare tokens
+            if calls wait, and otherwise at most those above half of its capacity.
     """
 
     id: int
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -1,4 +1,10 @@
-"""Admits calls by their workspace's rate, with tokens requested from a token holder."""
+"""Enforces the rates of workspaces with tokens requested from a token holder.
+
+A token allows one call. The token holders are the nodes that keep the token buckets.
+The entry node, at which a call enters the fleet, requests the tokens. It also
+prefetches tokens for the calls that it expects soon, so that these calls need not wait
+for the holder.
+"""
 
 import collections
 import random
@@ -11,15 +17,17 @@
 from .token_broker import TokenBroker, TokenNetwork
 from .token_pool import DEMAND_WINDOW_SECONDS, PREFETCHED_TOKEN_TTL_SECONDS
 
-# Tokens are requested for the calls expected within this time, once at most half as
-# many are left.
+# Tokens are prefetched for the calls expected within this time, once the unspent tokens
+# are enough for at most half of these calls.
 PREFETCH_HORIZON_SECONDS = 0.25
-# For this time after a refusal, calls are refused without a request to the holder.
+# After a refusal, further calls of the workspace are refused for this time without a
+# request to a holder.
 REFUSAL_CACHE_SECONDS = 0.05
-# A token holder that did not answer gets no requests for this time.
+# No requests are sent for this time to a token holder that did not answer one.
 HOLDER_BACKOFF_SECONDS = 1.0
-# Fraction of the calls refused by admission whose token is refunded. If all were, a
-# workspace far over its rate would offer all of its calls to admission.
+# Fraction of the calls refused by admission control whose token is refunded. If all
+# tokens were refunded, a workspace far over its rate would get tokens for all of its
+# calls, and admission control would have to refuse them.
 REFUNDED_RATIO = 1.0 / 3.0
 
 
@@ -30,7 +38,7 @@
         granted: Whether the call got a token.
         holder: Name of the token holder that refused the request; empty if the call got
             a token or no holder could be asked.
-        remaining_tokens: Tokens that the holder had left.
+        remaining_tokens: Tokens that the refusing holder had left.
     """
 
     __slots__ = ("granted", "holder", "remaining_tokens")
@@ -49,17 +57,18 @@
     """Unspent tokens and waiting calls of one workspace at this entry node.
 
     Attributes:
-        tenant: The workspace with the operator's limits; a rate of 0 means no limit.
-        limits: Enforced limits.
-        token_batches: Pairs of expiry and number of unspent tokens, oldest first.
-        pending_returns: Expired and returned tokens that go back to a holder with the
-            next request.
-        waiting: Calls that wait for the holder's answer.
+        tenant: The workspace with its configured limits; a rate of 0 means no limit.
+        limits: Limits to enforce, computed by `RateTolerance`.
+        token_batches: Pairs of expiry time and number of unspent tokens, oldest
+            first.
+        pending_returns: Number of expired or refunded tokens that go back to a holder
+            with the next request.
+        waiting: Handlers of the calls that wait for the holder's answer.
         request_in_flight: Whether a request for tokens is in flight.
         refused_until: Time until which calls are refused without a request.
-        refusal: Last refusal.
-        demand: Calls received within `DEMAND_WINDOW_SECONDS`.
-        admitted: Calls that got a token, less those that did not run.
+        refusal: Decision on the calls that are refused without a request.
+        demand: Calls received within the last `DEMAND_WINDOW_SECONDS`.
+        admitted: Number of calls that got a token, less those that did not run.
     """
 
     __slots__ = (
@@ -86,28 +95,28 @@
         self.admitted = 0
 
     def set_limits(self, tenant: Tenant, limits: TokenLimits) -> None:
-        """Replace the limits; calls are no longer refused by the former ones."""
+        """Replace the limits, and end refusals due to the former limits."""
         self.tenant = tenant
         self.limits = limits
         self.refused_until = 0.0
 
     def count_unspent_tokens(self, now: float) -> int:
-        """Return the number of unspent tokens, without those that have expired."""
+        """Return the number of unspent tokens, after removing expired ones."""
         while self.token_batches and self.token_batches[0][0] <= now:
             self.pending_returns += int(self.token_batches.popleft()[1])
         return int(sum(count for _, count in self.token_batches))
 
     def add_tokens(self, count: int, expires_at: float) -> None:
-        """Add tokens that expire at ``until``."""
+        """Add tokens that expire at a time on the monotonic clock, in seconds."""
         if count > 0:
             self.token_batches.append([expires_at, count])
 
     def return_token(self) -> None:
         """Return the token of a call that did not run.
 
-        It goes back to the holder, which stores tokens up to its capacity only. If it
-        stayed here, the tokens of calls that waited for seconds and did not run would
-        admit as many calls on top of those of the next seconds.
+        The token goes back to the holder, which stores tokens only up to its capacity.
+        If tokens were kept here, calls that wait for seconds and then do not run would
+        leave many behind, which would admit as many calls beyond the rate.
         """
         self.admitted -= 1
         self.pending_returns += 1
@@ -123,7 +132,7 @@
         return True
 
     def estimate_expected_calls(self, now: float) -> int:
-        """Return the number of calls expected within `PREFETCH_SECONDS`."""
+        """Return the number of calls expected in `PREFETCH_HORIZON_SECONDS`."""
         return int(
             self.demand.total(now) / DEMAND_WINDOW_SECONDS * PREFETCH_HORIZON_SECONDS
         )
@@ -136,9 +145,10 @@
         name: Name of this node.
         broker: Answers the requests if this node itself is the token holder.
         network: Finds the token holders and sends requests to them.
-        rate_tolerance: Calls that are allowed beyond the rates.
+        rate_tolerance: Computes the limits to enforce from the configured ones.
         clock: Returns seconds on the monotonic clock.
-        rng: Draws which calls refused by admission have their token refunded.
+        rng: Decides at random whether the token of a call that admission control
+            refused later is refunded.
     """
 
     def __init__(
@@ -172,8 +182,8 @@
         Args:
             tenant: The workspace with its configured rate and burst.
             version: Version of the configuration that has these limits.
-            rolled_out: Whether all nodes have that configuration by now. Until then a
-                lower rate is not applied: other nodes would still use the higher one.
+            rolled_out: Whether all nodes have that configuration. Until then, a lower
+                rate is not applied here, because other nodes still use the higher one.
             done: Called once with the decision, at once or after the holder's answer.
         """
         cache = self._get_cache(tenant, version, rolled_out)
@@ -203,7 +213,7 @@
             cache.return_token()
 
     def refund_refused(self, tenant: Tenant) -> None:
-        """Refund or discard the token of a call that admission refused."""
+        """Refund or discard the token of a call that admission control refused."""
         cache = self._caches.get(tenant.name)
         if cache is None or cache.tenant.rate <= 0:
             return
@@ -252,7 +262,10 @@
             self._network.request_tokens(holder, request, handle)
 
     def _choose_holder(self, now: float) -> str:
-        """Return the first holder that is not in backoff; empty if there is none."""
+        """Return the first holder that is not in backoff; empty if there is none.
+
+        The holder to which this node sends its requests is tried before the others.
+        """
         for name in (self._network.get_holder(), *self._network.list_holders()):
             if self._backoff_until.get(name, 0.0) <= now:
                 return name
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -23,17 +23,18 @@
 from .token_pool import TokenPool
 
 LEASE_RENEWAL_SECONDS = 0.45
-# For this time after its start, a node lends its share only to the holder assigned to
-# it when all known nodes are reachable. If it lent to another one first, the share
-# would be missing at the assigned holder until that lease ends.
+# For this time after its start, a node lends its share only to the holder that would
+# be assigned to it if all known nodes were reachable. If the node first lent its share
+# to another holder, the share would be missing at the assigned one until that lease
+# ends.
 HOLDER_DISCOVERY_SECONDS = 1.0
 
 
 class RateControl:
     """Enforces the rates of workspaces at one node.
 
-    It admits the node's own calls, lends its share to a token holder, and keeps the
-    buckets if the node itself is one.
+    It enforces the rates of calls that enter the fleet at this node, lends the node's
+    share to a token holder, and keeps the token buckets if the node itself is a holder.
 
     Args:
         entry: This node's entry in the list of nodes.
@@ -41,9 +42,9 @@
         count_nodes: Returns the number of nodes among which rates are divided; 0 while
             it is unknown.
         first_start: Whether the whole fleet starts for the first time.
-        rate_tolerance: Calls that are allowed beyond the rates.
+        rate_tolerance: Computes the limits to enforce from the configured ones.
         journal: Receives events.
-        rng: Makes the random choices, such as among other holders.
+        rng: Chooses at random, for example among the other holders.
     """
 
     def __init__(
@@ -122,8 +123,8 @@
             return
         peer = self._fleet.get(holder)
         if peer is not None and peer.lend_share(LEASE_SECONDS):
-            # Read after sending, so that this lease has ended before the share is lent
-            # to another holder.
+            # The clock is read after sending, so that this lease has ended before the
+            # share is lent to another holder.
             self._lender.record_lease_sent(holder, time.monotonic())
 
     def record_lease(self, lender: NodeEntry, lease_end_ms: int) -> None:
@@ -131,7 +132,7 @@
 
         Args:
             lender: The lending node.
-            lease_end_ms: End of the lease, in milliseconds on this node's clock.
+            lease_end_ms: End of the lease on this node's ``read_age_clock``, in ms.
         """
         now = time.monotonic()
         self._lender_starts[lender.name] = lender.start_time_ms
@@ -139,7 +140,7 @@
         self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
 
     def record_node_start(self, entry: NodeEntry) -> None:
-        """End the lease of the node's former process after a restart."""
+        """End the lease of a node's former process, if the node was restarted."""
         if (
             self._lender_starts.get(entry.name, entry.start_time_ms)
             < entry.start_time_ms
@@ -159,7 +160,7 @@
         return index.list_first_by_zone(count_zone_holders(index.zone_count), connected)
 
     def _find_expected_holder(self) -> str:
-        """Return the holder assigned to this node if all known nodes are reachable."""
+        """Return the holder that would be assigned if all nodes were reachable."""
         holders = self._list_holders_by_zone(connected=False)[self._entry.zone]
         return assign_holder(self._entry.name, holders)
 
--- a/primroseglade/sidecar/rate_monitor.py
+++ b/primroseglade/sidecar/rate_monitor.py
@@ -1,16 +1,16 @@
-"""Logs the buckets of workspaces that are at their rates."""
+"""Logs token buckets that are low on tokens: their workspaces are near their rates."""
 
 from ..observe.events import Journal, WORKSPACES_AT_RATE
 from .bucket_snapshot import build_snapshots
 from .token_pool import TokenPool
 
 RATE_LOG_INTERVAL_SECONDS = 1.0
-# Limits the length of a log line to the workspaces with the highest demand.
+# Only the workspaces with the highest demand are logged, to limit the line's length.
 MAX_LOGGED_WORKSPACES = 8
 
 
 class RateMonitor:
-    """Logs the buckets of a token holder that have less than half of their tokens left.
+    """Logs the buckets of a token holder that are filled to less than half.
 
     Args:
         pool: Buckets of this node.
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -1,21 +1,25 @@
 """Leases by which nodes lend their shares of all rates to a token holder of their zone.
 
 Every node owns an equal share of each workspace's rate and burst. It lends this share,
-for all workspaces at once, to one token holder in its availability zone. As no share is
-lent to two holders at the same time, the shares of all holders never add up to more
-than one, even if nodes disagree about who is up.
+for all workspaces at once, to one token holder in its availability zone: a node that
+keeps token buckets and fills them at its part of the rates. A lease lends the share for
+a limited time and is renewed. As a node lends its share to one holder at a time, the
+shares of all holders do not add up to more than one, even if nodes disagree about which
+nodes are up. `ShareLender` describes the exception after a restart.
 """
 
 import math
 import zlib
 from collections.abc import Callable, Iterable
 
-# Leases are renewed twice a second, so that one late or lost renewal does not end them.
+# Leases are renewed twice a second, so that they outlast one late or lost renewal.
 LEASE_SECONDS = 1.2
-# Shares lent to a holder within this time of its start come with initial tokens.
+# For shares lent to a holder within this time of its start, its buckets get initial
+# tokens at once. For shares lent later, tokens only accrue over time.
 INITIAL_LEASE_SECONDS = 2.0
 # Number of token holders if the fleet has only one zone: when one fails, the other
-# still has tokens. With several zones, the holders of the other zones do.
+# still has tokens. With several zones, one holder each is enough, because the holders
+# of the other zones still have tokens.
 SINGLE_ZONE_HOLDERS = 2
 
 
@@ -31,13 +35,14 @@
 def assign_holder(node: str, holders: Iterable[str]) -> str:
     """Return the holder to which a node lends its share.
 
-    Uses rendezvous hashing: if a holder is replaced, only its own lenders move.
+    Uses rendezvous hashing: if a holder is replaced, only the nodes that lent to it get
+    another holder.
     """
     return max(holders, key=lambda name: zlib.crc32(f"{node} {name}".encode()))
 
 
 class RemoteClock:
-    """Lower bound of another node's clock, computed from the time that it last sent."""
+    """Lower bound of another node's clock, computed from its last received reading."""
 
     __slots__ = ("_received_at", "_remote_time")
 
@@ -46,12 +51,12 @@
         self._received_at = 0.0
 
     def record(self, remote_time: float, now: float) -> None:
-        """Record the other clock's time as sent; it has advanced since then."""
+        """Record a received reading; the clock has advanced since it was sent."""
         self._remote_time = remote_time
         self._received_at = now
 
     def estimate(self, now: float) -> float | None:
-        """Return a time that the other clock has reached; None if none was recorded."""
+        """Return a time that the clock has reached; None if no reading was recorded."""
         if self._remote_time is None:
             return None
         return self._remote_time + now - self._received_at
@@ -61,7 +66,9 @@
     """Lends this node's share to one holder at a time.
 
     After a restart, the node does not know to which holder its former process lent the
-    share. At the same holder, a lease of the new process replaces the former one.
+    share. That holder ends the former lease when the new process opens a stream to it.
+    Before that, for example during a network partition, the new process may lend the
+    share to another holder, too; `RateTolerance` keeps a reserve for this case.
     """
 
     __slots__ = ("_holder", "_lent_at")
@@ -73,7 +80,7 @@
     def choose_holder(
         self, assigned: str, reachable: Callable[[str], bool], now: float
     ) -> str:
-        """Return the holder to request tokens from: the share's, if it is reachable.
+        """Return the holder that has the share if reachable, else the assigned holder.
 
         Args:
             assigned: Holder assigned to this node by its current view of the zone.
@@ -89,7 +96,7 @@
         return holder == self._holder or now >= self._lent_at + LEASE_SECONDS
 
     def is_renewal_due(self, holder: str, now: float, seconds: float) -> bool:
-        """Return whether the last lease is ``seconds`` old or was sent elsewhere."""
+        """Return whether the last lease is ``seconds`` old or another holder's."""
         return holder != self._holder or now - self._lent_at >= seconds
 
     def record_lease_sent(self, holder: str, now: float) -> None:
@@ -99,10 +106,11 @@
 
 
 class LeaseTable:
-    """Shares that nodes lend to this node, and what accrued from them over time.
+    """Shares that nodes lend to this node, and the full-rate seconds accrued from them.
 
-    Accrued time is in full-rate seconds: half of all shares for two seconds accrue one.
-    Multiplied by a workspace's rate, it gives the number of tokens accrued here.
+    Full-rate seconds are seconds multiplied by the share held: half of all shares for
+    two seconds accrue one. Multiplied by a workspace's rate, they give the number of
+    its tokens accrued here.
 
     Args:
         count_nodes: Returns the number of nodes among which rates are divided; 0 while
@@ -110,7 +118,8 @@
         started_at: When this node started, in seconds on the monotonic clock.
 
     Attributes:
-        on_lease_lost: Called when a lease has ended, to drop the tokens stored for it.
+        on_lease_end: Called when a lease has ended, to drop the tokens that exceed the
+            remaining share.
     """
 
     def __init__(self, count_nodes: Callable[[], int], started_at: float):
@@ -155,7 +164,7 @@
         return self._full_rate_seconds - self._full_rate_seconds_at_lease_end
 
     def renew(self, lender: str, lease_end: float, now: float) -> None:
-        """Add or extend a lease, unless it has already expired."""
+        """Add or extend a lease that ends at ``lease_end``, unless that has passed."""
         self.advance(now)
         if lease_end <= now:
             return
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -12,11 +12,12 @@
 # Called with the answer; None if the request failed or timed out.
 GrantHandler = Callable[[TokenGrant | None], None]
 
-# Backoff of requests to a holder that lent nothing or did not answer. It doubles with
-# each further failure.
+# Time for which a holder that lent nothing or did not answer is not asked again. The
+# time doubles with each further failure.
 INITIAL_BACKOFF_SECONDS = 0.05
 MAX_BACKOFF_SECONDS = 0.5
-# Holders that are asked one after another while a call waits.
+# Maximum number of holders asked one after another to lend tokens for the waiting
+# requests of one workspace.
 MAX_TRIED_LENDERS = 3
 
 
@@ -36,7 +37,7 @@
 
 
 class LenderState:
-    """Last known tokens of one workspace at another holder, and its backoff."""
+    """Last known number of a workspace's tokens at another holder; its backoff."""
 
     __slots__ = ("backoff_seconds", "backoff_until", "remaining_tokens")
 
@@ -51,7 +52,7 @@
             self.remaining_tokens = grant.remaining_tokens
             self.backoff_seconds = 0.0
             return
-        # Infinite: after the backoff it is tried before the others.
+        # Infinite, so that this holder is tried before the others after the backoff.
         self.remaining_tokens = math.inf
         doubled = max(INITIAL_BACKOFF_SECONDS, 2.0 * self.backoff_seconds)
         self.backoff_seconds = min(MAX_BACKOFF_SECONDS, doubled)
@@ -176,6 +177,8 @@
     def _top_up_reserve(self, limits: TokenLimits, now: float) -> None:
         """Fill the reserve here with tokens that would overflow at another holder."""
         loan_tokens = self._pool.get_reserve_shortfall(limits, now)
+        # The empty name stands for all other holders. One of them is chosen at random
+        # for each of these requests, and all share one backoff.
         key = (limits.workspace, "")
         state = self._lenders.get(key)
         if loan_tokens <= 0 or (state is not None and now < state.backoff_until):
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -1,4 +1,9 @@
-"""Token buckets of all workspaces at a token holder."""
+"""Token buckets of all workspaces at a token holder.
+
+A token allows one call. The holder grants tokens to the nodes at which calls enter the
+fleet, the entry nodes: for calls that wait there and, as prefetched tokens, for calls
+expected soon. Holders also lend tokens to each other.
+"""
 
 from collections.abc import Iterator
 
@@ -6,15 +11,19 @@
 from .retry_budget import SlidingCount
 from .share_leases import LeaseTable
 
-# Tokens that an entry node has not spent after this time expire and are returned.
+# Tokens that an entry node has not spent within this time expire and are returned to a
+# holder.
 PREFETCHED_TOKEN_TTL_SECONDS = 0.5
-# Fraction of a bucket's capacity that is reserved for waiting calls and not prefetched.
-# A bucket with less borrows tokens that would overflow at another holder.
+# Fraction of a bucket's capacity that is reserved for waiting calls and not granted for
+# expected ones. A holder whose bucket is below this reserve borrows from another holder
+# the tokens that would soon overflow there.
 RESERVED_CAPACITY_RATIO = 0.5
 DEMAND_WINDOW_SECONDS = 2.0
-# A holder does not lend the tokens for its own demand within this time.
+# A holder does not lend the tokens that its entry nodes are expected to request within
+# this time.
 LOAN_RESERVE_SECONDS = 0.05
-# A holder that has to borrow also borrows for its own demand within this time.
+# A holder that has to borrow for waiting calls also borrows for those expected within
+# this time.
 BORROW_AHEAD_SECONDS = 0.25
 # Smaller loans are refused.
 MIN_LOAN_TOKENS = 0.05
@@ -28,11 +37,11 @@
     Attributes:
         limits: Enforced rate and burst of the whole fleet.
         tokens: Tokens left here; may be a fraction.
-        demand: Calls that needed tokens within `DEMAND_WINDOW_SECONDS`.
-        accrued_seconds: `LeaseTable.accrued_seconds` up to which the bucket is filled.
-        initial_share: Share for which initial tokens were added.
-        prefetched: Expiry and number of prefetched tokens, by entry node. They count
-            against the capacity until they are spent or expire.
+        demand: Calls that needed tokens within the last `DEMAND_WINDOW_SECONDS`.
+        full_rate_seconds_at_refill: `LeaseTable.full_rate_seconds` at the last refill.
+        initial_share: Share for which initial tokens have been added.
+        prefetched_by_entry: Expiry time and number of prefetched tokens, by entry node.
+            These tokens count against the capacity until they are spent or expire.
     """
 
     __slots__ = (
@@ -71,10 +80,13 @@
 class TokenPool:
     """Buckets of all workspaces at one holder.
 
+    After a holder's start, its buckets begin with initial tokens: its share of the
+    burst if the whole fleet starts for the first time, and otherwise its share of
+    `TokenLimits.initial_tokens`.
+
     Args:
         leases: Shares that nodes lend to this holder.
-        first_start: Whether the whole fleet starts for the first time, with full
-            buckets.
+        first_start: Whether the whole fleet starts for the first time.
     """
 
     def __init__(self, leases: LeaseTable, first_start: bool):
@@ -92,7 +104,7 @@
         return self._leases.share
 
     def record_request(self, entry: str, request: TokenRequest, now: float) -> None:
-        """Record an entry node's demand, its unspent tokens, and those it returns."""
+        """Record the demand, unspent tokens and returned tokens of an entry node."""
         bucket = self._refill(request.limits, now)
         bucket.demand.add(now, request.waiting_calls)
         grant = bucket.prefetched_by_entry.get(entry)
@@ -116,9 +128,9 @@
 
         Args:
             limits: Limits of the workspace.
-            needed: Number of waiting calls.
-            ahead: Number of further calls expected soon. They get tokens only above
-                `RESERVED_CAPACITY_RATIO`, and after all waiting calls.
+            waiting_calls: Number of waiting calls.
+            expected_calls: Number of further calls expected soon. They get only tokens
+                above `RESERVED_CAPACITY_RATIO`, and only if all waiting calls got one.
             now: Seconds on the monotonic clock.
             entry: Name of the entry node that requests the tokens.
 
@@ -145,8 +157,8 @@
     ) -> float:
         """Take tokens for another holder, except those needed here soon.
 
-        Fractions of a token are lent, too: of a small burst, each holder has less than
-        one token.
+        Fractions of a token are lent, too: if the burst is small, each holder has less
+        than one token.
 
         Args:
             limits: Limits of the workspace.
@@ -180,7 +192,8 @@
             limits: Limits of the workspace.
             tokens: Number of tokens to add.
             now: Seconds on the monotonic clock.
-            needed: Number of waiting calls, whose tokens may exceed the capacity.
+            waiting_calls: Number of waiting calls; tokens for these are added even
+                beyond the capacity.
         """
         bucket = self._refill(limits, now)
         max_tokens = max(waiting_calls, bucket.tokens, self._get_capacity(bucket, now))
@@ -196,7 +209,7 @@
         return waiting_calls + expected_calls - bucket.tokens
 
     def get_reserve_shortfall(self, limits: TokenLimits, now: float) -> float:
-        """Return how many tokens are missing to `RESERVED_CAPACITY_RATIO`."""
+        """Return how many tokens the bucket lacks to fill `RESERVED_CAPACITY_RATIO`."""
         bucket = self._refill(limits, now)
         return RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now) - bucket.tokens
 
@@ -210,7 +223,8 @@
         bucket = self._buckets.get(limits.workspace)
         if bucket is None:
             bucket = self._buckets[limits.workspace] = Bucket(limits, seconds)
-            # No call has spent the tokens accrued since a lease last ended.
+            # A new bucket holds all tokens accrued since a lease last ended, because no
+            # call of the workspace has spent any.
             accrued = limits.rate * self._leases.uninterrupted_full_rate_seconds
             bucket.tokens = min(accrued, self._get_capacity(bucket, now))
             if not self._leases.no_lease_ended:
@@ -232,7 +246,7 @@
         bucket.full_rate_seconds_at_refill = seconds
 
     def _drop_excess_tokens(self) -> None:
-        """Drop the tokens that exceed the burst of the remaining leases."""
+        """Drop the tokens that exceed the remaining share of the burst."""
         seconds = self._leases.full_rate_seconds
         for bucket in self._buckets.values():
             self._accrue(bucket, seconds)
@@ -242,8 +256,8 @@
     def _add_initial_tokens(self, bucket: Bucket) -> None:
         """Add the initial tokens for shares lent since the last call.
 
-        Only at the first start of the fleet are these the whole burst: it may have been
-        spent just before a restart.
+        After a restart, these are fewer than the burst, which may have been spent just
+        before.
         """
         added_share = self._leases.initial_share - bucket.initial_share
         if added_share > 0:
--- a/primroseglade/sidecar/token_requests.py
+++ b/primroseglade/sidecar/token_requests.py
@@ -25,7 +25,7 @@
         self._pending[request_id] = (done, timer)
 
     def answer(self, grant: TokenGrant) -> None:
-        """Complete a request; the tokens of an answer after its timeout are lost."""
+        """Complete a request; if it has timed out, the granted tokens are lost."""
         self._complete(grant.id, grant)
 
     def fail_all(self) -> None:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -309,8 +309,8 @@
 
 
 def test_a_workspace_over_its_rate_gets_few_refunds():
-    """Guards against offering admission all calls of a workspace far over its rate,
-    because the tokens of the calls that it refuses are refunded.
+    """Guards against giving tokens to all calls of a workspace far over its rate,
+    because the tokens of the calls that admission control refuses are refunded.
     """
     holder = OneHolder()
     tenant = Tenant("north", 1, 100.0, 100.0)
--- a/tests/test_token_pool.py
+++ b/tests/test_token_pool.py
@@ -42,8 +42,8 @@
 
 
 def test_a_holder_that_lost_its_leases_has_no_tokens():
-    """Guards against a holder that was frozen spending its bucket after its successor
-    has filled another one with the same shares.
+    """Guards against a holder that resumes after a freeze and spends its bucket, while
+    another holder has been filling a bucket with the same shares.
     """
     leases, pool = build_pool()
     assert pool.take(NORTH, 1, 0, 0.0) == 1
@@ -54,7 +54,7 @@
 
 
 def test_a_workspace_without_calls_gets_no_second_burst():
-    """Guards against a full bucket after a gap in the leases, if first used then."""
+    """Guards against a full bucket if the first call follows a gap in the leases."""
     leases, pool = build_pool()
     leases.advance(15.0)
     leases.renew("a", 20.0, 15.1)
