--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -52,8 +52,8 @@
         self.worst_window_ratio = (
             calls.get_max_calls_per_window() / count_tolerated_calls(rate, rate)
         )
-        ideal = count_ideal_admissions(calls.arrivals, rate, rate)
-        self.served_ratio = len(calls.admitted) / max(1, ideal)
+        ideal = count_ideal_admissions(calls.arrival_times, rate, rate)
+        self.served_ratio = len(calls.admission_times) / max(1, ideal)
         waits = sorted(calls.wait_seconds)
         self.p99_wait_ms = 1000.0 * waits[int(0.99 * len(waits))] if waits else 0.0
 
--- a/primroseglade/emulator/rate_plays.py
+++ b/primroseglade/emulator/rate_plays.py
@@ -22,24 +22,25 @@
     """Calls of a workspace in one simulation; times in seconds from the first call.
 
     Attributes:
-        arrivals: Arrival times of all calls.
-        admitted: Times at which calls were admitted.
+        arrival_times: Arrival times of all calls.
+        admission_times: Times at which calls were admitted.
         wait_seconds: Seconds that each admitted call waited for a token.
     """
 
-    __slots__ = ("admitted", "arrivals", "wait_seconds")
+    __slots__ = ("admission_times", "arrival_times", "wait_seconds")
 
     def __init__(self) -> None:
-        self.arrivals: list[float] = []
-        self.admitted: list[float] = []
+        self.arrival_times: list[float] = []
+        self.admission_times: list[float] = []
         self.wait_seconds: list[float] = []
 
     def get_max_calls_per_window(self) -> int:
         """Return the maximum number of calls admitted within `WINDOW_SECONDS`."""
         return max(
             (
-                bisect.bisect_right(self.admitted, start + WINDOW_SECONDS) - number
-                for number, start in enumerate(self.admitted)
+                bisect.bisect_right(self.admission_times, start + WINDOW_SECONDS)
+                - number
+                for number, start in enumerate(self.admission_times)
             ),
             default=0,
         )
@@ -52,7 +53,9 @@
     ) + TOLERATED_EXTRA_CALLS
 
 
-def count_ideal_admissions(arrivals: Sequence[float], rate: float, burst: float) -> int:
+def count_ideal_admissions(
+    arrival_times: Sequence[float], rate: float, burst: float
+) -> int:
     """Return the number of calls that one exact token bucket would admit.
 
     >>> count_ideal_admissions([0.0, 0.0, 0.0, 1.0], rate=1.0, burst=2.0)
@@ -61,7 +64,7 @@
     tokens = burst
     last_arrival = 0.0
     admitted = 0
-    for arrival in arrivals:
+    for arrival in arrival_times:
         tokens = min(burst, tokens + rate * (arrival - last_arrival))
         last_arrival = arrival
         if tokens >= 1.0:
@@ -132,13 +135,13 @@
             or rng.random() >= demand.get_multiple(now - start) / demand.max_multiple
         ):
             return
-        outcomes.arrivals.append(now - start)
+        outcomes.arrival_times.append(now - start)
         number = rng.choices(nodes, cum_weights=cumulative_weights)[0]
 
         def record_decision(granted: bool) -> None:
             if granted:
                 outcomes.wait_seconds.append(fleet.simulation.now - now)
-                outcomes.admitted.append(fleet.simulation.now - start)
+                outcomes.admission_times.append(fleet.simulation.now - start)
 
         fleet.call(number, tenant, record_decision)
 
@@ -148,27 +151,27 @@
 
 
 def simulate_workspace(
-    nodes: int,
+    node_count: int,
     rate: float,
     demand: Demand,
     seconds: float,
     seed: int,
     first_start: bool = True,
-    zones: int = 6,
+    zone_count: int = 6,
     partitions: Sequence[NetworkPartition] = (),
     inject_faults: Callable[[RateFleet], None] = lambda fleet: None,
 ) -> CallOutcomes:
     """Simulate one workspace whose burst is the calls of one second at its rate.
 
     Args:
-        nodes: Number of nodes.
+        node_count: Number of nodes.
         rate: Rate limit of the workspace, in calls per second.
         demand: Demand of the workspace.
         seconds: Duration of the calls, in seconds.
         seed: Seed of all random numbers.
         first_start: Whether the fleet starts for the first time; otherwise all nodes
             have just been restarted when calls begin.
-        zones: Number of availability zones.
+        zone_count: Number of availability zones.
         partitions: Network partitions; times from the first call.
         inject_faults: Schedules other faults, in simulated time: the calls begin at
             `WARM_UP_SECONDS` if the fleet starts for the first time, else at 0.
@@ -186,12 +189,20 @@
         for partition in partitions
     ]
     fleet = RateFleet(
-        [node % zones for node in range(nodes)], seed, shifted_partitions, first_start
+        [node % zone_count for node in range(node_count)],
+        seed,
+        shifted_partitions,
+        first_start,
     )
     inject_faults(fleet)
     tenant = Tenant("north", 1, rate, rate)
     outcomes = add_callers(
-        fleet, tenant, demand, warm_up_seconds, warm_up_seconds + seconds, range(nodes)
+        fleet,
+        tenant,
+        demand,
+        warm_up_seconds,
+        warm_up_seconds + seconds,
+        range(node_count),
     )
     fleet.simulation.run(warm_up_seconds + seconds)
     return outcomes
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -50,7 +50,7 @@
         simulation = fleet.simulation
         name = str(number)
         self.lender = ShareLender()
-        self.clocks: dict[int, RemoteClock] = {}
+        self.remote_clocks: dict[int, RemoteClock] = {}
         self.leases = LeaseTable(lambda: fleet.size, simulation.now)
         self.pool = TokenPool(self.leases, first_start)
         self.broker = TokenBroker(
@@ -116,14 +116,16 @@
                 self.leases.renew(str(self._number), now + LEASE_SECONDS, now)
                 self.lender.record_lease_sent(str(holder), now)
             return
-        clock = self.clocks.setdefault(holder, RemoteClock())
-        remote = clock.estimate(now)
-        until = 0.0
-        if remote is not None and may_lend:
-            until = remote + LEASE_SECONDS
+        remote_clock = self.remote_clocks.setdefault(holder, RemoteClock())
+        remote_time = remote_clock.estimate(now)
+        lease_end = 0.0
+        if remote_time is not None and may_lend:
+            lease_end = remote_time + LEASE_SECONDS
             self.lender.record_lease_sent(str(holder), now)
         fleet.network.send(
-            self._number, holder, lambda: fleet.handle_ping(self._number, holder, until)
+            self._number,
+            holder,
+            lambda: fleet.handle_ping(self._number, holder, lease_end),
         )
 
 
@@ -185,16 +187,16 @@
         """Return the token holders of all zones that a node reaches."""
         return self._get_view(number)[1]
 
-    def handle_ping(self, lender: int, holder: int, until: float) -> None:
+    def handle_ping(self, lender: int, holder: int, lease_end: float) -> None:
         """Record the lease in a ping at the holder, and send back its clock reading."""
         now = self.simulation.now
-        self.nodes[holder].leases.renew(str(lender), until, now)
+        self.nodes[holder].leases.renew(str(lender), lease_end, now)
 
         def record() -> None:
             node = self.nodes[lender]
-            clock = node.clocks.setdefault(holder, RemoteClock())
-            was_known = clock.estimate(self.simulation.now) is not None
-            clock.record(now, self.simulation.now)
+            remote_clock = node.remote_clocks.setdefault(holder, RemoteClock())
+            was_known = remote_clock.estimate(self.simulation.now) is not None
+            remote_clock.record(now, self.simulation.now)
             if not was_known:
                 node.renew_lease()
 
@@ -219,7 +221,7 @@
         self._views.clear()
         self.nodes[number] = RateNode(self, number, first_start=False)
         for other, node in enumerate(self.nodes):
-            node.clocks.pop(number, None)
+            node.remote_clocks.pop(number, None)
             # The new process announces its start to all nodes that it reaches.
             if self.network.is_reachable(number, other):
                 node.leases.revoke(str(number), self.simulation.now)
--- a/primroseglade/sidecar/bucket_snapshot.py
+++ b/primroseglade/sidecar/bucket_snapshot.py
@@ -24,7 +24,7 @@
         self.rate = bucket.limits.rate
         self.burst = bucket.limits.burst
         self.share = share
-        self.demand = bucket.get_demand(now)
+        self.demand = bucket.get_demand_per_second(now)
         self.tokens = bucket.tokens
 
     @property
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -61,38 +61,38 @@
         limits: Limits to enforce, computed by `RateTolerance`.
         token_batches: Pairs of expiry time and number of unspent tokens, oldest
             first.
-        pending_returns: Number of expired or refunded tokens that go back to a holder
-            with the next request.
-        waiting: Handlers of the calls that wait for the holder's answer.
+        pending_returned_tokens: Number of expired or refunded tokens that go back to a
+            holder with the next request.
+        waiting_handlers: Handlers of the calls that wait for the holder's answer.
         request_in_flight: Whether a request for tokens is in flight.
         refused_until: Time until which calls are refused without a request.
         refusal: Decision on the calls that are refused without a request.
         demand: Calls received within the last `DEMAND_WINDOW_SECONDS`.
-        admitted: Number of calls that got a token, less those that did not run.
+        admitted_calls: Number of calls that got a token, less those that did not run.
     """
 
     __slots__ = (
-        "admitted",
+        "admitted_calls",
         "demand",
         "limits",
-        "pending_returns",
+        "pending_returned_tokens",
         "refusal",
         "refused_until",
         "request_in_flight",
         "tenant",
         "token_batches",
-        "waiting",
+        "waiting_handlers",
     )
 
     def __init__(self, tenant: Tenant, limits: TokenLimits):
         self.set_limits(tenant, limits)
         self.token_batches: collections.deque[list[float]] = collections.deque()
-        self.pending_returns = 0
-        self.waiting: collections.deque[DecisionHandler] = collections.deque()
+        self.pending_returned_tokens = 0
+        self.waiting_handlers: collections.deque[DecisionHandler] = collections.deque()
         self.request_in_flight = False
         self.refusal = TokenDecision(False)
         self.demand = SlidingCount(DEMAND_WINDOW_SECONDS)
-        self.admitted = 0
+        self.admitted_calls = 0
 
     def set_limits(self, tenant: Tenant, limits: TokenLimits) -> None:
         """Replace the limits, and end refusals due to the former limits."""
@@ -103,7 +103,7 @@
     def count_unspent_tokens(self, now: float) -> int:
         """Return the number of unspent tokens, after removing expired ones."""
         while self.token_batches and self.token_batches[0][0] <= now:
-            self.pending_returns += int(self.token_batches.popleft()[1])
+            self.pending_returned_tokens += int(self.token_batches.popleft()[1])
         return int(sum(count for _, count in self.token_batches))
 
     def add_tokens(self, count: int, expires_at: float) -> None:
@@ -118,8 +118,8 @@
         If tokens were kept here, calls that wait for seconds and then do not run would
         leave many behind, which would admit as many calls beyond the rate.
         """
-        self.admitted -= 1
-        self.pending_returns += 1
+        self.admitted_calls -= 1
+        self.pending_returned_tokens += 1
 
     def try_spend(self, now: float) -> bool:
         """Spend one token; return False if there is none."""
@@ -128,7 +128,7 @@
         self.token_batches[0][1] -= 1
         if not self.token_batches[0][1]:
             self.token_batches.popleft()
-        self.admitted += 1
+        self.admitted_calls += 1
         return True
 
     def estimate_expected_calls(self, now: float) -> int:
@@ -172,7 +172,7 @@
     def list_admitted(self) -> Iterator[tuple[str, int]]:
         """Yield the name and the number of admitted calls of each workspace."""
         for name, cache in self._caches.items():
-            yield name, cache.admitted
+            yield name, cache.admitted_calls
 
     def acquire(
         self, tenant: Tenant, version: int, rolled_out: bool, done: DecisionHandler
@@ -192,7 +192,7 @@
             return
         now = self._clock()
         cache.demand.add(now)
-        if not cache.waiting and cache.try_spend(now):
+        if not cache.waiting_handlers and cache.try_spend(now):
             self._deliver_token(cache, done)
             expected_calls = cache.estimate_expected_calls(now)
             if (
@@ -203,7 +203,7 @@
         elif now < cache.refused_until:
             done(cache.refusal)
         else:
-            cache.waiting.append(done)
+            cache.waiting_handlers.append(done)
             self._request_tokens(cache, now)
 
     def refund(self, tenant: Tenant) -> None:
@@ -220,7 +220,7 @@
         if self._rng.random() < REFUNDED_RATIO:
             self.refund(tenant)
         else:
-            cache.admitted -= 1
+            cache.admitted_calls -= 1
 
     def _get_cache(self, tenant: Tenant, version: int, rolled_out: bool) -> TokenCache:
         cache = self._caches.get(tenant.name)
@@ -242,12 +242,15 @@
             self._refuse_waiting(cache, TokenDecision(False), now)
             return
         cache.request_in_flight = True
-        returned_tokens, cache.pending_returns = cache.pending_returns, 0
+        returned_tokens, cache.pending_returned_tokens = (
+            cache.pending_returned_tokens,
+            0,
+        )
         unspent_tokens = cache.count_unspent_tokens(now)
         request = TokenRequest(
             0,
             cache.limits,
-            len(cache.waiting),
+            len(cache.waiting_handlers),
             max(0, cache.estimate_expected_calls(now) - unspent_tokens),
             unspent_tokens,
             returned_tokens,
@@ -283,13 +286,13 @@
         cache.request_in_flight = False
         if grant is None:
             self._backoff_until[holder] = now + HOLDER_BACKOFF_SECONDS
-            if cache.waiting:
+            if cache.waiting_handlers:
                 self._request_tokens(cache, now)
             return
         cache.add_tokens(int(grant.tokens), requested_at + PREFETCHED_TOKEN_TTL_SECONDS)
-        while cache.waiting and cache.try_spend(now):
-            self._deliver_token(cache, cache.waiting.popleft())
-        if not cache.waiting:
+        while cache.waiting_handlers and cache.try_spend(now):
+            self._deliver_token(cache, cache.waiting_handlers.popleft())
+        if not cache.waiting_handlers:
             return
         if grant.tokens > 0 or not request.waiting_calls:
             self._request_tokens(cache, now)
@@ -304,8 +307,11 @@
         """Refuse the waiting calls, and new ones for `REFUSAL_CACHE_SECONDS`."""
         cache.refusal = refusal
         cache.refused_until = now + REFUSAL_CACHE_SECONDS
-        waiting, cache.waiting = cache.waiting, collections.deque()
-        for done in waiting:
+        waiting_handlers, cache.waiting_handlers = (
+            cache.waiting_handlers,
+            collections.deque(),
+        )
+        for done in waiting_handlers:
             done(refusal)
 
     def _deliver_token(self, cache: TokenCache, done: DecisionHandler) -> None:
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -136,8 +136,8 @@
         """
         now = time.monotonic()
         self._lender_starts[lender.name] = lender.start_time_ms
-        until = now + lease_end_ms / 1000 - read_age_clock()
-        self._leases.renew(lender.name, min(until, now + LEASE_SECONDS), now)
+        lease_end = now + lease_end_ms / 1000 - read_age_clock()
+        self._leases.renew(lender.name, min(lease_end, now + LEASE_SECONDS), now)
 
     def record_node_start(self, entry: NodeEntry) -> None:
         """End the lease of a node's former process, if the node was restarted."""
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -125,8 +125,8 @@
     def __init__(self, count_nodes: Callable[[], int], started_at: float):
         self.on_lease_end: Callable[[], None] = lambda: None
         self._count_nodes = count_nodes
-        self._expiries: dict[str, float] = {}
-        self._next_expiry = math.inf
+        self._lease_ends: dict[str, float] = {}
+        self._next_lease_end = math.inf
         self._advanced_at = -math.inf
         self._full_rate_seconds = 0.0
         self._full_rate_seconds_at_lease_end = 0.0
@@ -135,7 +135,7 @@
         self._initial_share = 0.0
 
     def __len__(self) -> int:
-        return len(self._expiries)
+        return len(self._lease_ends)
 
     @property
     def initial_share(self) -> float:
@@ -146,7 +146,7 @@
     def share(self) -> float:
         """Fraction of each rate and burst that is lent to this node."""
         nodes = self._count_nodes()
-        return min(1.0, len(self._expiries) / nodes) if nodes else 0.0
+        return min(1.0, len(self._lease_ends) / nodes) if nodes else 0.0
 
     @property
     def full_rate_seconds(self) -> float:
@@ -168,38 +168,40 @@
         self.advance(now)
         if lease_end <= now:
             return
-        self._expiries[lender] = lease_end
-        self._next_expiry = min(self._expiries.values())
+        self._lease_ends[lender] = lease_end
+        self._next_lease_end = min(self._lease_ends.values())
         if now <= self._initial_until:
             self._initial_share = max(self._initial_share, self.share)
 
     def revoke(self, lender: str, now: float) -> None:
         """End the lease of a node that was restarted, if there is one."""
         self.advance(now)
-        if self._expiries.pop(lender, None) is not None:
+        if self._lease_ends.pop(lender, None) is not None:
             self._record_lease_end()
 
     def advance(self, now: float) -> float:
         """End expired leases; return the full-rate seconds accrued here until now."""
-        while self._next_expiry <= now:
-            self._accrue(self._next_expiry)
+        while self._next_lease_end <= now:
+            self._accrue(self._next_lease_end)
             expired = [
-                name for name, at in self._expiries.items() if at <= self._next_expiry
+                name
+                for name, at in self._lease_ends.items()
+                if at <= self._next_lease_end
             ]
             for lender in expired:
-                del self._expiries[lender]
+                del self._lease_ends[lender]
             self._record_lease_end()
         self._accrue(now)
         return self._full_rate_seconds
 
     def _accrue(self, until: float) -> None:
         if until > self._advanced_at:
-            if self._expiries:
+            if self._lease_ends:
                 self._full_rate_seconds += self.share * (until - self._advanced_at)
             self._advanced_at = until
 
     def _record_lease_end(self) -> None:
-        self._next_expiry = min(self._expiries.values(), default=math.inf)
+        self._next_lease_end = min(self._lease_ends.values(), default=math.inf)
         self._no_lease_ended = False
         self._full_rate_seconds_at_lease_end = self._full_rate_seconds
         self.on_lease_end()
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -120,11 +120,11 @@
         if waiting is not None:
             waiting.requests.append((sender, request, reply))
             return
-        granted = self._pool.take(
+        granted_tokens = self._pool.take(
             limits, request.waiting_calls, request.expected_calls, now, sender
         )
-        if granted or not request.waiting_calls:
-            reply(self._build_grant(request, granted))
+        if granted_tokens or not request.waiting_calls:
+            reply(self._build_grant(request, granted_tokens))
             self._top_up_reserve(limits, now)
             return
         waiting = WaitingRequests(limits)
@@ -162,13 +162,13 @@
         self._pool.deposit(limits, tokens, now, waiting.waiting_calls)
         while waiting.requests:
             sender, request, reply = waiting.requests[0]
-            granted = self._pool.take(
+            granted_tokens = self._pool.take(
                 limits, request.waiting_calls, request.expected_calls, now, sender
             )
-            if not granted and request.waiting_calls:
+            if not granted_tokens and request.waiting_calls:
                 break
             waiting.requests.popleft()
-            reply(self._build_grant(request, granted))
+            reply(self._build_grant(request, granted_tokens))
         if waiting.requests:
             self._borrow(waiting, now)
         else:
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -72,7 +72,7 @@
             del self.prefetched_by_entry[name]
         return sum(count for _, count in self.prefetched_by_entry.values())
 
-    def get_demand(self, now: float) -> float:
+    def get_demand_per_second(self, now: float) -> float:
         """Return the demand in calls per second."""
         return self.demand.total(now) / DEMAND_WINDOW_SECONDS
 
@@ -138,22 +138,24 @@
             Number of tokens taken.
         """
         bucket = self._refill(limits, now)
-        granted = min(waiting_calls, int(bucket.tokens + TOKEN_EPSILON))
-        if granted == waiting_calls:
-            reserved = RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
-            extra = min(expected_calls, int(bucket.tokens - granted - reserved))
-            if extra > 0:
+        granted_tokens = min(waiting_calls, int(bucket.tokens + TOKEN_EPSILON))
+        if granted_tokens == waiting_calls:
+            reserved_tokens = RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
+            extra_tokens = min(
+                expected_calls, int(bucket.tokens - granted_tokens - reserved_tokens)
+            )
+            if extra_tokens > 0:
                 _, unspent_tokens = bucket.prefetched_by_entry.get(entry, (0.0, 0))
                 bucket.prefetched_by_entry[entry] = (
                     now + PREFETCHED_TOKEN_TTL_SECONDS,
-                    unspent_tokens + extra,
+                    unspent_tokens + extra_tokens,
                 )
-                granted += extra
-        bucket.tokens -= granted
-        return granted
+                granted_tokens += extra_tokens
+        bucket.tokens -= granted_tokens
+        return granted_tokens
 
     def lend(
-        self, limits: TokenLimits, requested: float, urgent: bool, now: float
+        self, limits: TokenLimits, requested_tokens: float, urgent: bool, now: float
     ) -> float:
         """Take tokens for another holder, except those needed here soon.
 
@@ -162,7 +164,7 @@
 
         Args:
             limits: Limits of the workspace.
-            requested: Number of tokens, may be a fraction.
+            requested_tokens: Number of tokens, may be a fraction.
             urgent: Whether calls wait at the borrower. Otherwise only tokens above
                 `RESERVED_CAPACITY_RATIO`, which would soon overflow, are lent.
             now: Seconds on the monotonic clock.
@@ -171,13 +173,14 @@
             Number of tokens lent, may be a fraction.
         """
         bucket = self._refill(limits, now)
-        reserved = bucket.get_demand(now) * LOAN_RESERVE_SECONDS
+        reserved_tokens = bucket.get_demand_per_second(now) * LOAN_RESERVE_SECONDS
         if not urgent:
-            reserved = max(
-                reserved, RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now)
+            reserved_tokens = max(
+                reserved_tokens,
+                RESERVED_CAPACITY_RATIO * self._get_capacity(bucket, now),
             )
-        spare = bucket.tokens - reserved
-        lent_tokens = min(requested, spare)
+        spare_tokens = bucket.tokens - reserved_tokens
+        lent_tokens = min(requested_tokens, spare_tokens)
         if lent_tokens < MIN_LOAN_TOKENS:
             return 0.0
         bucket.tokens -= lent_tokens
@@ -205,7 +208,9 @@
         """Return the number of tokens to borrow for waiting and expected calls."""
         bucket = self._refill(limits, now)
         room = max(0.0, self._get_capacity(bucket, now) - waiting_calls)
-        expected_calls = min(room, bucket.get_demand(now) * BORROW_AHEAD_SECONDS)
+        expected_calls = min(
+            room, bucket.get_demand_per_second(now) * BORROW_AHEAD_SECONDS
+        )
         return waiting_calls + expected_calls - bucket.tokens
 
     def get_reserve_shortfall(self, limits: TokenLimits, now: float) -> float:
@@ -225,8 +230,8 @@
             bucket = self._buckets[limits.workspace] = Bucket(limits, seconds)
             # A new bucket holds all tokens accrued since a lease last ended, because no
             # call of the workspace has spent any.
-            accrued = limits.rate * self._leases.uninterrupted_full_rate_seconds
-            bucket.tokens = min(accrued, self._get_capacity(bucket, now))
+            accrued_tokens = limits.rate * self._leases.uninterrupted_full_rate_seconds
+            bucket.tokens = min(accrued_tokens, self._get_capacity(bucket, now))
             if not self._leases.no_lease_ended:
                 bucket.initial_share = self._leases.initial_share
         # Tokens borrowed for waiting calls are kept even beyond the capacity.
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -118,9 +118,9 @@
 
 def test_rate_holds_across_nodes_that_share_it():
     """Three nodes that together receive five times the rate admit only the rate."""
-    simulation = simulate_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zones=3)
+    simulation = simulate_workspace(3, 100.0, Demand(5.0), 10.0, seed=1, zone_count=3)
     assert simulation.get_max_calls_per_window() <= count_tolerated_calls(100.0, 100.0)
-    assert len(simulation.admitted) >= 100.0 * 10 * 0.95
+    assert len(simulation.admission_times) >= 100.0 * 10 * 0.95
 
 
 def test_admission_level_recovers_soon_after_an_overload():
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -42,7 +42,7 @@
     """Guards against many nodes spending the same tokens when calls begin."""
     outcomes = simulate_workspace(nodes, rate, Demand(times), 12.0, seed=1)
     assert_rate_kept(outcomes, rate)
-    assert len(outcomes.admitted) >= 0.75 * rate * 12.0
+    assert len(outcomes.admission_times) >= 0.75 * rate * 12.0
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -81,8 +81,8 @@
     partitions = [NetworkPartition(*partition, sides)]
     outcomes = simulate_workspace(14, 147.0, demand, 18.0, seed, partitions=partitions)
     assert_rate_kept(outcomes, 147.0)
-    ideal = count_ideal_admissions(outcomes.arrivals, 147.0, 147.0)
-    assert len(outcomes.admitted) >= 0.8 * ideal
+    ideal = count_ideal_admissions(outcomes.arrival_times, 147.0, 147.0)
+    assert len(outcomes.admission_times) >= 0.8 * ideal
 
 
 def schedule_at_rise(event: Callable[[RateFleet], None]) -> Callable[[RateFleet], None]:
@@ -122,7 +122,7 @@
 def test_a_workspace_within_its_rate_is_not_refused(nodes: int):
     """Guards against refusing calls at the usual load of 60 % of the rate."""
     outcomes = simulate_workspace(nodes, 60.0, Demand(0.6), 12.0, seed=1)
-    assert len(outcomes.admitted) >= 0.98 * len(outcomes.arrivals)
+    assert len(outcomes.admission_times) >= 0.98 * len(outcomes.arrival_times)
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(14, 147.0), (88, 60.0), (195, 5.0)])
@@ -131,8 +131,8 @@
 ):
     """Guards against refusing calls while a holder in another zone has tokens."""
     outcomes = simulate_workspace(nodes, rate, Demand(0.9), 20.0, seed=1)
-    assert len(outcomes.admitted) >= 0.999 * count_ideal_admissions(
-        outcomes.arrivals, rate, rate
+    assert len(outcomes.admission_times) >= 0.999 * count_ideal_admissions(
+        outcomes.arrival_times, rate, rate
     )
 
 
@@ -145,9 +145,12 @@
         simulate_workspace(nodes, 2.0, Demand(0.9), 16.0, seed) for seed in (1, 2, 3)
     ]
     ideal = sum(
-        count_ideal_admissions(outcomes.arrivals, 2.0, 2.0) for outcomes in all_outcomes
+        count_ideal_admissions(outcomes.arrival_times, 2.0, 2.0)
+        for outcomes in all_outcomes
+    )
+    assert (
+        sum(len(outcomes.admission_times) for outcomes in all_outcomes) >= 0.95 * ideal
     )
-    assert sum(len(outcomes.admitted) for outcomes in all_outcomes) >= 0.95 * ideal
 
 
 def test_callers_of_one_zone_get_the_whole_rate():
@@ -159,8 +162,8 @@
         fleet, tenant, Demand(0.9), WARM_UP_SECONDS, 20.0, zone_nodes
     )
     fleet.simulation.run(20.0)
-    assert len(outcomes.admitted) >= 0.99 * count_ideal_admissions(
-        outcomes.arrivals, 60.0, 60.0
+    assert len(outcomes.admission_times) >= 0.99 * count_ideal_admissions(
+        outcomes.arrival_times, 60.0, 60.0
     )
 
 
@@ -174,9 +177,9 @@
     outcomes = simulate_workspace(
         nodes, rate, Demand(0.65), 3.0, seed=1, first_start=False
     )
-    calls = len(outcomes.arrivals)
-    assert len(outcomes.admitted) >= 0.75 * calls
-    assert sum(now < 1.0 for now in outcomes.admitted) >= 0.5 * calls / 3.0
+    calls = len(outcomes.arrival_times)
+    assert len(outcomes.admission_times) >= 0.75 * calls
+    assert sum(now < 1.0 for now in outcomes.admission_times) >= 0.5 * calls / 3.0
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(13, 20.0), (88, 5.0), (195, 5.0)])
@@ -188,8 +191,10 @@
         simulate_workspace(nodes, rate, Demand(0.65), 2.0, seed, first_start=False)
         for seed in range(1, 11)
     ]
-    calls = sum(len(outcomes.arrivals) for outcomes in all_outcomes)
-    assert sum(len(outcomes.admitted) for outcomes in all_outcomes) >= 0.9 * calls
+    calls = sum(len(outcomes.arrival_times) for outcomes in all_outcomes)
+    assert (
+        sum(len(outcomes.admission_times) for outcomes in all_outcomes) >= 0.9 * calls
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -218,13 +223,13 @@
     outcomes = simulate_workspace(
         nodes, rate, Demand(4.5), WINDOW_SECONDS, seed=2, first_start=False
     )
-    assert len(outcomes.admitted) <= rate * WINDOW_SECONDS * 1.1 + 20
+    assert len(outcomes.admission_times) <= rate * WINDOW_SECONDS * 1.1 + 20
 
 
 def test_a_workspace_a_little_over_its_rate_may_use_the_tolerance():
     """Guards against refusing calls beyond the rate that operators tolerate."""
     outcomes = simulate_workspace(18, 100.0, Demand(1.1), 15.0, seed=1)
-    assert len(outcomes.admitted) >= 0.98 * len(outcomes.arrivals)
+    assert len(outcomes.admission_times) >= 0.98 * len(outcomes.arrival_times)
     assert_rate_kept(outcomes, 100.0)
 
 
