--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -6,7 +6,8 @@
 from typing import Any
 
 from primroseglade.emulator.network import NetworkPartition
-from primroseglade.emulator.rate_plays import (
+from primroseglade.emulator.rate_scenarios import build_scenarios, DEMAND_RISE_SECONDS
+from primroseglade.emulator.rate_simulation import (
     add_callers,
     CallOutcomes,
     count_ideal_admissions,
@@ -14,7 +15,6 @@
     Demand,
     WARM_UP_SECONDS,
 )
-from primroseglade.emulator.rate_scenarios import build_scenarios, DEMAND_RISE_SECONDS
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.model import Tenant
 
--- a/tests/test_admission_levels.py
+++ b/tests/test_admission_levels.py
@@ -2,7 +2,7 @@
 
 import random
 
-from primroseglade.emulator.rate_plays import (
+from primroseglade.emulator.rate_simulation import (
     count_tolerated_calls,
     Demand,
     simulate_workspace,
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -5,7 +5,14 @@
 import pytest
 
 from primroseglade.emulator.network import NetworkPartition
-from primroseglade.emulator.rate_plays import (
+from primroseglade.emulator.rate_scenarios import (
+    freeze_holders,
+    get_side_of_split_between_zones,
+    get_side_of_split_within_zones,
+    kill_all,
+    kill_holders,
+)
+from primroseglade.emulator.rate_simulation import (
     add_callers,
     CallOutcomes,
     count_ideal_admissions,
@@ -14,13 +21,6 @@
     simulate_workspace,
     WARM_UP_SECONDS,
 )
-from primroseglade.emulator.rate_scenarios import (
-    freeze_holders,
-    get_side_of_split_between_zones,
-    get_side_of_split_within_zones,
-    kill_all,
-    kill_holders,
-)
 from primroseglade.emulator.rates import RateFleet, WINDOW_SECONDS
 from primroseglade.sidecar.model import Tenant
 
--- a/tests/test_share_leases.py
+++ b/tests/test_share_leases.py
@@ -3,14 +3,14 @@
 import pytest
 
 from primroseglade.emulator.network import NetworkPartition
-from primroseglade.emulator.rate_plays import (
-    WARM_UP_SECONDS,
-)
 from primroseglade.emulator.rate_scenarios import (
     get_side_of_isolated_nodes,
     get_side_of_split_between_zones,
     get_side_of_split_within_zones,
 )
+from primroseglade.emulator.rate_simulation import (
+    WARM_UP_SECONDS,
+)
 from primroseglade.emulator.rates import RateFleet
 from primroseglade.sidecar.share_leases import (
     LEASE_SECONDS,
