--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -26,10 +26,10 @@
 
 # A node first lends its share within this time of its start.
 MAX_FIRST_RENEWAL_SECONDS = 0.1
-# Interval at which a node updates which others it reaches.
+# Interval at which a node refreshes its list of reachable nodes.
 VIEW_REFRESH_SECONDS = 0.25
-# Operators tolerate, in any window, this fraction of rate and burst and this number of
-# calls on top of them.
+# In any window of this length, operators tolerate more calls than rate and burst allow:
+# this fraction of the allowed calls, and this number of calls in addition.
 WINDOW_SECONDS = 5.0
 TOLERATED_OVERSHOOT_RATIO = 0.1
 TOLERATED_EXTRA_CALLS = 20
@@ -50,7 +50,7 @@
         simulation = fleet.simulation
         name = str(number)
         self.lender = ShareLender()
-        self.clocks: dict[int, RemoteClock] = {}
+        self.remote_clocks: dict[int, RemoteClock] = {}
         self.leases = LeaseTable(lambda: fleet.size, simulation.now)
         self.pool = TokenPool(self.leases, first_start)
         self.broker = TokenBroker(
@@ -96,15 +96,15 @@
         fleet.network.send(
             self._number,
             number,
-            lambda: fleet.nodes[number].broker.handle(
+            lambda: fleet.nodes[number].broker.handle_request(
                 str(self._number), request, reply
             ),
         )
         timeout = fleet.simulation.now + REQUEST_TIMEOUT_SECONDS
         fleet.simulation.schedule(timeout, lambda: finish(None))
 
-    def renew(self) -> None:
-        """Lend the share to its assigned holder by a ping, if a renewal is due."""
+    def renew_lease(self) -> None:
+        """Lend the share to the assigned holder by a ping, if a renewal is due."""
         fleet = self._fleet
         now = fleet.simulation.now
         holder = int(fleet.find_holder(self._number))
@@ -116,14 +116,16 @@
                 self.leases.renew(str(self._number), now + LEASE_SECONDS, now)
                 self.lender.record_lease_sent(str(holder), now)
             return
-        clock = self.clocks.setdefault(holder, RemoteClock())
-        remote = clock.estimate(now)
-        until = 0.0
-        if remote is not None and may_lend:
-            until = remote + LEASE_SECONDS
+        remote_clock = self.remote_clocks.setdefault(holder, RemoteClock())
+        remote_time = remote_clock.estimate(now)
+        lease_end = 0.0
+        if remote_time is not None and may_lend:
+            lease_end = remote_time + LEASE_SECONDS
             self.lender.record_lease_sent(str(holder), now)
         fleet.network.send(
-            self._number, holder, lambda: fleet.handle_ping(self._number, holder, until)
+            self._number,
+            holder,
+            lambda: fleet.handle_ping(self._number, holder, lease_end),
         )
 
 
@@ -154,7 +156,7 @@
         self.nodes: list[RateNode] = []
         self._views: dict[int, tuple[float, tuple[str, list[str]]]] = {}
         for number in range(len(zones)):
-            self.network.started[number] = 0.0
+            self.network.started_at[number] = 0.0
             self.nodes.append(RateNode(self, number, first_start))
             self._schedule_renewal(
                 number, self.rng.uniform(0.0, MAX_FIRST_RENEWAL_SECONDS)
@@ -167,7 +169,7 @@
 
     def kill(self, number: int, down_seconds: float) -> None:
         """Kill a node's process, and start a new one after ``down_seconds``."""
-        self.network.started[number] = math.inf
+        self.network.started_at[number] = math.inf
         self._views.clear()
         self.simulation.schedule(
             self.simulation.now + down_seconds, lambda: self._start(number)
@@ -185,18 +187,18 @@
         """Return the token holders of all zones that a node reaches."""
         return self._get_view(number)[1]
 
-    def handle_ping(self, lender: int, holder: int, until: float) -> None:
-        """Record a ping's lease at its holder, and send the holder's clock back."""
+    def handle_ping(self, lender: int, holder: int, lease_end: float) -> None:
+        """Record the lease in a ping at the holder, and send back its clock reading."""
         now = self.simulation.now
-        self.nodes[holder].leases.renew(str(lender), until, now)
+        self.nodes[holder].leases.renew(str(lender), lease_end, now)
 
         def record() -> None:
             node = self.nodes[lender]
-            clock = node.clocks.setdefault(holder, RemoteClock())
-            was_known = clock.estimate(self.simulation.now) is not None
-            clock.record(now, self.simulation.now)
+            remote_clock = node.remote_clocks.setdefault(holder, RemoteClock())
+            was_known = remote_clock.estimate(self.simulation.now) is not None
+            remote_clock.record(now, self.simulation.now)
             if not was_known:
-                node.renew()
+                node.renew_lease()
 
         self.network.send(holder, lender, record)
 
@@ -210,14 +212,16 @@
             done(decision.granted)
             return True
 
+        # The priority is passed as the version of the configuration. Any constant would
+        # do, because limits do not change during a simulation.
         self.nodes[number].quotas.acquire(tenant, tenant.priority or 1, True, take)
 
     def _start(self, number: int) -> None:
-        self.network.started[number] = self.simulation.now
+        self.network.started_at[number] = self.simulation.now
         self._views.clear()
         self.nodes[number] = RateNode(self, number, first_start=False)
         for other, node in enumerate(self.nodes):
-            node.clocks.pop(number, None)
+            node.remote_clocks.pop(number, None)
             # The new process announces its start to all nodes that it reaches.
             if self.network.is_reachable(number, other):
                 node.leases.revoke(str(number), self.simulation.now)
@@ -231,7 +235,7 @@
             if self.nodes[number] is not node:
                 return
             if self.network.frozen_until[number] <= self.simulation.now:
-                node.renew()
+                node.renew_lease()
             pause = TICK_SECONDS * self.rng.uniform(
                 1.0 - TICK_JITTER_RATIO, 1.0 + TICK_JITTER_RATIO
             )
@@ -240,7 +244,7 @@
         self.simulation.schedule(at, renew)
 
     def _get_view(self, number: int) -> tuple[str, list[str]]:
-        """Return a node's assigned holder and all holders, by its view of the fleet."""
+        """Return the holder assigned to a node, and all holders that it reaches."""
         now = self.simulation.now
         cached = self._views.get(number)
         if cached is not None and now - cached[0] < VIEW_REFRESH_SECONDS:
