--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -10,7 +10,7 @@
 from .verdicts import not_run, Reason, Refusal
 
 # Time limit for receiving a request's head.
-HEAD_SECONDS = 10.0
+HEAD_TIMEOUT_SECONDS = 10.0
 SINGLETON_HEADERS = frozenset(
     {b"authorization", b"content-length", b"host", b"transfer-encoding"}
 )
@@ -115,7 +115,9 @@
 
     def _start_head_timer(self) -> None:
         self._stop_head_timer()
-        self._head_timer = self.loop.call_later(HEAD_SECONDS, self.transport.close)
+        self._head_timer = self.loop.call_later(
+            HEAD_TIMEOUT_SECONDS, self.transport.close
+        )
 
     def _stop_head_timer(self) -> None:
         if self._head_timer is not None:
--- a/primroseglade/supervisor.py
+++ b/primroseglade/supervisor.py
@@ -6,8 +6,8 @@
 
 from .observe.events import Journal, TASK_FAILED, TASK_GIVEN_UP
 
-FIRST_DELAY_SECONDS = 0.05
-LONGEST_DELAY_SECONDS = 5.0
+MIN_RESTART_DELAY_SECONDS = 0.05
+MAX_RESTART_DELAY_SECONDS = 5.0
 # A child that ran this long has recovered; its count of failures starts again.
 FAILURE_RESET_SECONDS = 30.0
 MAX_CONSECUTIVE_FAILURES = 20
@@ -99,7 +99,9 @@
                 if failures >= MAX_CONSECUTIVE_FAILURES:
                     self._give_up(name, error)
                     return
-            max_delay = min(LONGEST_DELAY_SECONDS, FIRST_DELAY_SECONDS * 2**failures)
+            max_delay = min(
+                MAX_RESTART_DELAY_SECONDS, MIN_RESTART_DELAY_SECONDS * 2**failures
+            )
             await asyncio.sleep(random.uniform(max_delay / 2, max_delay))
 
     def _log_failure(self, name: str, error: Exception, failures: int) -> None:
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -179,7 +179,7 @@
 @pytest.mark.parametrize("sent", [b"", b"POST /archive/x HTTP/1.1\r\nhost: n\r\n"])
 async def test_connection_without_a_complete_head_is_closed(sent, monkeypatch):
     """Guards against slow clients that hold connections without a complete head."""
-    monkeypatch.setattr(http_guard, "HEAD_SECONDS", 0.2)
+    monkeypatch.setattr(http_guard, "HEAD_TIMEOUT_SECONDS", 0.2)
     async with run_fleet(("a", "archive", None)) as fleet:
         assert await send_raw(fleet.instances[0].caller_address, sent) == b""
 
--- a/tests/test_supervisor.py
+++ b/tests/test_supervisor.py
@@ -36,7 +36,7 @@
 
 
 async def test_failed_child_is_restarted(monkeypatch):
-    monkeypatch.setattr(supervisor, "FIRST_DELAY_SECONDS", 0.001)
+    monkeypatch.setattr(supervisor, "MIN_RESTART_DELAY_SECONDS", 0.001)
     done = asyncio.Event()
     runs = []
 
@@ -55,7 +55,7 @@
 
 
 async def test_child_that_always_fails_makes_wait_failed_raise(monkeypatch):
-    monkeypatch.setattr(supervisor, "LONGEST_DELAY_SECONDS", 0.001)
+    monkeypatch.setattr(supervisor, "MAX_RESTART_DELAY_SECONDS", 0.001)
 
     async def work() -> None:
         raise ValueError("never")
