--- a/primroseglade/answers.py
+++ b/primroseglade/answers.py
@@ -63,7 +63,7 @@
     except ValueError:
         # A verdict that this version does not know is read as the most cautious one.
         verdict = Verdict.MAY_HAVE_RUN
-    milliseconds = headers.get(RETRY_AFTER_MS_HEADER.decode(), "")
-    retry_after = int(milliseconds) / 1000 if milliseconds.isdecimal() else None
+    retry_after_text = headers.get(RETRY_AFTER_MS_HEADER.decode(), "")
+    retry_after = int(retry_after_text) / 1000 if retry_after_text.isdecimal() else None
     instance = headers.get(INSTANCE_HEADER.decode(), "")
     return Refusal(reason, verdict, detail, retry_after, instance)
--- a/primroseglade/cli/config.py
+++ b/primroseglade/cli/config.py
@@ -12,7 +12,7 @@
 from ..exits import ExitStatus
 from ..operator_client import OperatorClient
 from ..platform.log import LogClient
-from ..publishing import build_edit, publish, Published, wait_for_confirmations
+from ..publishing import build_edit, publish, PublishedEdit, wait_for_confirmations
 from ..settings.reader import read_file
 from .registry import command
 
@@ -136,7 +136,7 @@
 
 
 def _print_published(
-    published: Published, options: argparse.Namespace, environment: Environment
+    published: PublishedEdit, options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     if options.json:
         environment.print(json.dumps(published.to_dict()))
@@ -153,7 +153,7 @@
     return ExitStatus.REFUSED if unconfirmed else ExitStatus.SUCCESS
 
 
-def _describe_confirmations(published: Published) -> str:
+def _describe_confirmations(published: PublishedEdit) -> str:
     if published.everywhere:
         return f"in force on all {len(published.confirmed)} instances"
     names = ", ".join([*published.behind, *published.silent])
--- a/primroseglade/cli/explain.py
+++ b/primroseglade/cli/explain.py
@@ -55,7 +55,7 @@
 
 def _describe(explanation: Explanation) -> dict[str, object]:
     return {
-        "request": explanation.request,
+        "request": explanation.request_id,
         "lines": [line.fields for line in explanation.lines],
         "context": [line.fields for line in explanation.context],
         "cause": explanation.cause,
--- a/primroseglade/document/checks.py
+++ b/primroseglade/document/checks.py
@@ -70,29 +70,29 @@
 
 @cross_check
 def _check_keys(document: Document, changes: Changes) -> None:
-    workspaces_by_key: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for section, value in changes.items():
         kind, name = split_section(section)
         if kind != "workspaces" or value is None:
             continue
-        for item in value["keys"]:
-            holder = _find_workspace_with_key(
-                document, changes, item
-            ) or workspaces_by_key.get(item["id"])
-            holder = holder or workspaces_by_key.get(item["digest"])
-            if holder:
-                reason = f"key {item['id']!r} is already in workspace {holder!r}"
+        for key_entry in value["keys"]:
+            owner = _find_workspace_with_key(
+                document, changes, key_entry
+            ) or owners.get(key_entry["id"])
+            owner = owner or owners.get(key_entry["digest"])
+            if owner:
+                reason = f"key {key_entry['id']!r} is already in workspace {owner!r}"
                 raise InputError(section, "/keys", reason)
-            workspaces_by_key[item["id"]] = workspaces_by_key[item["digest"]] = name
+            owners[key_entry["id"]] = owners[key_entry["digest"]] = name
 
 
 def _find_workspace_with_key(
-    document: Document, changes: Changes, item: dict[str, Any]
+    document: Document, changes: Changes, key_entry: dict[str, Any]
 ) -> str | None:
     """Return a workspace that has the key and is not part of the changes."""
     for key in (
-        document.find_key_by_id(item["id"]),
-        document.find_key_by_digest(item["digest"]),
+        document.find_key_by_id(key_entry["id"]),
+        document.find_key_by_digest(key_entry["digest"]),
     ):
         if key and f"workspaces/{key.workspace}" not in changes:
             return key.workspace
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -20,19 +20,19 @@
         record: Id of that record.
     """
 
-    __slots__ = ("author", "record", "value", "version")
+    __slots__ = ("author", "record_id", "value", "version")
 
     def __init__(
-        self, value: dict[str, Any] | None, version: int, author: str, record: str
+        self, value: dict[str, Any] | None, version: int, author: str, record_id: str
     ):
         self.value = value
         self.version = version
         self.author = author
-        self.record = record
+        self.record_id = record_id
 
     def to_stored(self) -> list[Any]:
         """Return the representation used in snapshots."""
-        return [self.value, self.version, self.author, self.record]
+        return [self.value, self.version, self.author, self.record_id]
 
 
 class Key:
@@ -69,16 +69,16 @@
 class Route:
     """The importance of calls with a method and path prefix; no method means any."""
 
-    __slots__ = ("importance", "method", "path")
+    __slots__ = ("importance", "method", "path_prefix")
 
-    def __init__(self, path: str, method: str, importance: Importance):
-        self.path = path
+    def __init__(self, path_prefix: str, method: str, importance: Importance):
+        self.path_prefix = path_prefix
         self.method = method
         self.importance = importance
 
     def matches(self, method: str, path: str) -> bool:
         """Whether a call belongs to this route."""
-        return path.startswith(self.path) and self.method in ("", method)
+        return path.startswith(self.path_prefix) and self.method in ("", method)
 
 
 class Service:
@@ -99,10 +99,10 @@
 class ServiceRoutes:
     """The importance of a service's routes, and of calls that match none of them."""
 
-    __slots__ = ("default", "routes")
+    __slots__ = ("default_importance", "routes")
 
     def __init__(self, value: dict[str, Any]):
-        self.default = Importance.from_name(value["default"])
+        self.default_importance = Importance.from_name(value["default"])
         self.routes = [
             Route(
                 item["path"],
@@ -143,7 +143,7 @@
 
     def __init__(self) -> None:
         self._sections: dict[str, Section] = {}
-        self._keys: dict[str, Key] = {}
+        self._keys_by_digest: dict[str, Key] = {}
         self._keys_by_id: dict[str, Key] = {}
         self._services: dict[str, Service] = {}
         self._routes: dict[str, ServiceRoutes] = {}
@@ -179,33 +179,33 @@
         self._sections[name] = section
         _indexers[kind](self, own_name, previous and previous.value, section.value)
 
-    def find_key_by_id(self, key: str) -> Key | None:
+    def find_key_by_id(self, key_id: str) -> Key | None:
         """Return the key with this id, withdrawn or not."""
-        return self._keys_by_id.get(key)
+        return self._keys_by_id.get(key_id)
 
     def find_key_by_digest(self, digest: str) -> Key | None:
         """Return the key with this digest, withdrawn or not."""
-        return self._keys.get(digest)
+        return self._keys_by_digest.get(digest)
 
-    def is_withdrawn(self, workspace: str, key: str, batch: str = "") -> bool:
+    def is_withdrawn(self, workspace: str, key_id: str, batch: str = "") -> bool:
         """Whether a recall names the workspace, the key's id or its batch."""
         return any(
             workspace in recall.workspaces
-            or key in recall.keys
+            or key_id in recall.keys
             or (batch and batch in recall.key_batches)
             for recall in self._recalls.values()
         )
 
-    def is_key_valid(self, workspace: str, key: str) -> bool:
+    def is_key_valid(self, workspace: str, key_id: str) -> bool:
         """Whether the workspace has the key and no recall withdraws it.
 
         Used for calls that are already in flight, queued or relayed: they carry the
         id of the key but no longer the key itself.
         """
-        found = self._keys_by_id.get(key)
+        found = self._keys_by_id.get(key_id)
         if found is None or found.workspace != workspace:
             return False
-        return not self.is_withdrawn(workspace, key, found.batch)
+        return not self.is_withdrawn(workspace, key_id, found.batch)
 
     def get_importance(self, service: str, method: str, path: str) -> Importance:
         """Return the importance of a call; ``path`` is relative to the service."""
@@ -215,7 +215,7 @@
         for route in routes.routes:
             if route.matches(method, path):
                 return route.importance
-        return routes.default
+        return routes.default_importance
 
     def get_stale_after(self, workspace: str) -> float | None:
         """Return the maximum configuration age (s) of a workspace; None is no limit."""
@@ -264,17 +264,17 @@
 
 @indexer_for("workspaces")
 def _index_workspace(document: Document, name: str, old: Value, new: Value) -> None:
-    for item in (old or {}).get("keys", ()):
+    for key_entry in (old or {}).get("keys", ()):
         # If the same edit moved the key, the index may already hold its new workspace.
         for index, index_key in (
-            (document._keys, item["digest"]),
-            (document._keys_by_id, item["id"]),
+            (document._keys_by_digest, key_entry["digest"]),
+            (document._keys_by_id, key_entry["id"]),
         ):
             if index_key in index and index[index_key].workspace == name:
                 del index[index_key]
-    for item in (new or {}).get("keys", ()):
-        key = Key(item["id"], name, item.get("batch", ""))
-        document._keys[item["digest"]] = key
+    for key_entry in (new or {}).get("keys", ()):
+        key = Key(key_entry["id"], name, key_entry.get("batch", ""))
+        document._keys_by_digest[key_entry["digest"]] = key
         document._keys_by_id[key.id] = key
     _set_or_remove(document._stale_after, name, (new or {}).get("stale_after"))
 
--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -35,7 +35,7 @@
         record: Id of the record that set the current version.
     """
 
-    __slots__ = ("author", "base", "record", "section", "version")
+    __slots__ = ("author", "base", "record_id", "section", "version")
 
     def __init__(
         self,
@@ -43,20 +43,20 @@
         base: int | None,
         version: int | None,
         author: str,
-        record: str,
+        record_id: str,
     ):
         self.section = section
         self.base = base
         self.version = version
         self.author = author
-        self.record = record
+        self.record_id = record_id
 
     def __str__(self) -> str:
         if self.version is None:
             return f"{self.section}: based on {self.base}, but it never existed"
         return (
             f"{self.section}: based on {self.base}, but {self.author} changed it "
-            f"at {self.version} (record {self.record})"
+            f"at {self.version} (record {self.record_id})"
         )
 
 
@@ -71,18 +71,18 @@
         sections: Names of the sections that the record edits.
     """
 
-    __slots__ = ("accepted", "offset", "reason", "record", "sections")
+    __slots__ = ("accepted", "offset", "reason", "record_id", "sections")
 
     def __init__(
         self,
         offset: int,
-        record: str,
+        record_id: str,
         accepted: bool,
         reason: str = "",
         sections: tuple[str, ...] = (),
     ):
         self.offset = offset
-        self.record = record
+        self.record_id = record_id
         self.accepted = accepted
         self.reason = reason
         self.sections = sections
@@ -118,9 +118,9 @@
         """``next_offset`` of the newest complete snapshot in the log; -1 if none."""
         return self._latest_snapshot_offset
 
-    def find_outcome(self, record: str) -> Outcome | None:
+    def find_outcome(self, record_id: str) -> Outcome | None:
         """Return the outcome of the record with this id, if it is still stored."""
-        return self._outcomes.get(record)
+        return self._outcomes.get(record_id)
 
     def apply(self, offset: int, value: Any) -> Outcome:
         """Apply the record at ``offset``, unless it was applied before.
@@ -139,23 +139,23 @@
         return outcome
 
     def _apply_edit(self, offset: int, value: Any) -> Outcome:
-        record = ""
+        record_id = ""
         sections: tuple[str, ...] = ()
         try:
             edit = parse_edit(value)
-            record = edit.id
+            record_id = edit.id
             sections = tuple(change.section for change in edit.edits)
             self._check_sections(edit)
         except InputError as error:
-            return Outcome(offset, record, False, str(error), sections)
+            return Outcome(offset, record_id, False, str(error), sections)
         conflicts = self._find_conflicts(edit)
         if conflicts:
             reason = "; ".join(str(conflict) for conflict in conflicts)
-            return Outcome(offset, record, False, reason, sections)
+            return Outcome(offset, record_id, False, reason, sections)
         for change in edit.edits:
             section = Section(change.value, offset, edit.author, edit.id)
             self._document.put(change.section, section)
-        return Outcome(offset, record, True, "", sections)
+        return Outcome(offset, record_id, True, "", sections)
 
     def _check_sections(self, edit: Edit) -> None:
         changes = {}
@@ -173,9 +173,9 @@
             version = current.version if current else None
             if version != change.base:
                 author = current.author if current else ""
-                record = current.record if current else ""
+                record_id = current.record_id if current else ""
                 conflicts.append(
-                    Conflict(change.section, change.base, version, author, record)
+                    Conflict(change.section, change.base, version, author, record_id)
                 )
         return conflicts
 
@@ -225,7 +225,7 @@
         return split_snapshot(self._next_offset, stored)
 
     def _store_outcome(self, outcome: Outcome) -> None:
-        if outcome.record and outcome.record not in self._outcomes:
-            self._outcomes[outcome.record] = outcome
+        if outcome.record_id and outcome.record_id not in self._outcomes:
+            self._outcomes[outcome.record_id] = outcome
         while len(self._outcomes) > MAX_OUTCOMES:
             del self._outcomes[next(iter(self._outcomes))]
--- a/primroseglade/fleet/configuration.py
+++ b/primroseglade/fleet/configuration.py
@@ -175,7 +175,7 @@
             self._journal.emit(
                 event,
                 offset=outcome.offset,
-                record=outcome.record,
+                record=outcome.record_id,
                 sections=list(outcome.sections),
                 **fields,
             )
--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -39,7 +39,7 @@
         """Reset the limits for the next request's head."""
         super().on_message_begin()
         self._start_head_timer()
-        self._head_bytes = 0
+        self._received_head_bytes = 0
         self._seen_headers: set[bytes] = set()
 
     def on_url(self, url: bytes) -> None:
@@ -125,8 +125,8 @@
             self._head_timer = None
 
     def _count_head_bytes(self, size: int) -> None:
-        self._head_bytes += size
-        if self._head_bytes > self.header_bytes:
+        self._received_head_bytes += size
+        if self._received_head_bytes > self.header_bytes:
             raise not_run(
                 Reason.HEADERS_TOO_LARGE,
                 f"the request head is larger than {self.header_bytes} bytes",
@@ -149,6 +149,8 @@
 
 
 @functools.cache
-def build_protocol(header_bytes: int) -> type[GuardedProtocol]:
+def build_protocol(max_header_bytes: int) -> type[GuardedProtocol]:
     """Return a protocol class that limits request heads to this size in bytes."""
-    return type("GuardedProtocol", (GuardedProtocol,), {"header_bytes": header_bytes})
+    return type(
+        "GuardedProtocol", (GuardedProtocol,), {"header_bytes": max_header_bytes}
+    )
--- a/primroseglade/listener.py
+++ b/primroseglade/listener.py
@@ -66,7 +66,7 @@
         header_bytes: Maximum size of a request's head in bytes.
     """
 
-    def __init__(self, app: Any, address: str, header_bytes: int = 32768):
+    def __init__(self, app: Any, address: str, max_header_bytes: int = 32768):
         host, port = parse_address(address)
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
         # Without an explicit protocol, asyncio does not recognize accepted sockets as
@@ -79,7 +79,7 @@
         config = uvicorn.Config(
             app,
             loop="asyncio",
-            http=build_protocol(header_bytes),
+            http=build_protocol(max_header_bytes),
             ws="none",
             lifespan="off",
             interface="asgi3",
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -306,7 +306,7 @@
         for component in (self._puller, self._gossip, self._confirmer, self._recorder):
             component.register(self._server)
         self._configuration.watch(self._apply_outcome)
-        self._members.watch(self._forget_unreachable)
+        self._members.watch(self._remove_unreachable)
 
     def _build_rates(self) -> None:
         self._rates = RateCoordinator(
@@ -371,7 +371,7 @@
 
     def _build_listeners(self) -> None:
         listen = self._settings.listen
-        header = self._settings.limits.header
+        max_header_bytes = self._settings.limits.header
         announcements = build_announcement_application(self._backend)
         nested = self._nested_entry
 
@@ -381,10 +381,10 @@
 
         operator = build_operator_application(self)
         self._listeners = {
-            "callers": Listener(self._callers_entry, listen.callers, header),
-            "relay": Listener(self._relay_entry, listen.relay, header),
-            "backend": Listener(serve_backend, listen.backend, header),
-            "operator": Listener(operator, listen.operator, header),
+            "callers": Listener(self._callers_entry, listen.callers, max_header_bytes),
+            "relay": Listener(self._relay_entry, listen.relay, max_header_bytes),
+            "backend": Listener(serve_backend, listen.backend, max_header_bytes),
+            "operator": Listener(operator, listen.operator, max_header_bytes),
         }
         self._members.update_own(
             callers=self._listeners["callers"].address,
@@ -414,7 +414,7 @@
         self._rates.apply_document()
         self._gossip.exchange_now()
 
-    def _forget_unreachable(self, member: Member, _: Member | None) -> None:
+    def _remove_unreachable(self, member: Member, _: Member | None) -> None:
         if not member.reachable:
             self._router.remove(member.instance)
             self._relay.remove(member.relay)
--- a/primroseglade/observe/decisions.py
+++ b/primroseglade/observe/decisions.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any
 
-MAX_DECISIONS = 5000
+MAX_KEPT_DECISIONS = 5000
 
 
 class Decision:
@@ -50,7 +50,7 @@
 class Decisions:
     """The last ``max_decisions`` decisions of an instance."""
 
-    def __init__(self, max_decisions: int = MAX_DECISIONS) -> None:
+    def __init__(self, max_decisions: int = MAX_KEPT_DECISIONS) -> None:
         self._recent: collections.deque[Decision] = collections.deque(
             maxlen=max_decisions
         )
--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -75,12 +75,12 @@
         cause: Why the request ended as it did, in a sentence or two.
     """
 
-    __slots__ = ("cause", "context", "lines", "request")
+    __slots__ = ("cause", "context", "lines", "request_id")
 
     def __init__(
-        self, request: str, lines: list[LogLine], context: list[LogLine], cause: str
+        self, request_id: str, lines: list[LogLine], context: list[LogLine], cause: str
     ):
-        self.request = request
+        self.request_id = request_id
         self.lines = lines
         self.context = context
         self.cause = cause
@@ -113,9 +113,9 @@
     return [line for line in parsed if line is not None]
 
 
-def explain(request: str, lines: list[LogLine]) -> Explanation | None:
+def explain(request_id: str, lines: list[LogLine]) -> Explanation | None:
     """Return the explanation of a request, or None if no line names it."""
-    request_lines = [line for line in lines if line.get("request") == request]
+    request_lines = [line for line in lines if line.get("request") == request_id]
     if not request_lines:
         return None
     request_lines.sort(key=_get_sort_key)
@@ -130,7 +130,7 @@
     find_cause = _cause_finders.get((last.number, str(last.get("reason"))))
     find_cause = find_cause or _cause_finders.get((last.number, ""), _explain_other)
     context, cause = find_cause(last, nearby, lines)
-    return Explanation(request, request_lines, context, cause)
+    return Explanation(request_id, request_lines, context, cause)
 
 
 Cause = tuple[list[LogLine], str]
@@ -173,7 +173,7 @@
 @_finds_cause_of(CALL_REFUSED.number, "rate-exceeded")
 def _explain_rate(last: LogLine, nearby: list[LogLine], lines: list[LogLine]) -> Cause:
     version = last.get("policy", 0)
-    policy_lines = _find_policy(last, version, lines)
+    policy_lines = _find_policy_start(last, version, lines)
     version_text = (
         f" since version {version}" if policy_lines else f" under version {version}"
     )
@@ -191,7 +191,7 @@
 ) -> Cause:
     version = last.get("policy", 0)
     text = f"Version {version} of the configuration does not allow the request"
-    policy_lines = _find_policy(last, version, lines)
+    policy_lines = _find_policy_start(last, version, lines)
     return policy_lines, f"{text}: {last.get('detail')}."
 
 
@@ -217,7 +217,7 @@
 
 
 @_finds_cause_of(CALL_ANSWERED.number)
-def _explain_failure(
+def _explain_backend_error(
     last: LogLine, nearby: list[LogLine], lines: list[LogLine]
 ) -> Cause:
     text = (
@@ -234,7 +234,9 @@
     return [], f"{meaning} {detail}".strip()
 
 
-def _find_policy(last: LogLine, version: int, lines: list[LogLine]) -> list[LogLine]:
+def _find_policy_start(
+    last: LogLine, version: int, lines: list[LogLine]
+) -> list[LogLine]:
     """Return the line, if any, of a version's start at the deciding node."""
     return [
         line
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -24,10 +24,12 @@
         record: Operations that this instance records.
     """
 
-    def __init__(self, members: Members, client: ControlClient, record: OperationTable):
+    def __init__(
+        self, members: Members, client: ControlClient, operations: OperationTable
+    ):
         self._members = members
         self._client = client
-        self._record = record
+        self._operations = operations
 
     def register(self, server: ControlServer) -> None:
         """Register the handlers for operations that are recorded on this node."""
@@ -46,7 +48,7 @@
         """
         instance = self._find_recording_instance(workspace, operation)
         if instance == self._members.own.instance:
-            decision = self._record.begin(workspace, operation, attempt)
+            decision = self._operations.begin(workspace, operation, attempt)
         else:
             decision = await self._request_decision(
                 instance, workspace, operation, attempt
@@ -65,7 +67,7 @@
     ) -> None:
         """Report the verdict on an attempt to the recording instance."""
         if instance == self._members.own.instance:
-            self._record.finish(workspace, operation, attempt, verdict)
+            self._operations.finish(workspace, operation, attempt, verdict)
             return
         member = self._members.get(instance)
         if member is None:
@@ -112,14 +114,14 @@
         return rank(f"operations/{workspace}/{operation}", names, 1)[0]
 
     async def _handle_begin(self, request: pb.BeginRequest, _: str) -> pb.BeginReply:
-        decision = self._record.begin(
+        decision = self._operations.begin(
             request.workspace, request.operation, request.attempt
         )
         return pb.BeginReply(decision=int(decision))
 
     async def _handle_finish(self, request: pb.FinishRequest, _: str) -> pb.FinishReply:
         verdict = Verdict(request.verdict)
-        self._record.finish(
+        self._operations.finish(
             request.workspace, request.operation, request.attempt, verdict
         )
         return pb.FinishReply()
--- a/primroseglade/operator_pages.py
+++ b/primroseglade/operator_pages.py
@@ -17,7 +17,7 @@
     from .node import Node
 
 METRICS_CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
-MAX_DECISIONS = 100
+MAX_SHOWN_DECISIONS = 100
 CONFIRMATION_TIMEOUT_SECONDS = 3.0
 
 PAGE_TEMPLATE = """<!doctype html>
@@ -65,7 +65,7 @@
     def _require_token(self, handler: Any) -> Any:
         token = self._node.settings.operator_token
 
-        async def handle_authorized(request: Request) -> Response:
+        async def check_token_and_handle(request: Request) -> Response:
             presented = request.get_first_header(AUTHORIZATION) or b""
             expected = f"Bearer {token}".encode()
             if token and not hmac.compare_digest(presented, expected):
@@ -74,7 +74,7 @@
                 )
             return await handler(request)
 
-        return handle_authorized
+        return check_token_and_handle
 
     async def _show_metrics(self, _: Request) -> Response:
         age = self._node.configuration.age
@@ -105,7 +105,7 @@
             name: {
                 "version": section.version,
                 "author": section.author,
-                "record": section.record,
+                "record": section.record_id,
                 "value": section.value,
             }
             for name, section in self._node.configuration.document.sections.items()
@@ -114,8 +114,8 @@
         return answer_json(200, {"next_offset": next_offset, "sections": sections})
 
     async def _show_outcome(self, request: Request) -> Response:
-        record = request.route_values["record"]
-        outcome = self._node.configuration.fold.find_outcome(record)
+        record_id = request.route_values["record"]
+        outcome = self._node.configuration.fold.find_outcome(record_id)
         if outcome is None:
             return answer_json(
                 404, {"error": "no outcome of this record is known here"}
@@ -123,7 +123,7 @@
         return answer_json(
             200,
             {
-                "record": outcome.record,
+                "record": outcome.record_id,
                 "offset": outcome.offset,
                 "accepted": outcome.accepted,
                 "reason": outcome.reason,
@@ -141,7 +141,7 @@
         return answer_json(200, {"spans": spans, "decisions": decisions})
 
     async def _show_decisions(self, _: Request) -> Response:
-        return answer_json(200, self._node.decisions.get_last(MAX_DECISIONS))
+        return answer_json(200, self._node.decisions.get_last(MAX_SHOWN_DECISIONS))
 
     async def _show_events(self, _: Request) -> Response:
         return answer_json(200, self._node.journal.recent)
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -12,11 +12,11 @@
     AUTHORIZATION,
     CALLER_SERVICE,
     CONNECTION,
+    DROPPED_FROM_REQUESTS,
     EXPECTED_INSTANCE,
     HOP_BY_HOP,
     HOST,
     KEY_SCHEME,
-    NODE_SET_HEADERS,
     NOT_EXECUTED,
     REMAINING_MS,
     REQUEST_ID,
@@ -60,7 +60,7 @@
             service: Name of the calling service, for the backend server.
             tenant: Name of the caller's workspace; empty if it has none.
         """
-        dropped = NODE_SET_HEADERS
+        dropped = DROPPED_FROM_REQUESTS
         for name, value in request.headers:
             if name.lower() == CONNECTION:
                 dropped = dropped | _split_tokens(value)
--- a/primroseglade/platform/names.py
+++ b/primroseglade/platform/names.py
@@ -1,6 +1,6 @@
 """Header names of the platform, in lower case."""
 
-from ..calls.headers import HOP_BY_HOP as CONNECTION_HEADERS
+from ..calls.headers import HOP_BY_HOP as HOP_BY_HOP_HEADERS
 
 REQUEST_ID = b"x-primroseglade-request-id"
 # Milliseconds that the sender still waits: a duration, although named a deadline.
@@ -17,10 +17,10 @@
 CONNECTION = b"connection"
 
 # Bodies are buffered whole, so each hop sets its own Content-Length.
-HOP_BY_HOP = CONNECTION_HEADERS | {b"content-length"}
+HOP_BY_HOP = HOP_BY_HOP_HEADERS | {b"content-length"}
 # Not forwarded from callers: the node sets or drops these, and answers
 # ``Expect: 100-continue`` itself.
-NODE_SET_HEADERS = HOP_BY_HOP | {
+DROPPED_FROM_REQUESTS = HOP_BY_HOP | {
     REMAINING_MS,
     EXPECTED_INSTANCE,
     CALLER_SERVICE,
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -15,7 +15,7 @@
 from ..sidecar.policy_tracker import OffsetExpiredError, PolicyRecord, StoreError
 from .operator_config import decode_policy
 
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 # Status for a read of records that have been deleted.
 GONE_STATUS = 410
 # Written by operators, read-only for nodes.
@@ -61,7 +61,7 @@
     def __init__(self, address: str, journal: Journal):
         self._address = address
         self._journal = journal
-        self._pool = ConnectionPool(address, CONNECT_SECONDS)
+        self._pool = ConnectionPool(address, CONNECT_TIMEOUT_SECONDS)
 
     def decode(self, record: bytes) -> Policy:
         """Decode a record of the operator's configuration.
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -12,7 +12,7 @@
 APPEND_RETRY_SECONDS = 0.5
 
 
-class Published:
+class PublishedEdit:
     """The outcome of a published edit, and which instances have confirmed it.
 
     Args:
@@ -88,7 +88,7 @@
 
 async def publish(
     log: LogClient, client: OperatorClient, edit: Edit, wait: float
-) -> Published:
+) -> PublishedEdit:
     """Append an edit to the log and wait for its outcome on a node.
 
     An append without a response may have taken effect. The outcome is then looked up
@@ -121,7 +121,7 @@
 
 
 async def wait_for_confirmations(
-    client: OperatorClient, published: Published, wait: float
+    client: OperatorClient, published: PublishedEdit, wait: float
 ) -> None:
     """Wait until all instances have confirmed an edit, and record which have not.
 
@@ -146,19 +146,19 @@
 
 
 async def _wait_for_outcome(
-    client: OperatorClient, record: str, wait: float
-) -> Published | None:
+    client: OperatorClient, record_id: str, wait: float
+) -> PublishedEdit | None:
     clock = asyncio.get_running_loop().time
     deadline = clock() + wait
     while True:
         try:
-            outcome = await client.get(f"/outcomes/{record}")
+            outcome = await client.get(f"/outcomes/{record_id}")
         except RefusedError:
             if clock() > deadline:
                 return None
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             continue
-        return Published(
+        return PublishedEdit(
             outcome["record"],
             outcome["offset"],
             outcome["accepted"],
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -76,10 +76,10 @@
 
 
 def test_attempt_after_one_that_did_not_run_is_allowed():
-    record = OperationTable()
-    record.begin("north", "payout", 1)
-    record.finish("north", "payout", 1, Verdict.NOT_RUN)
-    assert record.begin("north", "payout", 2) is Decision.RUN
+    table = OperationTable()
+    table.begin("north", "payout", 1)
+    table.finish("north", "payout", 1, Verdict.NOT_RUN)
+    assert table.begin("north", "payout", 2) is Decision.RUN
 
 
 def test_duplicate_finish_does_not_finish_the_next_attempt():
@@ -87,12 +87,12 @@
 
     If it were taken for the end of attempt 2, attempt 3 could run at the same time.
     """
-    record = OperationTable()
-    record.begin("north", "payout", 1)
-    record.finish("north", "payout", 1, Verdict.NOT_RUN)
-    record.begin("north", "payout", 2)
-    record.finish("north", "payout", 1, Verdict.NOT_RUN)
-    assert record.begin("north", "payout", 3) is Decision.RUNNING
+    table = OperationTable()
+    table.begin("north", "payout", 1)
+    table.finish("north", "payout", 1, Verdict.NOT_RUN)
+    table.begin("north", "payout", 2)
+    table.finish("north", "payout", 1, Verdict.NOT_RUN)
+    assert table.begin("north", "payout", 3) is Decision.RUNNING
 
 
 def test_attempt_overtaken_by_a_later_one_does_not_run():
@@ -101,23 +101,23 @@
     The caller then reports that the operation did not run. That would become wrong if
     attempt 2 were allowed to run when it arrives.
     """
-    record = OperationTable()
+    table = OperationTable()
     for attempt in (1, 3):
-        record.begin("north", "payout", attempt)
-        record.finish("north", "payout", attempt, Verdict.NOT_RUN)
-    assert record.begin("north", "payout", 2) is Decision.MAY_HAVE_RUN
+        table.begin("north", "payout", attempt)
+        table.finish("north", "payout", attempt, Verdict.NOT_RUN)
+    assert table.begin("north", "payout", 2) is Decision.MAY_HAVE_RUN
 
 
 def test_operation_ids_are_scoped_to_the_workspace():
-    record = OperationTable()
-    assert record.begin("north", "payout", 1) is Decision.RUN
-    assert record.begin("south", "payout", 1) is Decision.RUN
+    table = OperationTable()
+    assert table.begin("north", "payout", 1) is Decision.RUN
+    assert table.begin("south", "payout", 1) is Decision.RUN
 
 
 def test_operations_are_evicted_after_the_retention_time():
     now = 0.0
-    record = OperationTable(lambda: now, retention_seconds=10.0)
-    record.begin("north", "one", 1)
+    table = OperationTable(lambda: now, retention_seconds=10.0)
+    table.begin("north", "one", 1)
     now = 11.0
-    record.begin("north", "two", 1)
-    assert len(record) == 1
+    table.begin("north", "two", 1)
+    assert len(table) == 1
