--- a/primroseglade/cli/config.py
+++ b/primroseglade/cli/config.py
@@ -18,7 +18,7 @@
 
 
 def read_sections(path: str) -> dict[str, Any]:
-    """Read a document file and check it on its own, against an empty document.
+    """Read a document file and check it on its own, not against the one in force.
 
     Raises:
         InputError: The file cannot be read, or the document is not valid.
@@ -83,7 +83,7 @@
 async def publish_sections(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
-    """Publish sections and wait for the verdict and, if requested, all instances."""
+    """Publish sections; wait for the verdict and, if asked, for all instances."""
     sections = read_sections(options.document)
     if options.section:
         missing = sorted(set(options.section) - set(sections))
--- a/primroseglade/cli/definition.py
+++ b/primroseglade/cli/definition.py
@@ -145,7 +145,7 @@
             "--as-of",
             type=int,
             metavar="OFFSET",
-            help="refuse if a section has changed since this offset of config show",
+            help="refuse if a section changed since this offset, as in config show",
         ),
         Argument(
             "--wait",
--- a/primroseglade/client.py
+++ b/primroseglade/client.py
@@ -16,8 +16,8 @@
 EJECTION_SECONDS = 2.0
 MIN_BACKOFF_SECONDS = 0.02
 CONNECT_TIMEOUT_SECONDS = 1.0
-# The node gets a slightly shorter timeout than the caller's, so that its refusal
-# arrives before the caller gives up.
+# The timeout sent to the node is shorter than the caller's by this much, so that the
+# node's refusal arrives before the caller gives up.
 DEADLINE_MARGIN_SECONDS = 0.02
 
 
@@ -45,15 +45,15 @@
 class Client:
     """Calls services through the nodes.
 
+    A ``Refusal`` is raised for every call without a complete response. Its ``verdict``
+    says whether the call may have run, its ``retry_after`` when to try again.
+
     Args:
         nodes: Addresses (``IP:PORT``) of the caller listeners of some nodes; further
             nodes are learned from responses.
         key: API key of the workspace.
         timeout: Default timeout of a call in seconds.
         attempts: Maximum number of attempts per call.
-
-    A ``Refusal`` is raised for every call without a complete response. Its ``verdict``
-    says whether the call may have run, its ``retry_after`` when to try again.
     """
 
     def __init__(
@@ -209,7 +209,7 @@
         return method in IDEMPOTENT_METHODS
 
     def _choose_node(self, service: str, tried: set[str]) -> str:
-        """Return a random node, preferably untried and serving the service itself."""
+        """Return a random node, preferably an untried one that serves the service."""
         now = time.monotonic()
         candidates = [*self._nodes_by_service.get(service, ()), *self._nodes]
         available = [
--- a/primroseglade/document/checks.py
+++ b/primroseglade/document/checks.py
@@ -17,7 +17,7 @@
 
 
 def cross_check(check: Check) -> Check:
-    """Register a check of a document together with the changes to be made to it."""
+    """Register a check that is given the current document and the changes to make."""
     _checks.append(check)
     return check
 
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -16,8 +16,8 @@
         value: The value, or None if the section was removed. A removed section keeps
             its version, so that an old edit that is appended again is rejected.
         version: Offset of the record that set the value.
-        author: Author of that record.
-        record: Id of that record.
+        author: Author of the record.
+        record_id: Id of the record.
     """
 
     __slots__ = ("author", "record_id", "value", "version")
@@ -36,7 +36,7 @@
 
 
 class Key:
-    """An API key of a workspace; only the digest of the key itself is stored."""
+    """Id, workspace and batch of an API key, of which only the digest is stored."""
 
     __slots__ = ("batch", "id", "workspace")
 
@@ -57,7 +57,7 @@
 
 
 class TrustedNetwork:
-    """An IP network whose backend servers are trusted, and their build batch."""
+    """An IP network whose backend servers are trusted, and the servers' build batch."""
 
     __slots__ = ("batch", "network")
 
@@ -77,7 +77,7 @@
         self.importance = importance
 
     def matches(self, method: str, path: str) -> bool:
-        """Whether a call belongs to this route."""
+        """Whether a call matches the method and path prefix."""
         return path.startswith(self.path_prefix) and self.method in ("", method)
 
 
@@ -159,12 +159,12 @@
 
     @property
     def rates(self) -> dict[str, Rate]:
-        """Rates by workspace."""
+        """Rate limits by workspace."""
         return self._rates
 
     @property
     def shares(self) -> dict[str, float]:
-        """Shares by availability zone."""
+        """Fraction of every rate and burst that a zone grants, by availability zone."""
         return self._shares
 
     @property
@@ -173,7 +173,7 @@
         return self._services
 
     def put(self, name: str, section: Section) -> None:
-        """Store a section, which the caller has checked, and update the indexes."""
+        """Store a section, already checked by the caller, and update the indexes."""
         kind, _, own_name = name.partition("/")
         previous = self._sections.get(name)
         self._sections[name] = section
@@ -188,7 +188,7 @@
         return self._keys_by_digest.get(digest)
 
     def is_withdrawn(self, workspace: str, key_id: str, batch: str = "") -> bool:
-        """Whether a recall names the workspace, the key's id or its batch."""
+        """Whether a recall names the workspace, the key's id or the key's batch."""
         return any(
             workspace in recall.workspaces
             or key_id in recall.keys
@@ -199,7 +199,7 @@
     def is_key_valid(self, workspace: str, key_id: str) -> bool:
         """Whether the workspace has the key and no recall withdraws it.
 
-        Used for calls that are already in flight, queued or relayed: they carry the
+        Used for calls that are already in flight, queued or relayed: these carry the
         id of the key but no longer the key itself.
         """
         found = self._keys_by_id.get(key_id)
@@ -218,14 +218,14 @@
         return routes.default_importance
 
     def get_stale_after(self, workspace: str) -> float | None:
-        """Return the maximum configuration age (s) of a workspace; None is no limit."""
+        """Return a workspace's maximum configuration age (s), or None for no limit."""
         return self._stale_after.get(workspace)
 
     def trusts(self, service: str, address: str) -> bool:
         """Whether a backend server at ``IP:PORT`` may serve the service.
 
-        A recall of batches withdraws the server only if it names the batch of every
-        network that contains the server.
+        A recall of batches withdraws the server only if the recall names the batch of
+        every trusted network that contains the server.
         """
         known = self._services.get(service)
         if known is None:
@@ -241,7 +241,7 @@
         )
 
     def iterate_present(self) -> Iterator[tuple[str, Section]]:
-        """Yield name and section of all sections that were not removed."""
+        """Yield the name and section of every section that was not removed."""
         for name, section in self._sections.items():
             if section.value is not None:
                 yield name, section
@@ -253,7 +253,7 @@
 
 
 def indexer_for(kind: str) -> Callable[[Indexer], Indexer]:
-    """Register the function that updates the indexes when a section changes."""
+    """Register the function that indexes changed sections of a kind."""
 
     def register(indexer: Indexer) -> Indexer:
         _indexers[kind] = indexer
@@ -265,7 +265,8 @@
 @indexer_for("workspaces")
 def _index_workspace(document: Document, name: str, old: Value, new: Value) -> None:
     for key_entry in (old or {}).get("keys", ()):
-        # If the same edit moved the key, the index may already hold its new workspace.
+        # If the same edit moved the key to another workspace, the index may already
+        # hold the new one.
         for index, index_key in (
             (document._keys_by_digest, key_entry["digest"]),
             (document._keys_by_id, key_entry["id"]),
--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -1,4 +1,4 @@
-"""Applies the records of the configuration log in order to build the document.
+"""Builds the document by applying the records of the configuration log in sequence.
 
 The result depends only on the records, so all nodes arrive at the same document.
 """
@@ -18,9 +18,9 @@
 )
 from .schema import check_section, split_section
 
-# Outcomes of recent records, for publishers that ask for the outcome of their edit.
+# Outcomes kept of recent records, for publishers that ask what became of their edit.
 MAX_OUTCOMES = 1024
-# Snapshots of which parts are missing; one whose writer died is never completed.
+# Incomplete snapshots kept: a snapshot whose writer died is never completed.
 MAX_INCOMPLETE_SNAPSHOTS = 4
 
 
@@ -32,7 +32,7 @@
         base: Version that the edit is based on.
         version: Current version, or None if the section never existed.
         author: Author of the current version.
-        record: Id of the record that set the current version.
+        record_id: Id of the record that set the current version.
     """
 
     __slots__ = ("author", "base", "record_id", "section", "version")
@@ -65,7 +65,7 @@
 
     Args:
         offset: Offset of the record.
-        record: Id of the record; empty if it has none.
+        record_id: Id of the record; empty if the record has none.
         accepted: Whether the record was accepted.
         reason: Why the record was rejected; "snapshot" for an accepted snapshot part.
         sections: Names of the sections that the record edits.
@@ -198,7 +198,7 @@
         return Outcome(offset, part.id, True, "snapshot")
 
     def load(self, parts: list[SnapshotPart]) -> bool:
-        """Replace the state with a complete snapshot if the snapshot is newer.
+        """Replace the state with a complete snapshot, if the snapshot is newer.
 
         Returns:
             Whether the snapshot was loaded; an older one never reverts the state.
--- a/primroseglade/document/records.py
+++ b/primroseglade/document/records.py
@@ -10,7 +10,7 @@
 from ..settings.reader import build_validator, check
 
 RECORD_FORMAT = 1
-# The platform accepts records of this size; a larger state is split into several.
+# The platform accepts records of this size; a larger snapshot is split into several.
 SNAPSHOT_PART_BYTES = 256 * 1024
 
 _VERSION_SCHEMA = {"type": ["integer", "null"], "minimum": 0}
@@ -101,7 +101,7 @@
 
 
 def is_snapshot(value: Any) -> bool:
-    """Whether a record looks like a snapshot part; does not verify its signature."""
+    """Whether a record looks like a snapshot part; the signature is not verified."""
     return isinstance(value, dict) and "snapshot" in value
 
 
@@ -148,7 +148,8 @@
     """Parse a snapshot part and verify its signature.
 
     Raises:
-        InputError: The format is unknown, or the signature is not the fleet's.
+        InputError: The format is unknown, or the signature is not made with the fleet
+            secret.
         KeyError, TypeError, AttributeError: The value is not a snapshot record.
     """
     if value.get("format") != RECORD_FORMAT:
--- a/primroseglade/document/schema.py
+++ b/primroseglade/document/schema.py
@@ -28,84 +28,85 @@
 
 SCHEMAS: dict[str, dict[str, Any]] = {
     "zones": _object_schema(
-        "An availability zone and its share of every rate and burst.",
+        "An availability zone, and the fraction of each rate limit that it grants.",
         ["share"],
         share={
             "type": "number",
             "minimum": 0,
             "maximum": 1,
             "unit": "1",
-            "description": "Share of each workspace's rate that accrues here; the "
-            "shares of all zones add up to 1 at the most.",
+            "description": "Fraction of each workspace's rate and burst that the zone "
+            "grants; the sum over all zones must not exceed 1.",
         },
-        region=NAME_SCHEMA | {"description": "Region that the zone is in."},
+        region=NAME_SCHEMA | {"description": "Region of the zone."},
     ),
     "workspaces": _object_schema(
         "A workspace and the digests of its keys.",
         ["keys"],
         keys={
             "type": "array",
-            "description": "Keys that act for the workspace.",
+            "description": "API keys of the workspace.",
             "items": _object_schema(
-                "One key.",
+                "One API key.",
                 ["id", "digest"],
                 id=NAME_SCHEMA
-                | {"description": "Name of the key, unique in the document."},
+                | {"description": "Id of the key, unique in the document."},
                 digest={
                     "type": "string",
                     "pattern": DIGEST_PATTERN,
-                    "description": "sha256: and the key's SHA-256 in hex.",
+                    "description": "sha256: followed by the key's SHA-256 in hex.",
                 },
                 batch=NAME_SCHEMA
-                | {"description": "Batch that the key was issued in."},
+                | {"description": "Batch in which the key was issued."},
             ),
         },
         stale_after={
             "type": "number",
             "exclusiveMinimum": 0,
             "unit": "s",
-            "description": "Refuse the workspace's calls where the configuration is "
-            "older than this; absent: serve with what is known.",
+            "description": "Maximum age of a node's configuration. Beyond it, the node "
+            "refuses the workspace's calls; if absent, there is no maximum.",
         },
     ),
     "rates": _object_schema(
-        "What a workspace may ask for, summed over the whole fleet.",
+        "Rate limit of a workspace, for the whole fleet.",
         ["per_second", "burst"],
         per_second={
             "type": "number",
             "exclusiveMinimum": 0,
             "unit": "calls/s",
-            "description": "Root calls a second.",
+            "description": "Maximum root calls per second.",
         },
         burst={
             "type": "number",
             "minimum": 1,
             "unit": "calls",
-            "description": "Root calls beyond the rate in any window.",
+            "description": "Maximum root calls beyond the rate, over any period.",
         },
     ),
     "services": _object_schema(
-        "A service, and which backend servers are trusted to serve it.",
+        "A service, and the backend servers that are trusted to serve it.",
         ["backend_servers"],
         backend_servers={
             "type": "array",
             "description": "Trusted backend servers.",
             "items": _object_schema(
-                "Backend servers of one network.",
+                "One network; all backend servers in it are trusted.",
                 ["network"],
                 network={
                     "type": "string",
                     "format": "network",
                     "description": "IP network in CIDR form.",
                 },
-                batch=NAME_SCHEMA | {"description": "Batch that they were built in."},
+                batch=NAME_SCHEMA
+                | {"description": "Batch in which these servers were built."},
             ),
         },
         timeout={
             "type": "number",
             "exclusiveMinimum": 0,
             "unit": "s",
-            "description": "Deadline of a root call that brings none.",
+            "description": "Timeout of a root call that specifies none.",
         },
         idempotent={
             "type": "array",
@@ -114,32 +115,38 @@
         },
     ),
     "importance": _object_schema(
-        "How important the calls of the service of this name are.",
+        "Importance of the calls to the service of this name.",
         ["default"],
         default=_IMPORTANCE_SCHEMA
-        | {"description": "Importance of every other route."},
+        | {"description": "Importance of calls that match no route."},
         routes={
             "type": "array",
-            "description": "Routes of another importance; the first that fits counts.",
+            "description": "Routes with their own importance; the first that matches a "
+            "call applies.",
             "items": _object_schema(
                 "One route.",
                 ["path", "importance"],
                 path={
                     "type": "string",
                     "pattern": "^/",
-                    "description": "Prefix of the path within the service.",
+                    "description": "Path prefix, without the service's name.",
+                },
+                method={
+                    "type": "string",
+                    "description": "HTTP method; if absent, any method.",
                 },
-                method={"type": "string", "description": "Only this method."},
                 importance=_IMPORTANCE_SCHEMA
                 | {"description": "Importance of the route."},
             ),
         },
     ),
     "recalls": _object_schema(
-        "A batch withdrawn at once; it counts as long as the section stands.",
+        "Keys, workspaces and backend servers that are withdrawn at once, until this "
+        "section is removed.",
         [],
         keys=_NAME_LIST_SCHEMA | {"description": "Ids of withdrawn keys."},
-        key_batches=_NAME_LIST_SCHEMA | {"description": "Batches of withdrawn keys."},
+        key_batches=_NAME_LIST_SCHEMA
+        | {"description": "Batches whose keys are withdrawn."},
         workspaces=_NAME_LIST_SCHEMA | {"description": "Withdrawn workspaces."},
         backend_servers={
             "type": "array",
@@ -148,8 +155,12 @@
             "description": "Withdrawn backend servers, IP:PORT.",
         },
         backend_server_batches=_NAME_LIST_SCHEMA
-        | {"description": "Batches of withdrawn backend servers."},
-        note={"type": "string", "maxLength": 500, "description": "Why, for people."},
+        | {"description": "Batches whose backend servers are withdrawn."},
+        note={
+            "type": "string",
+            "maxLength": 500,
+            "description": "Reason for the recall, for operators.",
+        },
     ),
 }
 
@@ -193,7 +204,7 @@
     """Check the value of one section against the schema of its kind.
 
     Raises:
-        InputError: The value is invalid; the error has the path within the section.
+        InputError: The value is invalid; the error names the path within the section.
     """
     kind, _ = split_section(section)
     check(value, _validators[kind], section)
@@ -203,7 +214,7 @@
     """Check a document and return its sections by full name, ``kind/name``.
 
     Args:
-        document: Parsed JSON: values by name, by kind.
+        document: Parsed JSON: for each kind, an object of values by section name.
         source: Name of the document in errors.
 
     Raises:
--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -25,6 +25,7 @@
     follow are parsed as another request.
     """
 
+    # Maximum size of a request's head.
     header_bytes = 32768
     _head_timer: asyncio.TimerHandle | None = None
 
@@ -94,8 +95,8 @@
         )
         super().connection_lost(exc)
         if on_disconnect is not None:
-            # Nobody waits for the response any more: release the call's resources now
-            # instead of when the backend server has finished.
+            # The caller no longer waits for the response: release the call's resources
+            # now instead of when the backend server has finished.
             on_disconnect()
 
     def data_received(self, data: bytes) -> None:
@@ -135,7 +136,7 @@
     def _send_refusal(self, error: BaseException | None) -> None:
         response_pending = self.cycle is not None and not self.cycle.response_complete
         if response_pending:
-            # The client would take the refusal for the response to the call in flight.
+            # The caller would take a refusal for the response to the call in flight.
             self.transport.close()
             return
         if not isinstance(error, Refusal):
--- a/primroseglade/listener.py
+++ b/primroseglade/listener.py
@@ -63,7 +63,7 @@
     Args:
         app: The ASGI application.
         address: ``IP:PORT``; with port 0 the kernel chooses a free port.
-        header_bytes: Maximum size of a request's head in bytes.
+        max_header_bytes: Maximum size of a request's head in bytes.
     """
 
     def __init__(self, app: Any, address: str, max_header_bytes: int = 32768):
--- a/primroseglade/network.py
+++ b/primroseglade/network.py
@@ -11,14 +11,14 @@
         return False
 
     async def wait_if_cut(self, address: str, timeout: float) -> None:
-        """Return at once, or time out if the link to an address is cut.
+        """Return at once; subclasses that inject partitions raise if the link is cut.
 
         Args:
             address: Destination of a message.
-            timeout: The sender's timeout in seconds.
+            timeout: Seconds after which subclasses raise.
 
         Raises:
-            TimeoutError: The link is cut.
+            TimeoutError: The link is cut; never in the real network.
         """
 
 
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -43,7 +43,7 @@
 
 
 class Node:
-    """The components of a node process.
+    """Builds, starts and stops the components of a node process.
 
     Args:
         settings: Settings of this process.
@@ -82,7 +82,7 @@
 
     @property
     def confirmer(self) -> Confirmer:
-        """Collects which configuration the instances have."""
+        """Asks all instances which configuration they have."""
         return self._confirmer
 
     @property
@@ -102,7 +102,7 @@
 
     @property
     def tracer(self) -> Tracer:
-        """Recorder of the node's spans."""
+        """Creates and keeps the node's spans."""
         return self._tracer
 
     @property
@@ -170,8 +170,8 @@
         """Shut down gracefully, without interrupting calls in flight.
 
         The order matters. First the node refuses new work as not run, and announces
-        the stop to the fleet. Callers that are not yet aware of it are served through
-        other nodes for some time, and are asked to open no more calls on their
+        the stop to the fleet. Callers that do not know of the stop yet are served
+        through other nodes for some time, and are asked to send no more calls on their
         connections. Only then are calls in flight drained and the listeners closed.
         """
         self._journal.emit(
@@ -204,7 +204,7 @@
         await self._close()
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of the node and of the fleet as known to it."""
+        """Return the state of the node, and of the fleet as this node knows it."""
         configuration = self._configuration
         return {
             "instance": self._settings.instance,
@@ -234,7 +234,7 @@
         await self._log.close()
 
     async def _load_state(self) -> None:
-        """Load configuration and members from the log, or from peers without it."""
+        """Load configuration and members from the log, or from peers if it fails."""
         contacts = list(self._settings.seeds)
         try:
             async with asyncio.timeout(START_TIMEOUT_SECONDS):
--- a/primroseglade/observe/decisions.py
+++ b/primroseglade/observe/decisions.py
@@ -14,12 +14,12 @@
         trace: Trace id of the root call, in hex.
         listener: Name of the listener that received the call.
         service: Requested service.
-        workspace: Workspace of the caller, empty if it is not known.
+        workspace: Workspace of the caller; empty if unknown.
         outcome: A refusal's reason code, or ``served``.
         verdict: Whether the call ran, may have run or did not run.
         detail: Explanation of the outcome.
         instance: Instance that decided.
-        next_offset: Offset that follows the last configuration record in force.
+        next_offset: Offset after the last configuration record in force.
         seconds: Time that the call took at this instance.
     """
 
@@ -56,7 +56,7 @@
         )
 
     def add(self, decision: Decision) -> None:
-        """Add a decision and evict the oldest if there are too many."""
+        """Add a decision, and evict the oldest if more than the maximum are kept."""
         self._recent.append(decision)
 
     def find(self, trace_id: str) -> list[dict[str, Any]]:
--- a/primroseglade/observe/events.py
+++ b/primroseglade/observe/events.py
@@ -24,7 +24,7 @@
         number: Stable number; never reused for another kind.
         level: ``debug``, ``info``, ``warning`` or ``error``.
         text: What happened, in a few words.
-        meaning: What it means to an operator.
+        meaning: What the event means to an operator.
     """
 
     __slots__ = ("level", "meaning", "number", "text")
@@ -67,7 +67,7 @@
     110,
     "error",
     "task failed and is restarted",
-    "A bug in the program; the field error gives the exception. Report it.",
+    "A bug in the program; the field `error` gives the exception. Report it.",
 )
 TASK_GIVEN_UP = _define(
     111,
@@ -84,7 +84,7 @@
     202,
     "warning",
     "edit refused",
-    "The record changes nothing on any instance; the field reason says why.",
+    "The record changes nothing on any instance; the field `reason` says why.",
 )
 LOG_UNAVAILABLE = _define(
     210,
@@ -108,7 +108,7 @@
     222,
     "error",
     "snapshot refused",
-    "The snapshot does not carry the fleet's signature: someone else wrote it.",
+    "The snapshot is not signed with the fleet secret: someone else wrote it.",
 )
 CONFIGURATION_UNAVAILABLE = _define(
     223,
@@ -122,38 +122,45 @@
     230,
     "info",
     "configuration in force",
-    "This version applies from now on; the field source says where it came from.",
+    "This version applies from now on; the field `source` says where it came from.",
 )
 STORE_WRITE_FAILED = _define(
     231,
     "warning",
     "request to the platform's store failed",
-    "The field what names the data; the request is repeated until the store answers.",
+    "The field `what` names the data; the request is repeated until the store answers.",
 )
 
 # 3xx: membership and messages between nodes.
 MEMBER_JOINED = _define(301, "info", "member joined", "First contact with a node.")
 MEMBER_SUSPECT = _define(
-    302, "info", "member suspect", "It answered neither direct nor indirect probes."
+    302,
+    "info",
+    "member suspect",
+    "The member answered neither direct nor indirect probes.",
 )
 MEMBER_DEAD = _define(
-    303, "warning", "member dead", "It did not refute the suspicion in time."
+    303, "warning", "member dead", "The member did not refute the suspicion in time."
+)
+MEMBER_LEFT = _define(
+    304, "info", "member left", "The member announced a planned stop."
 )
-MEMBER_LEFT = _define(304, "info", "member left", "A planned stop.")
 SUSPICION_REFUTED = _define(
     305,
     "warning",
     "suspicion of this instance refuted",
-    "Other nodes could not reach it for a while: look for pauses or a bad link.",
+    "Other nodes could not reach this instance for a while: look for pauses or a bad "
+    "link.",
 )
 MESSAGE_REFUSED = _define(
     310,
     "warning",
     "message refused",
-    "It was not sealed with the fleet secret, or was replayed, late or malformed.",
+    "The message was not sealed with the fleet secret, or was replayed, late or "
+    "malformed.",
 )
 BACKEND_ANNOUNCED = _define(
-    320, "info", "backend server announced", "It receives calls from now on."
+    320, "info", "backend server announced", "The server receives calls from now on."
 )
 BACKEND_REFUSED = _define(
     321,
@@ -162,68 +169,74 @@
     "The document trusts no backend server at this address for the service.",
 )
 BACKEND_DRAINING = _define(
-    322, "info", "backend server draining", "It receives no new calls."
+    322, "info", "backend server draining", "The server receives no new calls."
 )
 BACKEND_WITHDRAWN = _define(
-    323, "warning", "backend server withdrawn", "A recall or an edit revoked its trust."
+    323,
+    "warning",
+    "backend server withdrawn",
+    "A recall or an edit revoked the trust in the server.",
 )
 BACKEND_UNAVAILABLE = _define(
     325,
     "warning",
     "backend server unavailable",
-    "Nothing listens at its address; it receives no calls until it reports again.",
+    "Nothing listens at its address; the server receives no calls until it reports "
+    "again.",
 )
 BACKEND_UNRESPONSIVE = _define(
     324,
     "warning",
     "connection to the backend server unresponsive",
-    "No first byte in time, though a new connection is answered; idle ones were "
-    "closed.",
+    "A call got no first byte in time, but a new connection was answered. Idle "
+    "connections were closed.",
 )
 PEER_EJECTED = _define(
     330,
     "info",
     "peer ejected for a while",
-    "Calls relayed to it failed; it is tried again after the seconds given.",
+    "Calls relayed to the peer failed; it is tried again after the time in the "
+    "field `seconds`.",
 )
 BACKEND_REPORT_REFUSED = _define(
     340,
     "warning",
     "status report refused",
-    "It is malformed or from another service; the backend server in use stays.",
+    "The report is malformed or from another service; the backend server in use stays.",
 )
 PEER_DISCOVERED = _define(
-    350, "info", "node discovered", "A stream to it is opened and kept open."
+    350, "info", "node discovered", "A stream to the node is opened and kept open."
 )
 PEER_CONNECTED = _define(
-    351, "info", "stream to a node opened", "Calls can be sent to it."
+    351, "info", "stream to a node opened", "Calls can be sent to the node."
 )
 PEER_LOST = _define(
     352,
     "warning",
     "stream to a node lost",
-    "Calls in flight on it may have run; those that are safe to repeat are retried.",
+    "Calls in flight on the stream may have run; those safe to repeat are retried.",
 )
 PEER_REMOVED = _define(
-    353, "info", "node removed", "It could not be reached for too long."
+    353, "info", "node removed", "The node could not be reached for too long."
 )
 PEER_UNREACHABLE = _define(
     354,
     "warning",
     "node unreachable",
-    "No stream to it could be opened; it is retried until it is removed. Logged once.",
+    "No stream to the node could be opened. Attempts go on until the node is removed; "
+    "only the first failure is logged.",
 )
 PEER_REQUEST_FAILED = _define(
     355,
     "warning",
     "node did not answer a request",
-    "The field what names the data; it is requested again with the next heartbeat.",
+    "The field `what` names the data; the next heartbeat requests them again.",
 )
 ENTRY_UNREADABLE = _define(
     356,
     "warning",
     "node entry unreadable",
-    "Another version or program wrote it; it is ignored.",
+    "Another version or program wrote the entry, which is ignored.",
 )
 
 # 4xx: rates.
@@ -239,7 +252,7 @@
 
 # 5xx: calls.
 CALL_REFUSED = _define(
-    501, "info", "call refused", "The field reason says why; see the runbooks."
+    501, "info", "call refused", "The field `reason` says why; see the runbooks."
 )
 CALL_FAILED = _define(
     502,
@@ -251,7 +264,7 @@
     503,
     "info",
     "call retried",
-    "The previous attempt failed; the field reason says how.",
+    "The previous attempt failed; the field `reason` says how.",
 )
 CALL_ANSWERED = _define(
     504,
@@ -263,7 +276,7 @@
     505,
     "info",
     "admission levels",
-    "Services in the field levels are overloaded: requests that lead to them are "
+    "Services in the field `levels` are overloaded: requests that lead to them are "
     "refused at their entry, lowest priority first, until the given fraction of the "
     "demand is admitted.",
 )
@@ -286,8 +299,8 @@
     590,
     "warning",
     "log lines dropped",
-    "There were more lines than may be written; the field counts has the number for "
-    "each event.",
+    "More lines were logged than may be written. The field `counts` has the number of "
+    "dropped lines by event number.",
 )
 
 
--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -1,8 +1,8 @@
 """Explains the outcome of one request from the logs of all nodes.
 
 Clocks of instances differ by seconds, so a request's lines are ordered by kind of event
-before time: the refusal or answer logged where it entered comes last. Context lines are
-taken from that node's log only.
+first and by time second. The last line is the outcome, logged by the node at which the
+request entered. Context lines are taken from the log of this node only.
 """
 
 import json
@@ -21,7 +21,7 @@
     POLICY_IN_FORCE,
 )
 
-# Admission levels are logged once a second during an overload; twice that allows for a
+# Admission levels are logged once a second during an overload; two seconds allow for a
 # late line.
 CONTEXT_WINDOW_SECONDS = 2.0
 # Events that name a request, in the order in which they occur.
@@ -52,12 +52,12 @@
 
     @property
     def instance(self) -> str:
-        """Name of the instance that logged it."""
+        """Name of the instance that logged the event."""
         return str(self.fields.get("instance", ""))
 
     @property
     def time(self) -> float:
-        """Seconds since the epoch, by that instance's clock."""
+        """Time of the event, in Unix seconds of the instance's clock."""
         return float(self.fields.get("time", 0.0))
 
     def get(self, name: str, default: Any = "") -> Any:
@@ -69,9 +69,9 @@
     """What the logs say about a request.
 
     Args:
-        request: Request id.
+        request_id: Id of the request.
         lines: Lines that name the request, in the order of ``EVENT_ORDER``.
-        context: Other lines of the deciding node that show the cause.
+        context: Other lines of the node that logged the outcome; they show the cause.
         cause: Why the request ended as it did, in a sentence or two.
     """
 
@@ -87,7 +87,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event in a line of a log, or None if it holds none.
+    """Return the event in a line of a log, or None if the line has none.
 
     Log collectors may prefix lines with a time or a name.
 
@@ -102,7 +102,7 @@
     try:
         fields = json.loads(text[start:])
     except ValueError:
-        # Truncated by a crash, or of another program.
+        # A line truncated by a crash, or written by another program.
         return None
     return LogLine(fields) if isinstance(fields, dict) and "event" in fields else None
 
@@ -140,7 +140,7 @@
 
 
 def _finds_cause_of(number: int, *reasons: str) -> Callable[[CauseFinder], CauseFinder]:
-    """Register a function that finds the cause of an event, for some or all reasons."""
+    """Register the cause finder of an event: for the reasons, or for all if none."""
 
     def register(find_cause: CauseFinder) -> CauseFinder:
         for reason in reasons or ("",):
@@ -160,7 +160,8 @@
     nearest = min(level_lines, key=lambda line: abs(line.time - last.time))
     levels = nearest.get("levels", {})
     calls_per_slot = nearest.get("pressure", {})
-    # Admission follows the service with the lowest level.
+    # A request is admitted by the lowest level among the services that it calls; the
+    # line does not name these, so this assumes the lowest of all.
     service = min(levels, key=levels.__getitem__, default="")
     text = (
         f"The request was refused at its entry: service {service} had "
@@ -237,7 +238,10 @@
 def _find_policy_start(
     last: LogLine, version: int, lines: list[LogLine]
 ) -> list[LogLine]:
-    """Return the line, if any, of a version's start at the deciding node."""
+    """Return the line that reports this version in force at the node of ``last``.
+
+    The list is empty if there is no such line.
+    """
     return [
         line
         for line in lines
@@ -249,7 +253,7 @@
 
 
 def count_dropped_lines(lines: Iterable[LogLine]) -> int:
-    """Return how many lines the nodes dropped, any of which may name the request."""
+    """Return how many lines the nodes dropped; any of them could name the request."""
     return sum(
         sum(line.get("counts", {}).values())
         for line in lines
--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -9,8 +9,8 @@
 
 from .events import LINES_DROPPED
 
-# Per kind of event; further lines are dropped and counted. During a long overload,
-# logging every refusal would cost more processor time than the requests.
+# Limit for each kind of event; further lines are dropped and counted. During a long
+# overload, logging every refusal would cost more processor time than the requests.
 MAX_LINES_PER_SECOND = 20
 # Limits the memory used while the reader of the stream is slow or has stopped.
 MAX_BUFFERED_BYTES = 256 * 1024
@@ -21,7 +21,7 @@
     """Writes events as JSON lines, limited in rate and without blocking.
 
     Args:
-        descriptor: File descriptor of the stream; it is made non-blocking.
+        descriptor: File descriptor of the stream, which is made non-blocking.
     """
 
     def __init__(self, descriptor: int = 1):
@@ -36,7 +36,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Buffer one event, or count it as dropped if its rate is over the limit."""
+        """Buffer an event, or count it as dropped if its kind is over the limit."""
         entry = record.extra["entry"] or {"event": 0, "text": record.message}
         number = entry["event"]
         second = int(entry.get("time", 0))
--- a/primroseglade/observe/metrics.py
+++ b/primroseglade/observe/metrics.py
@@ -46,7 +46,8 @@
             "retries_denied_total", "Retries denied, by the limit reached.", ["bound"]
         )
         self.throttled = self._counter(
-            "throttled_total", "Calls refused early that would be shed downstream."
+            "throttled_total",
+            "Calls refused at once because they would be shed downstream.",
         )
         self.queue_seconds = Histogram(
             "primroseglade_queue_seconds",
@@ -86,10 +87,12 @@
             "configuration_next_offset", "Offset of the next record to apply."
         )
         self.configuration_age = self._gauge(
-            "configuration_age_seconds", "Time since the end of the log was last known."
+            "configuration_age_seconds",
+            "Time since the configuration was last known to be the newest.",
         )
         self.silent_connections = self._counter(
-            "silent_connections_total", "Unresponsive connections found."
+            "silent_connections_total",
+            "Unresponsive connections to the backend server.",
         )
 
     def render(self) -> bytes:
@@ -97,7 +100,7 @@
         return prometheus_client.generate_latest(self._registry)
 
     def read(self, name: str, **labels: str) -> float:
-        """Return the value of one sample, or 0 if there is none yet."""
+        """Return the value of one sample, or 0 if it has no value yet."""
         return self._registry.get_sample_value(f"primroseglade_{name}", labels) or 0.0
 
     def describe(self) -> list[tuple[str, str, str]]:
--- a/primroseglade/observe/traces.py
+++ b/primroseglade/observe/traces.py
@@ -33,7 +33,7 @@
 
 
 def parse_traceparent(text: str) -> TraceParent | None:
-    """Parse a header; return None if it is absent or malformed, as W3C requires.
+    """Return the ids of a header, or None if the header is absent or malformed.
 
     >>> str(parse_traceparent("00-" + "a" * 32 + "-" + "b" * 16 + "-01"))[-6:]
     'bbb-01'
@@ -80,7 +80,7 @@
 
     Args:
         instance: Name of the instance.
-        sample_ratio: Fraction of root calls traced if the caller does not decide.
+        sample_ratio: Fraction traced of the root calls whose caller does not decide.
         max_spans: Number of ended spans kept.
     """
 
@@ -99,8 +99,8 @@
     def start(self, name: str, parent: TraceParent) -> Span | None:
         """Start a span, or return None if the call is not traced.
 
-        The decision is made before the SDK is called: with the SDK's own sampler, a
-        call that is not traced would cost almost as much as a span.
+        Whether the call is traced is checked before the SDK is called: with the SDK's
+        own sampler, a call that is not traced would cost almost as much as a span.
         """
         if not parent.sampled:
             return None
--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -63,7 +63,7 @@
         return len(self._entries)
 
     def begin(self, workspace: str, operation: str, attempt: int) -> Decision:
-        """Decide whether an attempt may run; ``RUN`` is returned once per attempt."""
+        """Decide whether an attempt may run; return ``RUN`` only once per attempt."""
         self._evict_old()
         key = (workspace, operation)
         entry = self._entries.get(key)
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -15,13 +15,13 @@
 
     Rendezvous hashing of the operation id selects the recording node among the
     reachable nodes of this node's zone. A retry that arrives in another zone reaches a
-    recording node that does not know the operation, which refuses every attempt but
-    the first. Zones therefore do not have to communicate.
+    recording node that does not know the operation; that node refuses every attempt
+    but the first. Zones therefore do not have to communicate.
 
     Args:
         members: Members of the fleet, with their zones and addresses.
         client: Calls the other nodes.
-        record: Operations that this instance records.
+        operations: Operations that this instance records.
     """
 
     def __init__(
@@ -101,7 +101,7 @@
             )
         except PeerError as error:
             # This attempt does not run. If only the response was lost, the recording
-            # node believes that it is running and refuses later attempts: still safe.
+            # node counts the attempt as running and refuses later ones: still safe.
             if attempt > 1:
                 raise _build_refusal(Decision.UNKNOWN) from error
             detail = "the node that records the operation did not respond"
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -28,8 +28,9 @@
 # of a request that may have run must use another status.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MAY_HAVE_RUN_STATUS = 502
-# Smallest remaining time sent to the backend server. Callers count from when they send,
-# so about this much is spent in transit.
+# Minimum of the remaining time sent to the backend server: without it, less than 1 ms
+# would be sent as 0. Remaining times are inexact by about as much anyway, as the sender
+# counts from the sending and the receiver from the arrival of a request.
 MIN_REMAINING_MS = 1
 
 
--- a/primroseglade/platform/log.py
+++ b/primroseglade/platform/log.py
@@ -29,7 +29,7 @@
 
 
 class OffsetOutOfRangeError(PrimrosegladeError):
-    """The log has no record at this offset: it is deleted, or not yet written."""
+    """The record at this offset is deleted, or not yet written."""
 
 
 class LogRecord:
@@ -47,8 +47,8 @@
 
     Args:
         address: ``IP:PORT`` of the log service.
-        timeout: Seconds to wait for a response, on top of a long poll's wait.
-        network: Network to use; tests can cut links in theirs.
+        timeout: Seconds to wait for a response, added to the wait of a long poll.
+        network: Network to use; tests pass one whose links they can cut.
     """
 
     def __init__(
--- a/primroseglade/platform/names.py
+++ b/primroseglade/platform/names.py
@@ -18,8 +18,7 @@
 
 # Bodies are buffered whole, so each hop sets its own Content-Length.
 HOP_BY_HOP = HOP_BY_HOP_HEADERS | {b"content-length"}
-# Not forwarded from callers: the node sets or drops these, and answers
-# ``Expect: 100-continue`` itself.
+# The node sets some of these headers itself, and it answers ``Expect: 100-continue``.
 DROPPED_FROM_REQUESTS = HOP_BY_HOP | {
     REMAINING_MS,
     EXPECTED_INSTANCE,
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -16,7 +16,7 @@
 from .operator_config import decode_policy
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-# Status for a read of records that have been deleted.
+# HTTP status of a read whose records have been deleted.
 GONE_STATUS = 410
 # Written by operators, read-only for nodes.
 OPERATOR_TOPIC = "keyed.op"
@@ -25,7 +25,8 @@
 NODES_TOPIC = "keyed.primroseglade-nodes"
 DRAINS_TOPIC = "keyed.primroseglade-drains"
 
-# Head of a read's response: the offset after the newest record, and of the oldest.
+# Head of a read's response: the offset after the newest record, then the offset of the
+# oldest.
 OFFSETS = struct.Struct(">QQ")
 RECORD_LENGTH = struct.Struct(">I")
 
@@ -89,7 +90,7 @@
     async def read_since(
         self, offset: int, wait: float, timeout: float
     ) -> PolicyRecord | None:
-        """Return the newest configuration published since an offset, None if none was.
+        """Return the newest configuration since an offset, or None if there is none.
 
         Args:
             offset: Offset of the first record to read.
@@ -157,7 +158,7 @@
 
         Args:
             instance: Id of the backend server.
-            start_time_ms: Unix milliseconds of its start; 0 if unknown.
+            start_time_ms: Start time of the backend server in Unix ms; 0 if unknown.
             timeout: Seconds to wait for a response.
 
         Raises:
@@ -232,7 +233,7 @@
 
 
 def split_records(data: bytes) -> list[bytes]:
-    """Split the data of a read into records, without a truncated last one.
+    """Return the complete records in the data of a read; the last may be truncated.
 
     >>> split_records(bytes([0, 0, 0, 2]) + b"ab" + bytes([0, 0, 0, 3]) + b"c")
     [b'ab']
--- a/primroseglade/platform/values.py
+++ b/primroseglade/platform/values.py
@@ -11,8 +11,8 @@
 class Fields:
     """Reads the fields of a decoded JSON object and checks their types.
 
-    Getters raise ``InputError`` for a field of another type, and for a missing field
-    unless they have a default.
+    Getters raise ``InputError`` if the field has another type, or if it is missing and
+    no default is given.
 
     Args:
         value: The decoded value.
@@ -28,7 +28,7 @@
         self._source = source
 
     def get_string(self, name: str, default: str | None = None) -> str:
-        """Return a string, which may be empty only if that is the default."""
+        """Return a string; an empty one is valid only if it is the default."""
         value = self._value.get(name, default)
         if not isinstance(value, str) or (not value and value != default):
             raise InputError(self._source, name, "must be a string that is not empty")
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -13,7 +13,7 @@
 
 
 class PublishedEdit:
-    """The outcome of a published edit, and which instances have confirmed it.
+    """A published edit: its outcome, and which instances have confirmed it.
 
     Args:
         record: Id of the record.
@@ -21,6 +21,12 @@
         accepted: Whether the edit was accepted.
         reason: Why the edit was rejected.
         sections: Names of the edited sections.
+
+    Attributes:
+        everywhere: Whether all instances have confirmed the edit.
+        confirmed: Instances that have confirmed the edit.
+        behind: Instances that have an older configuration.
+        silent: Instances that did not respond.
     """
 
     __slots__ = (
@@ -92,14 +98,14 @@
     """Append an edit to the log and wait for its outcome on a node.
 
     An append without a response may have taken effect. The outcome is then looked up
-    by the record id, and the edit is appended again if there is none. If both copies
-    are in the log, the second is rejected as a conflict with the first.
+    by the record id, and the edit is appended again if no outcome is found. If both
+    copies are in the log, the second is rejected as a conflict with the first.
 
     Args:
         log: Client of the log.
         client: Client of the node that reports the outcome.
         edit: The edit.
-        wait: Timeout in seconds.
+        wait: Maximum wait for the outcome, in seconds.
 
     Raises:
         UnreachableError: There is no outcome in time; the edit may still be applied.
@@ -123,12 +129,12 @@
 async def wait_for_confirmations(
     client: OperatorClient, published: PublishedEdit, wait: float
 ) -> None:
-    """Wait until all instances have confirmed an edit, and record which have not.
+    """Wait until all instances have confirmed an edit, and store which have not.
 
     Args:
         client: Client of the node that collects the confirmations.
         published: The edit; its lists of instances are updated.
-        wait: Timeout in seconds.
+        wait: Maximum wait for the confirmations, in seconds.
     """
     clock = asyncio.get_running_loop().time
     deadline = clock() + wait
--- a/primroseglade/settings/node.py
+++ b/primroseglade/settings/node.py
@@ -58,13 +58,13 @@
         "fleet_secret": {
             "type": "string",
             "minLength": 32,
-            "description": "Secret shared by the fleet's nodes, 32 characters or more.",
+            "description": "Secret that all nodes share; 32 characters or more.",
         },
         "seeds": {
             "type": "array",
             "items": ADDRESS_SCHEMA,
             "default": [],
-            "description": "Control addresses of nodes to contact first at the start.",
+            "description": "Control addresses of the nodes to contact at the start.",
         },
         "operator_token": {
             "type": "string",
@@ -85,29 +85,38 @@
         "limits": _group(
             "Limits on memory, connections and calls.",
             body_buffer=_positive_integer(
-                65536, "bytes", "Maximum body held in memory; larger ones are streamed."
+                65536,
+                "bytes",
+                "Maximum body held in memory; larger bodies are streamed.",
             ),
-            body=_positive_integer(1 << 30, "bytes", "Maximum body of a call."),
-            header=_positive_integer(32768, "bytes", "Maximum request head."),
+            body=_positive_integer(1 << 30, "bytes", "Maximum size of a call's body."),
+            header=_positive_integer(32768, "bytes", "Maximum size of a request head."),
             connections=_positive_integer(
                 100,
                 "connections",
-                "Maximum to the backend server, unless it announces one.",
+                "Maximum number of connections to the backend server, unless it "
+                "announces another number.",
             ),
             peer_connections=_positive_integer(
-                64, "connections", "Maximum to the relay of each other node."
+                64,
+                "connections",
+                "Maximum number of connections to each other node's relay listener.",
             ),
             slots=_positive_integer(
-                4, "calls", "Initial concurrency limit if no slots are announced."
+                4,
+                "calls",
+                "Initial concurrency limit if the backend server announces no slots.",
             ),
             queue=_positive_integer(200, "calls", "Maximum number of queued calls."),
         ),
         "timeouts": _group(
-            "Timeouts and periods of waiting.",
+            "Timeouts and maximum waits.",
             call=_seconds(10.0, "Timeout of a call that specifies none."),
             connect=_seconds(1.0, "Maximum time to open a connection."),
             silence=_seconds(
-                2.0, "Time without a first byte before a connection is probed."
+                2.0,
+                "Time without the first byte of a response, after which the connection "
+                "is probed.",
             ),
             queue=_seconds(0.25, "Maximum wait in the admission queue."),
             drain=_seconds(
@@ -115,36 +124,46 @@
             ),
             lame_duck=_seconds(
                 2.0,
-                "Minimum time between notifying nodes and closing listeners at a stop.",
+                "Minimum time from announcing a stop to closing the listeners.",
             ),
         ),
         "retries": _group(
             "Limits on retries.",
             tokens=_positive_integer(
-                6, "attempts", "Maximum retries of one root call, over all hops."
+                6,
+                "attempts",
+                "Maximum retries of a root call, over all its hops together.",
             ),
-            share=_seconds(0.1, "Maximum retries of this node, per first attempt.")
+            share=_seconds(
+                0.1, "Maximum retries of a workspace's calls, per first attempt."
+            )
             | {"unit": "1"},
         ),
         "fleet": _group(
             "Control traffic between nodes.",
-            period=_seconds(1.0, "Time between exchanges with another node."),
+            period=_seconds(
+                1.0, "Average interval of gossip exchanges with a neighbor."
+            ),
             suspicion=_seconds(
                 3.0,
                 "Time from suspecting a member to declaring it dead.",
             ),
             readers=_positive_integer(
-                3, "nodes", "Nodes of a zone that read the log; others ask peers."
+                3,
+                "nodes",
+                "Number of nodes per zone that read the log; other nodes ask peers.",
             ),
             lease=_seconds(3.0, "Duration of a rate holder's lease."),
             grant=_seconds(1.0, "Time for which granted rate tokens are valid."),
             renewal=_seconds(
-                3600.0, "Time between a node's entries in the membership stream."
+                3600.0,
+                "Interval at which a node renews its entry in the membership stream.",
             ),
             discovery=_seconds(
-                120.0, "Time between searches of the membership stream for other nodes."
+                120.0,
+                "Interval at which the membership stream is searched for other nodes.",
             ),
-            snapshot=_seconds(3600.0, "Time between snapshots of the configuration."),
+            snapshot=_seconds(3600.0, "Interval of configuration snapshots."),
         ),
         "log": _group(
             "The process's log.",
@@ -168,7 +187,7 @@
                 "default": 0.01,
                 "unit": "1",
                 "description": (
-                    "Fraction of root calls traced if a caller sends no trace context."
+                    "Fraction traced of the root calls that come without trace context."
                 ),
             },
             kept=_positive_integer(
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -21,11 +21,11 @@
 # deadlines.
 UNACKNOWLEDGED_MS = 1500
 KEEP_ALIVE_IDLE_SECONDS = 1
-# For servers that send no Keep-Alive header; common servers close idle connections
+# Used for servers that send no Keep-Alive header; common servers close idle connections
 # after 5 s or more.
 DEFAULT_IDLE_TIMEOUT_SECONDS = 4.0
-# A server closes a connection as soon as its announced timeout expires, so reuse stops
-# one second earlier to allow for a request on its way.
+# A server closes an idle connection when the timeout that it announced expires. Reuse
+# stops one second earlier, to allow for the transit of a request.
 IDLE_TIMEOUT_MARGIN_SECONDS = 1.0
 # Non-idempotent requests do not reuse a connection that was idle for longer: the server
 # may be closing it, and it would be unknown whether the request ran.
@@ -67,8 +67,8 @@
     """The client side of one connection; carries one request at a time.
 
     Attributes:
-        idle_since: ``time.monotonic()`` when it was last returned to the pool.
-        idle_timeout: Idle seconds after which it must not be reused.
+        idle_since: ``time.monotonic()`` of the last return to the pool.
+        idle_timeout: Idle seconds after which the connection must not be reused.
     """
 
     __slots__ = (
@@ -207,10 +207,12 @@
     ) -> Response:
         """Send a request and return its complete response.
 
+        Responses that ``accept`` rejects are skipped, and the connection is not reused
+        after them.
+
         Args:
             request: Head and body.
-            accept: Returns whether a response belongs to this request. Others are
-                skipped, and the connection is not reused.
+            accept: Returns whether a response belongs to this request.
             head_only: Whether the request is a HEAD, whose response has no body.
 
         Raises:
@@ -272,7 +274,7 @@
 
     Args:
         address: ``IP:PORT``.
-        connect_timeout: Seconds to open a connection.
+        connect_timeout: Maximum time to open a connection, in seconds.
     """
 
     def __init__(self, address: str, connect_timeout: float):
@@ -283,10 +285,11 @@
     async def acquire(self, non_idempotent: bool = False) -> ClientConnection:
         """Return an idle connection, or open one.
 
+        A non-idempotent request gets no connection that the server may be closing,
+        because the request could not be retried if it were lost.
+
         Args:
-            non_idempotent: Whether the request must not run twice. A connection that
-                the server may be closing is then not reused, as a lost request could
-                not be retried.
+            non_idempotent: Whether the request must not run twice.
 
         Raises:
             ExchangeError: No connection could be opened; nothing was sent.
--- a/primroseglade/sidecar/http_messages.py
+++ b/primroseglade/sidecar/http_messages.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-# Statuses from here on count as failures of the backend server (HTTP server errors).
+# Lowest status that counts as a failure of the backend server (HTTP server errors).
 MIN_FAILURE_STATUS = 500
 
 RawHeaders = list[tuple[bytes, bytes]]
@@ -74,7 +74,7 @@
     Args:
         head: Status line and headers, without the headers that the server adds.
         body: The complete body.
-        close: Whether to close the connection after it.
+        close: Whether to close the connection after the response.
         framed: Whether the server adds ``Content-Length``, ``Connection`` and the empty
             line after the head. False for stand-ins of faulty servers, whose head and
             body are written as they are.
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -8,9 +8,9 @@
 from .model import CallerLimits
 from .server_connection import Handler, ServerConnection
 
-# Interval of timeout checks; the timeouts themselves are whole seconds.
+# Interval of timeout checks: short enough for timeouts of whole seconds.
 TIMEOUT_CHECK_SECONDS = 0.5
-# The same for servers that only processes on this machine call.
+# Interval of timeout checks of servers that only processes on this machine call.
 LOCAL_TIMEOUT_CHECK_SECONDS = 3.0
 # Connections that the kernel queues until they are accepted. A full queue drops SYN
 # packets, which callers retransmit only after seconds.
--- a/primroseglade/sidecar/pipeline.py
+++ b/primroseglade/sidecar/pipeline.py
@@ -32,8 +32,8 @@
 
     Attributes:
         size: Number of requests whose response has not been sent.
-        started: How many of them have been started. Their handlers are running, or
-            their responses wait for the response to an earlier request.
+        started: Number of these requests that have been started: their handlers are
+            running, or their responses wait for the response to an earlier request.
     """
 
     __slots__ = ("_exchanges", "size", "started")
@@ -45,7 +45,7 @@
 
     @property
     def closes_connection(self) -> bool:
-        """Whether the last request asked to close the connection after it."""
+        """Whether the last request asked to close the connection after its response."""
         return bool(self._exchanges) and not self._exchanges[-1].request.keep_alive
 
     def add(self, request: Request) -> None:
@@ -54,12 +54,14 @@
         self.size += 1
 
     def start_next(self, closing: bool = False) -> Exchange | None:
-        """Mark the next request as started and return it, None if none may start.
+        """Mark the next request as started and return it, or None if none may start.
+
+        On a connection that is to be closed, no request starts while another is in
+        flight: the connection closes after the responses to started requests, and
+        callers treat later requests as not read.
 
         Args:
-            closing: Whether the connection is to be closed. Then no request starts
-                while another is in flight: the connection closes after the responses
-                to started requests, and callers treat later requests as not read.
+            closing: Whether the connection is to be closed.
         """
         if self.started == self.size:
             return None
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -64,7 +64,7 @@
     """The server side of one connection.
 
     Args:
-        server: The server that accepted it.
+        server: The server that accepted the connection.
     """
 
     __slots__ = (
@@ -122,7 +122,7 @@
         self._server.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Unregister, and cancel the requests that the caller no longer waits for."""
+        """Unregister, and cancel all requests: the caller no longer waits for them."""
         self._transport = None
         self._server.discard(self)
         self._pipeline.cancel()
@@ -170,7 +170,7 @@
         This is an httptools callback.
         """
         if self._received_bytes + self._chunk_bytes > self._server.limits.header_bytes:
-            # The chunk may also hold body bytes, so only the head's parts are added up.
+            # The chunk may also hold body bytes: count the bytes of the head alone.
             self._check_head_size()
         self._received_bytes = 0
         self._method = self._parser.get_method()
@@ -266,9 +266,11 @@
     def _reject(self, status: int) -> None:
         """Respond with an error to a request that cannot be read, and close.
 
+        If earlier requests are unanswered, the connection closes after the responses
+        to these, and the error is not sent.
+
         Args:
-            status: HTTP status of the response. With earlier requests unanswered, the
-                connection closes after their responses, without this one.
+            status: HTTP status of the error.
         """
         self._error_status = status
         if self._pipeline.size:
@@ -295,7 +297,7 @@
         if self._is_new or self._server.stalled:
             # Let the loop read once more before the request is forwarded. If the
             # connection was accepted late or the process was stalled, the caller may
-            # have disconnected already, and its request must not run.
+            # have disconnected already, and then the request must not run.
             await asyncio.sleep(0)
         try:
             exchange.reply = await self._server.handler(exchange.request)
--- a/primroseglade/sockets.py
+++ b/primroseglade/sockets.py
@@ -29,7 +29,7 @@
 
 
 def was_reset(transport: asyncio.Transport) -> bool:
-    """Whether the peer reset the connection; to be called when it has ended.
+    """Whether the peer reset a connection that has ended.
 
     If data and a reset arrive in the same loop iteration, uvloop reports the data and
     then a regular end of stream. The error can still be read from the socket.
--- a/primroseglade/supervisor.py
+++ b/primroseglade/supervisor.py
@@ -8,7 +8,7 @@
 
 MIN_RESTART_DELAY_SECONDS = 0.05
 MAX_RESTART_DELAY_SECONDS = 5.0
-# A child that ran this long has recovered; its count of failures starts again.
+# A child that ran for this long has recovered; its failures are counted from 0 again.
 FAILURE_RESET_SECONDS = 30.0
 MAX_CONSECUTIVE_FAILURES = 20
 CANCEL_RETRY_SECONDS = 0.2
@@ -64,7 +64,7 @@
         while task is not None and not task.done():
             # A single cancellation can be lost: `asyncio.wait_for` in Python 3.11
             # swallows one that coincides with its inner result, and the child goes on.
-            # Without repeats, about one node stop in several dozen hung.
+            # Without the repetition, about one in several dozen stops of a node hung.
             task.cancel()
             await asyncio.wait({task}, timeout=CANCEL_RETRY_SECONDS)
 
