--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from ..fleet.configuration import Configuration
-from ..observe.decisions import Decision, Decisions
+from ..observe.decisions import CallDecision, DecisionLog
 from ..observe.events import CALL_FAILED, CALL_REFUSED, Journal
 from ..observe.metrics import Metrics
 from ..observe.traces import (
@@ -44,7 +44,7 @@
         journal: Journal,
         metrics: Metrics,
         tracer: Tracer,
-        decisions: Decisions,
+        decisions: DecisionLog,
     ):
         self.settings = settings
         self.configuration = configuration
@@ -166,7 +166,7 @@
         dependencies.metrics.seconds.labels(self.listener).observe(seconds)
         if refusal is None and seconds < SLOW_CALL_SECONDS:
             return
-        decision = Decision(
+        decision = CallDecision(
             trace=record.trace,
             listener=self.listener,
             service=record.service,
--- a/primroseglade/client.py
+++ b/primroseglade/client.py
@@ -226,7 +226,9 @@
         if not announced:
             return
         kept = [
-            n for n in self._nodes_by_service.get(service, ()) if n not in announced
+            node
+            for node in self._nodes_by_service.get(service, ())
+            if node not in announced
         ]
         self._nodes_by_service[service] = (announced + kept)[:MAX_NODES_PER_SERVICE]
 
--- a/primroseglade/document/schema.py
+++ b/primroseglade/document/schema.py
@@ -26,7 +26,7 @@
     }
 
 
-SCHEMAS: dict[str, dict[str, Any]] = {
+SECTION_SCHEMAS: dict[str, dict[str, Any]] = {
     "zones": _object_schema(
         "An availability zone, and the fraction of each rate limit that it grants.",
         ["share"],
@@ -164,9 +164,11 @@
     ),
 }
 
-SECTION_KINDS = tuple(SCHEMAS)
+SECTION_KINDS = tuple(SECTION_SCHEMAS)
 
-_validators = {kind: build_validator(schema) for kind, schema in SCHEMAS.items()}
+_validators = {
+    kind: build_validator(schema) for kind, schema in SECTION_SCHEMAS.items()
+}
 _name_validator = build_validator(
     {
         "type": "string",
@@ -193,7 +195,7 @@
     ('rates', 'north')
     """
     kind, _, name = section.partition("/")
-    if kind not in SCHEMAS:
+    if kind not in SECTION_SCHEMAS:
         expected = "one of " + ", ".join(SECTION_KINDS)
         raise InputError(section, "", f"unknown kind {kind!r}", expected)
     check(name, _name_validator, section)
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -27,7 +27,7 @@
 from .limits.throttle import Throttle
 from .listener import Listener
 from .network import Network
-from .observe.decisions import Decisions
+from .observe.decisions import DecisionLog
 from .observe.events import Journal, NODE_STARTED, NODE_STOPPED, NODE_STOPPING
 from .observe.metrics import Metrics
 from .observe.traces import Tracer
@@ -55,7 +55,7 @@
         self._network = network or Network()
         self._journal = Journal(settings.instance, settings.log.level)
         self._metrics = Metrics()
-        self._decisions = Decisions()
+        self._decisions = DecisionLog()
         self._tracer = Tracer(
             settings.instance, settings.traces.sampled, settings.traces.kept
         )
@@ -96,7 +96,7 @@
         return self._journal
 
     @property
-    def decisions(self) -> Decisions:
+    def decisions(self) -> DecisionLog:
         """Recorded decisions on refused and slow calls."""
         return self._decisions
 
--- a/primroseglade/observe/decisions.py
+++ b/primroseglade/observe/decisions.py
@@ -7,7 +7,7 @@
 MAX_KEPT_DECISIONS = 5000
 
 
-class Decision:
+class CallDecision:
     """What an instance decided about one call, and under which configuration.
 
     Args:
@@ -47,15 +47,15 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class Decisions:
+class DecisionLog:
     """The last ``max_decisions`` decisions of an instance."""
 
     def __init__(self, max_decisions: int = MAX_KEPT_DECISIONS) -> None:
-        self._recent: collections.deque[Decision] = collections.deque(
+        self._recent: collections.deque[CallDecision] = collections.deque(
             maxlen=max_decisions
         )
 
-    def add(self, decision: Decision) -> None:
+    def add(self, decision: CallDecision) -> None:
         """Add a decision, and evict the oldest if more than the maximum are kept."""
         self._recent.append(decision)
 
--- a/primroseglade/observe/lines.py
+++ b/primroseglade/observe/lines.py
@@ -67,7 +67,7 @@
         self._current_second = second
         self._lines_this_second.clear()
         if self._dropped:
-            counts = {str(number): n for number, n in self._dropped.items()}
+            counts = {str(number): count for number, count in self._dropped.items()}
             self._dropped.clear()
             self._append(
                 {
--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -11,7 +11,7 @@
 MAX_OPERATIONS = 200_000
 
 
-class Decision(enum.IntEnum):
+class RunDecision(enum.IntEnum):
     """Whether an attempt may run, and if not, the known state of the operation.
 
     As an answer, ``UNKNOWN`` refuses a later attempt at an operation that is not
@@ -33,7 +33,7 @@
     def __init__(self, attempt: int, started_at: float):
         self.attempt = attempt
         self.started_at = started_at
-        self.decision: Decision = Decision.RUNNING
+        self.decision: RunDecision = RunDecision.RUNNING
 
 
 class OperationTable:
@@ -62,26 +62,26 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def begin(self, workspace: str, operation: str, attempt: int) -> Decision:
+    def begin(self, workspace: str, operation: str, attempt: int) -> RunDecision:
         """Decide whether an attempt may run; return ``RUN`` only once per attempt."""
         self._evict_old()
         key = (workspace, operation)
         entry = self._entries.get(key)
         if entry is None:
             if attempt > 1:
-                return Decision.UNKNOWN
+                return RunDecision.UNKNOWN
             self._entries[key] = OperationState(attempt, self._clock())
-            return Decision.RUN
-        if entry.decision is not Decision.UNKNOWN:
+            return RunDecision.RUN
+        if entry.decision is not RunDecision.UNKNOWN:
             return entry.decision
         # Recorded as not run. A delayed or duplicated attempt must not run after a
         # later one was allowed: the caller may already know that nothing ran.
         if attempt <= entry.attempt:
-            return Decision.MAY_HAVE_RUN
+            return RunDecision.MAY_HAVE_RUN
         entry.attempt = attempt
-        entry.decision = Decision.RUNNING
+        entry.decision = RunDecision.RUNNING
         entry.started_at = self._clock()
-        return Decision.RUN
+        return RunDecision.RUN
 
     def finish(
         self, workspace: str, operation: str, attempt: int, verdict: Verdict
@@ -90,12 +90,12 @@
         entry = self._entries.get((workspace, operation))
         if entry is None or entry.attempt != attempt:
             return
-        if entry.decision is not Decision.RUNNING:
+        if entry.decision is not RunDecision.RUNNING:
             return
         entry.decision = {
-            Verdict.NOT_RUN: Decision.UNKNOWN,
-            Verdict.RAN: Decision.RAN,
-            Verdict.MAY_HAVE_RUN: Decision.MAY_HAVE_RUN,
+            Verdict.NOT_RUN: RunDecision.UNKNOWN,
+            Verdict.RAN: RunDecision.RAN,
+            Verdict.MAY_HAVE_RUN: RunDecision.MAY_HAVE_RUN,
         }[verdict]
 
     def _evict_old(self) -> None:
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -5,7 +5,7 @@
 from ..fleet.members import Members
 from ..proto import control_pb2 as pb
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
-from .record import Decision, OperationTable
+from .record import OperationTable, RunDecision
 
 REQUEST_TIMEOUT_SECONDS = 0.5
 
@@ -53,7 +53,7 @@
             decision = await self._request_decision(
                 instance, workspace, operation, attempt
             )
-        if decision is not Decision.RUN:
+        if decision is not RunDecision.RUN:
             raise _build_refusal(decision)
         return instance
 
@@ -88,7 +88,7 @@
 
     async def _request_decision(
         self, instance: str, workspace: str, operation: str, attempt: int
-    ) -> Decision:
+    ) -> RunDecision:
         member = self._members.get(instance)
         request = pb.BeginRequest(
             workspace=workspace, operation=operation, attempt=attempt
@@ -103,10 +103,10 @@
             # This attempt does not run. If only the response was lost, the recording
             # node counts the attempt as running and refuses later ones: still safe.
             if attempt > 1:
-                raise _build_refusal(Decision.UNKNOWN) from error
+                raise _build_refusal(RunDecision.UNKNOWN) from error
             detail = "the node that records the operation did not respond"
             raise not_run(Reason.RECORDER_UNREACHABLE, detail, 1.0) from error
-        return Decision(reply.decision)
+        return RunDecision(reply.decision)
 
     def _find_recording_instance(self, workspace: str, operation: str) -> str:
         own = self._members.own
@@ -127,12 +127,12 @@
         return pb.FinishReply()
 
 
-def _build_refusal(decision: Decision) -> Refusal:
-    if decision is Decision.RAN:
+def _build_refusal(decision: RunDecision) -> Refusal:
+    if decision is RunDecision.RAN:
         detail = "an earlier attempt at the operation ran"
         return Refusal(Reason.OPERATION_REPEATED, Verdict.RAN, detail)
     detail = {
-        Decision.RUNNING: "an earlier attempt at the operation is running",
-        Decision.MAY_HAVE_RUN: "an earlier attempt at the operation may have run",
+        RunDecision.RUNNING: "an earlier attempt at the operation is running",
+        RunDecision.MAY_HAVE_RUN: "an earlier attempt at the operation may have run",
     }.get(decision, "earlier attempts at the operation are not recorded in this zone")
     return may_have_run(Reason.OPERATION_REPEATED, detail)
--- a/primroseglade/operator_pages.py
+++ b/primroseglade/operator_pages.py
@@ -92,7 +92,7 @@
             "next_offset": next_offset,
             "everywhere": status.is_confirmed_by_all(next_offset),
             "confirmed": sorted(
-                name for name, n in status.offsets.items() if n >= next_offset
+                name for name, offset in status.offsets.items() if offset >= next_offset
             ),
             "behind": status.find_behind(next_offset),
             "silent": status.silent,
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -13,8 +13,8 @@
     CALLER_SERVICE,
     CONNECTION,
     DROPPED_FROM_REQUESTS,
+    DROPPED_FROM_RESPONSES,
     EXPECTED_INSTANCE,
-    HOP_BY_HOP,
     HOST,
     KEY_SCHEME,
     NOT_EXECUTED,
@@ -124,7 +124,7 @@
         """Return the fields of a backend server's response, and the head to forward."""
         request_id = b""
         signed = not_executed = False
-        dropped = HOP_BY_HOP
+        dropped = DROPPED_FROM_RESPONSES
         lines = [render_status_line(answer.status)]
         for name, value in answer.headers:
             lower = name.lower()
--- a/primroseglade/platform/names.py
+++ b/primroseglade/platform/names.py
@@ -17,9 +17,9 @@
 CONNECTION = b"connection"
 
 # Bodies are buffered whole, so each hop sets its own Content-Length.
-HOP_BY_HOP = HOP_BY_HOP_HEADERS | {b"content-length"}
+DROPPED_FROM_RESPONSES = HOP_BY_HOP_HEADERS | {b"content-length"}
 # The node sets some of these headers itself, and it answers ``Expect: 100-continue``.
-DROPPED_FROM_REQUESTS = HOP_BY_HOP | {
+DROPPED_FROM_REQUESTS = DROPPED_FROM_RESPONSES | {
     REMAINING_MS,
     EXPECTED_INSTANCE,
     CALLER_SERVICE,
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -27,7 +27,7 @@
 
 # Head of a read's response: the offset after the newest record, then the offset of the
 # oldest.
-OFFSETS = struct.Struct(">QQ")
+READ_HEAD = struct.Struct(">QQ")
 RECORD_LENGTH = struct.Struct(">I")
 
 
@@ -109,15 +109,16 @@
         }
         response = await self._call("GET", "/log-read", query, b"", timeout)
         data = response.body
-        if len(data) < OFFSETS.size:
+        if len(data) < READ_HEAD.size:
             raise StoreError(
-                f"log read of {len(data)} bytes, less than its {OFFSETS.size}-byte head"
+                f"log read of {len(data)} bytes, less than its "
+                f"{READ_HEAD.size}-byte head"
             )
-        end_offset, first_offset = OFFSETS.unpack_from(data)
+        end_offset, first_offset = READ_HEAD.unpack_from(data)
         if end_offset < offset or first_offset > offset:
             detail = f"offset {offset} is not between {first_offset} and {end_offset}"
             raise OffsetExpiredError(detail)
-        records = split_records(data[OFFSETS.size :])
+        records = split_records(data[READ_HEAD.size :])
         if not records:
             return None
         newest: bytes | None = None
--- a/primroseglade/publishing.py
+++ b/primroseglade/publishing.py
@@ -141,7 +141,9 @@
     while True:
         view = await client.get("/confirmations")
         offsets = view["offsets"]
-        confirmed = {name for name, n in offsets.items() if n > published.offset}
+        confirmed = {
+            name for name, offset in offsets.items() if offset > published.offset
+        }
         published.confirmed = sorted(confirmed)
         published.behind = sorted(set(offsets) - confirmed)
         published.silent = view["silent"]
--- a/primroseglade/reference.py
+++ b/primroseglade/reference.py
@@ -8,10 +8,10 @@
 import sys
 from typing import Any
 
-from .document.schema import SCHEMAS
+from .document.schema import SECTION_SCHEMAS
 from .observe.events import EVENT_CATALOG
 from .observe.metrics import Metrics
-from .settings.node import SCHEMA
+from .settings.node import SETTINGS_SCHEMA
 from .verdicts import Reason
 
 GENERATED_NOTE = "This page is written by `python -m primroseglade.reference docs`.\n"
@@ -52,10 +52,10 @@
         "",
     ]
     lines += ["| path | default | unit | meaning |", "| --- | --- | --- | --- |"]
-    required = set(SCHEMA["required"])
-    lines += _render_fields("", SCHEMA["properties"], required)
+    required = set(SETTINGS_SCHEMA["required"])
+    lines += _render_fields("", SETTINGS_SCHEMA["properties"], required)
     lines += ["", "## Sections of the document", ""]
-    for kind, schema in SCHEMAS.items():
+    for kind, schema in SECTION_SCHEMAS.items():
         lines += [f"### {kind}/NAME", "", schema["description"], ""]
         lines += ["| field | default | unit | meaning |", "| --- | --- | --- | --- |"]
         lines += _render_fields("", schema["properties"], set(schema["required"]))
--- a/primroseglade/settings/node.py
+++ b/primroseglade/settings/node.py
@@ -45,7 +45,7 @@
     }
 
 
-SCHEMA = {
+SETTINGS_SCHEMA = {
     "type": "object",
     "additionalProperties": False,
     "required": ["instance", "zone", "platform", "fleet_secret"],
@@ -197,7 +197,7 @@
     },
 }
 
-_validator = build_validator(SCHEMA)
+_validator = build_validator(SETTINGS_SCHEMA)
 
 
 class SettingsGroup:
@@ -315,7 +315,7 @@
         InputError: A field is missing, unknown or invalid.
     """
     check(fields, _validator, source)
-    return NodeSettings(fill_defaults(fields, SCHEMA))
+    return NodeSettings(fill_defaults(fields, SETTINGS_SCHEMA))
 
 
 def load_node_settings(path: str) -> NodeSettings:
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -77,9 +77,9 @@
         "_loop",
         "_method",
         "_parser",
-        "_paused",
         "_peer",
         "_pipeline",
+        "_reading_paused",
         "_reading_request",
         "_received_bytes",
         "_server",
@@ -96,7 +96,7 @@
         self._pipeline = Pipeline()
         self._reading_request = False
         self._lingering = False
-        self._paused = False
+        self._reading_paused = False
         self._is_new = True
         self._timer_start = time.monotonic()
         self._peer = ""
@@ -212,7 +212,7 @@
             return
         pipeline.add(request)
         if pipeline.size >= MAX_PIPELINED_REQUESTS and self._transport is not None:
-            self._paused = True
+            self._reading_paused = True
             self._transport.pause_reading()
         self._start_requests()
 
@@ -326,11 +326,11 @@
         if pipeline.started < pipeline.size:
             self._start_requests()
         if (
-            self._paused
+            self._reading_paused
             and pipeline.size < MAX_PIPELINED_REQUESTS
             and self._transport is not None
         ):
-            self._paused = False
+            self._reading_paused = False
             self._transport.resume_reading()
 
     def _send_reply(self, request: Request, reply: Reply) -> bool:
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -3,7 +3,7 @@
 from hypothesis import settings, strategies as st
 from hypothesis.stateful import initialize, invariant, rule, RuleBasedStateMachine
 
-from primroseglade.operations.record import Decision, OperationTable
+from primroseglade.operations.record import OperationTable, RunDecision
 from primroseglade.verdicts import Verdict
 
 
@@ -34,7 +34,7 @@
             return
         attempt = self.in_transit.pop(which % len(self.in_transit))
         decision = self.records[recorder].begin("north", "op", attempt)
-        if decision is Decision.RUN:
+        if decision is RunDecision.RUN:
             self.run_count += ran
             self.running.append((recorder, attempt, ran))
 
@@ -72,14 +72,14 @@
 
 def test_later_attempt_at_an_unrecorded_operation_is_refused():
     """The first attempt ran in another zone and its response was lost."""
-    assert OperationTable().begin("north", "payout", 2) is Decision.UNKNOWN
+    assert OperationTable().begin("north", "payout", 2) is RunDecision.UNKNOWN
 
 
 def test_attempt_after_one_that_did_not_run_is_allowed():
     table = OperationTable()
     table.begin("north", "payout", 1)
     table.finish("north", "payout", 1, Verdict.NOT_RUN)
-    assert table.begin("north", "payout", 2) is Decision.RUN
+    assert table.begin("north", "payout", 2) is RunDecision.RUN
 
 
 def test_duplicate_finish_does_not_finish_the_next_attempt():
@@ -92,7 +92,7 @@
     table.finish("north", "payout", 1, Verdict.NOT_RUN)
     table.begin("north", "payout", 2)
     table.finish("north", "payout", 1, Verdict.NOT_RUN)
-    assert table.begin("north", "payout", 3) is Decision.RUNNING
+    assert table.begin("north", "payout", 3) is RunDecision.RUNNING
 
 
 def test_attempt_overtaken_by_a_later_one_does_not_run():
@@ -105,13 +105,13 @@
     for attempt in (1, 3):
         table.begin("north", "payout", attempt)
         table.finish("north", "payout", attempt, Verdict.NOT_RUN)
-    assert table.begin("north", "payout", 2) is Decision.MAY_HAVE_RUN
+    assert table.begin("north", "payout", 2) is RunDecision.MAY_HAVE_RUN
 
 
 def test_operation_ids_are_scoped_to_the_workspace():
     table = OperationTable()
-    assert table.begin("north", "payout", 1) is Decision.RUN
-    assert table.begin("south", "payout", 1) is Decision.RUN
+    assert table.begin("north", "payout", 1) is RunDecision.RUN
+    assert table.begin("south", "payout", 1) is RunDecision.RUN
 
 
 def test_operations_are_evicted_after_the_retention_time():
