--- a/primroseglade/client.py
+++ b/primroseglade/client.py
@@ -226,9 +226,9 @@
         if not announced:
             return
         kept = [
-            node
-            for node in self._nodes_by_service.get(service, ())
-            if node not in announced
+            known
+            for known in self._nodes_by_service.get(service, ())
+            if known not in announced
         ]
         self._nodes_by_service[service] = (announced + kept)[:MAX_NODES_PER_SERVICE]
 
