--- a/primroseglade/cli/load.py
+++ b/primroseglade/cli/load.py
@@ -21,7 +21,7 @@
 
 
 class LoadGenerator:
-    """Sends calls at a fixed mean rate; latencies include a late start of the call.
+    """Sends calls at a fixed mean rate; a latency includes any delay in sending.
 
     Args:
         client: Client that sends the calls.
--- a/primroseglade/document/checks.py
+++ b/primroseglade/document/checks.py
@@ -17,7 +17,7 @@
 
 
 def cross_check(check: Check) -> Check:
-    """Register a check that is given the current document and the changes to make."""
+    """Register a check function, called with the current document and the changes."""
     _checks.append(check)
     return check
 
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -234,7 +234,7 @@
         await self._log.close()
 
     async def _load_state(self) -> None:
-        """Load configuration and members from the log, or from peers if it fails."""
+        """Load configuration and members from the log, or from peers if that fails."""
         contacts = list(self._settings.seeds)
         try:
             async with asyncio.timeout(START_TIMEOUT_SECONDS):
--- a/primroseglade/observe/explain.py
+++ b/primroseglade/observe/explain.py
@@ -140,7 +140,7 @@
 
 
 def _finds_cause_of(number: int, *reasons: str) -> Callable[[CauseFinder], CauseFinder]:
-    """Register the cause finder of an event: for the reasons, or for all if none."""
+    """Register a function that finds an event's cause; no reasons means any reason."""
 
     def register(find_cause: CauseFinder) -> CauseFinder:
         for reason in reasons or ("",):
--- a/primroseglade/observe/traces.py
+++ b/primroseglade/observe/traces.py
@@ -99,8 +99,8 @@
     def start(self, name: str, parent: TraceParent) -> Span | None:
         """Start a span, or return None if the call is not traced.
 
-        Whether the call is traced is checked before the SDK is called: with the SDK's
-        own sampler, a call that is not traced would cost almost as much as a span.
+        Calls that are not traced do not reach the SDK: with the SDK's own sampler, each
+        of them would cost almost as much as a span.
         """
         if not parent.sampled:
             return None
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -28,9 +28,9 @@
 # of a request that may have run must use another status.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MAY_HAVE_RUN_STATUS = 502
-# Minimum of the remaining time sent to the backend server: without it, less than 1 ms
-# would be sent as 0. Remaining times are inexact by about as much anyway, as the sender
-# counts from the sending and the receiver from the arrival of a request.
+# Minimum remaining time sent to the backend server; less would be rounded down to 0.
+# The caller counts from sending and the node from receiving, so the remaining time is
+# inexact by about as much anyway.
 MIN_REMAINING_MS = 1
 
 
--- a/primroseglade/platform/names.py
+++ b/primroseglade/platform/names.py
@@ -18,7 +18,8 @@
 
 # Bodies are buffered whole, so each hop sets its own Content-Length.
 DROPPED_FROM_RESPONSES = HOP_BY_HOP_HEADERS | {b"content-length"}
-# The node sets some of these headers itself, and it answers ``Expect: 100-continue``.
+# The node sets its own values of some of these headers, and it answers
+# ``Expect: 100-continue`` itself.
 DROPPED_FROM_REQUESTS = DROPPED_FROM_RESPONSES | {
     REMAINING_MS,
     EXPECTED_INSTANCE,
