--- a/primroseglade/calls/entry.py
+++ b/primroseglade/calls/entry.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..fleet.configuration import Configuration
-from ..observe.decisions import Decision, Decisions
+from ..observe.decisions import CallDecision, DecisionLog
 from ..observe.events import CALL_FAILED, CALL_REFUSED, Journal
 from ..observe.metrics import Metrics
 from ..observe.traces import (
@@ -47,7 +47,7 @@
         journal: Journal,
         metrics: Metrics,
         tracer: Tracer,
-        decision_records: Decisions,
+        decision_records: DecisionLog,
     ):
         self.settings = settings
         self.configuration = configuration
@@ -171,7 +171,7 @@
         dependencies.metrics.seconds.labels(self.listener).observe(seconds)
         if refusal is None and seconds < SLOW_CALL_SECONDS:
             return
-        decision = Decision(
+        decision = CallDecision(
             trace=record.trace_id,
             listener=self.listener,
             service=record.service,
--- a/primroseglade/cli/config.py
+++ b/primroseglade/cli/config.py
@@ -12,13 +12,13 @@
 from ..exits import ExitStatus
 from ..operator_client import OperatorClient
 from ..platform.log import LogClient
-from ..publishing import build_edit, publish, Published, wait_for_confirmations
+from ..publishing import build_edit, publish, PublishedEdit, wait_for_confirmations
 from ..settings.reader import read_file
 from .registry import command
 
 
 def read_sections(path: str) -> dict[str, Any]:
-    """Read a document file and check it on its own, against an empty document.
+    """Read a document file and check it on its own, not against the one in force.
 
     Raises:
         InputError: The file cannot be read, or the document is not valid.
@@ -83,7 +83,7 @@
 async def publish_sections(
     options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
-    """Publish sections and wait for the verdict and, if requested, all instances."""
+    """Publish sections; wait for the verdict and, if asked, for all instances."""
     sections = read_sections(options.document)
     if options.section:
         missing = sorted(set(options.section) - set(sections))
@@ -136,7 +136,7 @@
 
 
 def _print_published(
-    published: Published, options: argparse.Namespace, environment: Environment
+    published: PublishedEdit, options: argparse.Namespace, environment: Environment
 ) -> ExitStatus:
     if options.json:
         environment.print(json.dumps(published.to_dict()))
@@ -153,7 +153,7 @@
     return ExitStatus.REFUSED if unconfirmed else ExitStatus.SUCCESS
 
 
-def _describe_confirmations(published: Published) -> str:
+def _describe_confirmations(published: PublishedEdit) -> str:
     if published.everywhere:
         return f"in force on all {len(published.confirmed)} instances"
     names = ", ".join([*published.behind, *published.silent])
--- a/primroseglade/http_guard.py
+++ b/primroseglade/http_guard.py
@@ -10,7 +10,7 @@
 from .verdicts import not_run, Reason, Refusal
 
 # Time limit for receiving a request's head.
-HEAD_SECONDS = 10.0
+HEAD_TIMEOUT_SECONDS = 10.0
 SINGLETON_HEADERS = frozenset(
     {b"authorization", b"content-length", b"host", b"transfer-encoding"}
 )
@@ -25,6 +25,7 @@
     follow are parsed as another request.
     """
 
+    # Maximum size of a request's head.
     header_bytes = 32768
     _head_timer: asyncio.TimerHandle | None = None
 
@@ -39,7 +40,7 @@
         """Reset the limits for the next request's head."""
         super().on_message_begin()
         self._start_head_timer()
-        self._head_bytes = 0
+        self._received_head_bytes = 0
         self._seen_headers: set[bytes] = set()
 
     def on_url(self, url: bytes) -> None:
@@ -94,8 +95,8 @@
         )
         super().connection_lost(exc)
         if on_disconnect is not None:
-            # Nobody waits for the response any more: release the call's resources now
-            # instead of when the backend server has finished.
+            # The caller no longer waits for the response: release the call's resources
+            # now instead of when the backend server has finished.
             on_disconnect()
 
     def data_received(self, data: bytes) -> None:
@@ -115,7 +116,9 @@
 
     def _start_head_timer(self) -> None:
         self._stop_head_timer()
-        self._head_timer = self.loop.call_later(HEAD_SECONDS, self.transport.close)
+        self._head_timer = self.loop.call_later(
+            HEAD_TIMEOUT_SECONDS, self.transport.close
+        )
 
     def _stop_head_timer(self) -> None:
         if self._head_timer is not None:
@@ -123,8 +126,8 @@
             self._head_timer = None
 
     def _count_head_bytes(self, size: int) -> None:
-        self._head_bytes += size
-        if self._head_bytes > self.header_bytes:
+        self._received_head_bytes += size
+        if self._received_head_bytes > self.header_bytes:
             raise not_run(
                 Reason.HEADERS_TOO_LARGE,
                 f"the request head is larger than {self.header_bytes} bytes",
@@ -133,7 +136,7 @@
     def _send_refusal(self, error: BaseException | None) -> None:
         response_pending = self.cycle is not None and not self.cycle.response_complete
         if response_pending:
-            # The client would take the refusal for the response to the call in flight.
+            # The caller would take a refusal for the response to the call in flight.
             self.transport.close()
             return
         if not isinstance(error, Refusal):
@@ -147,6 +150,8 @@
 
 
 @functools.cache
-def build_protocol(header_bytes: int) -> type[GuardedProtocol]:
+def build_protocol(max_header_bytes: int) -> type[GuardedProtocol]:
     """Return a protocol class that limits request heads to this size in bytes."""
-    return type("GuardedProtocol", (GuardedProtocol,), {"header_bytes": header_bytes})
+    return type(
+        "GuardedProtocol", (GuardedProtocol,), {"header_bytes": max_header_bytes}
+    )
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -27,7 +27,7 @@
 from .limits.throttle import Throttle
 from .listener import Listener
 from .network import Network
-from .observe.decisions import Decisions
+from .observe.decisions import DecisionLog
 from .observe.events import Journal, NODE_STARTED, NODE_STOPPED, NODE_STOPPING
 from .observe.metrics import Metrics
 from .observe.traces import Tracer
@@ -43,7 +43,7 @@
 
 
 class Node:
-    """The components of a node process.
+    """Builds, starts and stops the components of a node process.
 
     Args:
         settings: Settings of this process.
@@ -55,7 +55,7 @@
         self._network = network or Network()
         self._journal = Journal(settings.instance, settings.log.level)
         self._metrics = Metrics()
-        self._decisions = Decisions()
+        self._decisions = DecisionLog()
         self._tracer = Tracer(
             settings.instance, settings.traces.sampled, settings.traces.kept
         )
@@ -96,13 +96,13 @@
         return self._journal
 
     @property
-    def decisions(self) -> Decisions:
+    def decisions(self) -> DecisionLog:
         """Records of refused and slow calls."""
         return self._decisions
 
     @property
     def tracer(self) -> Tracer:
-        """Recorder of the node's spans."""
+        """Creates and keeps the node's spans."""
         return self._tracer
 
     @property
@@ -170,8 +170,8 @@
         """Shut down gracefully, without interrupting calls in flight.
 
         The order matters. First the node refuses new work as not run, and announces
-        the stop to the fleet. Callers that are not yet aware of it are served through
-        other nodes for some time, and are asked to open no more calls on their
+        the stop to the fleet. Callers that do not know of the stop yet are served
+        through other nodes for some time, and are asked to send no more calls on their
         connections. Only then are calls in flight drained and the listeners closed.
         """
         self._journal.emit(
@@ -204,7 +204,7 @@
         await self._close()
 
     def describe(self) -> dict[str, Any]:
-        """Return the state of the node and of the fleet as known to it."""
+        """Return the state of the node, and of the fleet as this node knows it."""
         configuration = self._configuration
         return {
             "instance": self._settings.instance,
@@ -373,7 +373,7 @@
 
     def _build_listeners(self) -> None:
         listen = self._settings.listen
-        header = self._settings.limits.header
+        max_header_bytes = self._settings.limits.header
         announcements = build_announcement_application(self._backend)
         nested = self._nested_entry
 
@@ -383,10 +383,10 @@
 
         operator = build_operator_application(self)
         self._listeners = {
-            "callers": Listener(self._callers_entry, listen.callers, header),
-            "relay": Listener(self._relay_entry, listen.relay, header),
-            "backend": Listener(serve_backend, listen.backend, header),
-            "operator": Listener(operator, listen.operator, header),
+            "callers": Listener(self._callers_entry, listen.callers, max_header_bytes),
+            "relay": Listener(self._relay_entry, listen.relay, max_header_bytes),
+            "backend": Listener(serve_backend, listen.backend, max_header_bytes),
+            "operator": Listener(operator, listen.operator, max_header_bytes),
         }
         self._members.update_own(
             callers=self._listeners["callers"].address,
--- a/primroseglade/observe/decisions.py
+++ b/primroseglade/observe/decisions.py
@@ -4,22 +4,22 @@
 import time
 from typing import Any
 
-MAX_DECISIONS = 5000
+MAX_KEPT_DECISIONS = 5000
 
 
-class Decision:
+class CallDecision:
     """What an instance decided about one call, and under which configuration.
 
     Args:
         trace: Trace id of the root call, in hex.
         listener: Name of the listener that received the call.
         service: Requested service.
-        workspace: Workspace of the caller, empty if it is not known.
+        workspace: Workspace of the caller; empty if unknown.
         outcome: A refusal's reason code, or ``served``.
         verdict: Whether the call ran, may have run or did not run.
         detail: Explanation of the outcome.
         instance: Instance that decided.
-        next_offset: Offset that follows the last configuration record in force.
+        next_offset: Offset after the last configuration record in force.
         seconds: Time that the call took at this instance.
     """
 
@@ -47,16 +47,16 @@
         return {name: getattr(self, name) for name in self.__slots__}
 
 
-class Decisions:
+class DecisionLog:
     """The last ``max_decisions`` decisions of an instance."""
 
-    def __init__(self, max_decisions: int = MAX_DECISIONS) -> None:
-        self._recent: collections.deque[Decision] = collections.deque(
+    def __init__(self, max_decisions: int = MAX_KEPT_DECISIONS) -> None:
+        self._recent: collections.deque[CallDecision] = collections.deque(
             maxlen=max_decisions
         )
 
-    def add(self, decision: Decision) -> None:
-        """Add a decision and evict the oldest if there are too many."""
+    def add(self, decision: CallDecision) -> None:
+        """Add a decision, and evict the oldest if more than the maximum are kept."""
         self._recent.append(decision)
 
     def find(self, trace_id: str) -> list[dict[str, Any]]:
--- a/primroseglade/operations/recorder.py
+++ b/primroseglade/operations/recorder.py
@@ -5,7 +5,7 @@
 from ..fleet.members import Members
 from ..proto import control_pb2 as pb
 from ..verdicts import may_have_run, not_run, Reason, Refusal, Verdict
-from .record import Decision, OperationTable
+from .record import OperationTable, RunDecision
 
 REQUEST_TIMEOUT_SECONDS = 0.5
 
@@ -15,19 +15,21 @@
 
     Rendezvous hashing of the operation id selects the recording node among the
     reachable nodes of this node's zone. A retry that arrives in another zone reaches a
-    recording node that does not know the operation, which refuses every attempt but
-    the first. Zones therefore do not have to communicate.
+    recording node that does not know the operation; that node refuses every attempt
+    but the first. Zones therefore do not have to communicate.
 
     Args:
         members: Members of the fleet, with their zones and addresses.
         client: Calls the other nodes.
-        record: Operations that this instance records.
+        operations: Operations that this instance records.
     """
 
-    def __init__(self, members: Members, client: ControlClient, record: OperationTable):
+    def __init__(
+        self, members: Members, client: ControlClient, operations: OperationTable
+    ):
         self._members = members
         self._client = client
-        self._record = record
+        self._operations = operations
 
     def register(self, server: ControlServer) -> None:
         """Register the handlers for operations that are recorded on this node."""
@@ -46,12 +48,12 @@
         """
         instance = self._find_recording_instance(workspace, operation)
         if instance == self._members.own.instance:
-            decision = self._record.begin(workspace, operation, attempt)
+            decision = self._operations.begin(workspace, operation, attempt)
         else:
             decision = await self._request_decision(
                 instance, workspace, operation, attempt
             )
-        if decision is not Decision.RUN:
+        if decision is not RunDecision.RUN:
             raise _build_refusal(decision)
         return instance
 
@@ -65,7 +67,7 @@
     ) -> None:
         """Report the verdict on an attempt to the recording instance."""
         if instance == self._members.own.instance:
-            self._record.finish(workspace, operation, attempt, verdict)
+            self._operations.finish(workspace, operation, attempt, verdict)
             return
         member = self._members.get(instance)
         if member is None:
@@ -86,7 +88,7 @@
 
     async def _request_decision(
         self, instance: str, workspace: str, operation: str, attempt: int
-    ) -> Decision:
+    ) -> RunDecision:
         member = self._members.get(instance)
         request = pb.BeginRequest(
             workspace=workspace, operation=operation, attempt=attempt
@@ -99,12 +101,12 @@
             )
         except PeerError as error:
             # This attempt does not run. If only the response was lost, the recording
-            # node believes that it is running and refuses later attempts: still safe.
+            # node counts the attempt as running and refuses later ones: still safe.
             if attempt > 1:
-                raise _build_refusal(Decision.UNKNOWN) from error
+                raise _build_refusal(RunDecision.UNKNOWN) from error
             detail = "the node that records the operation did not respond"
             raise not_run(Reason.RECORDER_UNREACHABLE, detail, 1.0) from error
-        return Decision(reply.decision)
+        return RunDecision(reply.decision)
 
     def _find_recording_instance(self, workspace: str, operation: str) -> str:
         own = self._members.own
@@ -112,25 +114,25 @@
         return rank(f"operations/{workspace}/{operation}", names, 1)[0]
 
     async def _handle_begin(self, request: pb.BeginRequest, _: str) -> pb.BeginReply:
-        decision = self._record.begin(
+        decision = self._operations.begin(
             request.workspace, request.operation, request.attempt
         )
         return pb.BeginReply(decision=int(decision))
 
     async def _handle_finish(self, request: pb.FinishRequest, _: str) -> pb.FinishReply:
         verdict = Verdict(request.verdict)
-        self._record.finish(
+        self._operations.finish(
             request.workspace, request.operation, request.attempt, verdict
         )
         return pb.FinishReply()
 
 
-def _build_refusal(decision: Decision) -> Refusal:
-    if decision is Decision.RAN:
+def _build_refusal(decision: RunDecision) -> Refusal:
+    if decision is RunDecision.RAN:
         detail = "an earlier attempt at the operation ran"
         return Refusal(Reason.OPERATION_REPEATED, Verdict.RAN, detail)
     detail = {
-        Decision.RUNNING: "an earlier attempt at the operation is running",
-        Decision.MAY_HAVE_RUN: "an earlier attempt at the operation may have run",
+        RunDecision.RUNNING: "an earlier attempt at the operation is running",
+        RunDecision.MAY_HAVE_RUN: "an earlier attempt at the operation may have run",
     }.get(decision, "earlier attempts at the operation are not recorded in this zone")
     return may_have_run(Reason.OPERATION_REPEATED, detail)
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -12,11 +12,11 @@
     AUTHORIZATION,
     CALLER_SERVICE,
     CONNECTION,
+    DROPPED_FROM_REQUESTS,
+    DROPPED_FROM_RESPONSES,
     EXPECTED_INSTANCE,
-    HOP_BY_HOP,
     HOST,
     KEY_SCHEME,
-    NODE_SET_HEADERS,
     NOT_EXECUTED,
     REMAINING_MS,
     REQUEST_ID,
@@ -28,8 +28,9 @@
 # of a request that may have run must use another status.
 NOT_EXECUTED_STATUSES = frozenset({408, 421, 429, 503})
 MAY_HAVE_RUN_STATUS = 502
-# Smallest remaining time sent to the backend server. Callers count from when they send,
-# so about this much is spent in transit.
+# Minimum remaining time sent to the backend server; less would be rounded down to 0.
+# The caller counts from sending and the node from receiving, so the remaining time is
+# inexact by about as much anyway.
 MIN_REMAINING_MS = 1
 
 
@@ -60,7 +61,7 @@
             service: Name of the calling service, for the backend server.
             tenant: Name of the caller's workspace; empty if it has none.
         """
-        dropped = NODE_SET_HEADERS
+        dropped = DROPPED_FROM_REQUESTS
         for name, value in request.headers:
             if name.lower() == CONNECTION:
                 dropped = dropped | _split_tokens(value)
@@ -123,7 +124,7 @@
         """Return the fields of a backend server's response, and the head to forward."""
         request_id = b""
         signed = not_executed = False
-        dropped = HOP_BY_HOP
+        dropped = DROPPED_FROM_RESPONSES
         lines = [render_status_line(answer.status)]
         for name, value in answer.headers:
             lower = name.lower()
--- a/primroseglade/platform/store.py
+++ b/primroseglade/platform/store.py
@@ -15,8 +15,8 @@
 from ..sidecar.policy_tracker import OffsetExpiredError, PolicyRecord, StoreError
 from .operator_config import decode_policy
 
-CONNECT_SECONDS = 1.0
-# Status for a read of records that have been deleted.
+CONNECT_TIMEOUT_SECONDS = 1.0
+# HTTP status of a read whose records have been deleted.
 GONE_STATUS = 410
 # Written by operators, read-only for nodes.
 OPERATOR_TOPIC = "keyed.op"
@@ -25,8 +25,9 @@
 NODES_TOPIC = "keyed.primroseglade-nodes"
 DRAINS_TOPIC = "keyed.primroseglade-drains"
 
-# Head of a read's response: the offset after the newest record, and of the oldest.
-OFFSETS = struct.Struct(">QQ")
+# Head of a read's response: the offset after the newest record, then the offset of the
+# oldest.
+READ_HEAD = struct.Struct(">QQ")
 RECORD_LENGTH = struct.Struct(">I")
 
 
@@ -61,7 +62,7 @@
     def __init__(self, address: str, journal: Journal):
         self._address = address
         self._journal = journal
-        self._pool = ConnectionPool(address, CONNECT_SECONDS)
+        self._pool = ConnectionPool(address, CONNECT_TIMEOUT_SECONDS)
 
     def decode(self, record: bytes) -> Policy:
         """Decode a record of the operator's configuration.
@@ -89,7 +90,7 @@
     async def read_since(
         self, offset: int, wait: float, timeout: float
     ) -> PolicyRecord | None:
-        """Return the newest configuration published since an offset, None if none was.
+        """Return the newest configuration since an offset, or None if there is none.
 
         Args:
             offset: Offset of the first record to read.
@@ -108,15 +109,16 @@
         }
         response = await self._call("GET", "/log-read", query, b"", timeout)
         data = response.body
-        if len(data) < OFFSETS.size:
+        if len(data) < READ_HEAD.size:
             raise StoreError(
-                f"log read of {len(data)} bytes, less than its {OFFSETS.size}-byte head"
+                f"log read of {len(data)} bytes, less than its "
+                f"{READ_HEAD.size}-byte head"
             )
-        end_offset, first_offset = OFFSETS.unpack_from(data)
+        end_offset, first_offset = READ_HEAD.unpack_from(data)
         if end_offset < offset or first_offset > offset:
             detail = f"offset {offset} is not between {first_offset} and {end_offset}"
             raise OffsetExpiredError(detail)
-        records = split_records(data[OFFSETS.size :])
+        records = split_records(data[READ_HEAD.size :])
         if not records:
             return None
         newest: bytes | None = None
@@ -157,7 +159,7 @@
 
         Args:
             instance: Id of the backend server.
-            start_time_ms: Unix milliseconds of its start; 0 if unknown.
+            start_time_ms: Start time of the backend server in Unix ms; 0 if unknown.
             timeout: Seconds to wait for a response.
 
         Raises:
@@ -232,7 +234,7 @@
 
 
 def split_records(data: bytes) -> list[bytes]:
-    """Split the data of a read into records, without a truncated last one.
+    """Return the complete records in the data of a read; the last may be truncated.
 
     >>> split_records(bytes([0, 0, 0, 2]) + b"ab" + bytes([0, 0, 0, 3]) + b"c")
     [b'ab']
