--- a/bench/tables.py
+++ b/bench/tables.py
@@ -45,7 +45,7 @@
         partitions.rank("zone-1", 3)
 
     def route_uncached() -> None:
-        router._version = -1
+        router._members_version = -1
         router.choose("service-3", set())
 
     def merge_update() -> None:
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -71,7 +71,7 @@
         self._members = members
         self._stats: dict[str, BackendStats] = {}
         self._members_by_service: dict[str, list[Member]] = {}
-        self._version = -1
+        self._members_version = -1
 
     def choose(self, service: str, excluded: set[str]) -> Member | None:
         """Return the member to send a call to, or None if there is none.
@@ -156,8 +156,8 @@
         self._stats.pop(instance, None)
 
     def _get_serving_members(self, service: str) -> list[Member]:
-        if self._version != self._members.version:
-            self._version = self._members.version
+        if self._members_version != self._members.version:
+            self._members_version = self._members.version
             self._members_by_service = {}
             for member in self._members:
                 if member.serving and member.state in (State.ALIVE, State.SUSPECT):
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -96,7 +96,7 @@
         return self._journal
 
     @property
-    def decisions(self) -> DecisionLog:
+    def decision_records(self) -> DecisionLog:
         """Records of refused and slow calls."""
         return self._decisions
 
--- a/primroseglade/operator_pages.py
+++ b/primroseglade/operator_pages.py
@@ -137,11 +137,13 @@
             spans = self._node.tracer.find(trace)
         except ValueError:
             return answer_json(400, {"error": "a trace id is 32 hex digits"})
-        decisions = self._node.decisions.find(trace)
+        decisions = self._node.decision_records.find(trace)
         return answer_json(200, {"spans": spans, "decisions": decisions})
 
     async def _show_decisions(self, _: Request) -> Response:
-        return answer_json(200, self._node.decisions.get_last(MAX_SHOWN_DECISIONS))
+        return answer_json(
+            200, self._node.decision_records.get_last(MAX_SHOWN_DECISIONS)
+        )
 
     async def _show_events(self, _: Request) -> Response:
         return answer_json(200, self._node.journal.recent)
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -2,7 +2,7 @@
 
 import math
 
-from ..sidecar.backend import BackendAnswer
+from ..sidecar.backend import ParsedAnswerHead
 from ..sidecar.frames import Call
 from ..sidecar.http_client import Response
 from ..sidecar.http_messages import render_status_line, Reply, Request
@@ -120,7 +120,7 @@
             call.body,
         )
 
-    def read_answer(self, answer: Response) -> BackendAnswer:
+    def read_answer(self, answer: Response) -> ParsedAnswerHead:
         """Return the fields of a backend server's response, and the head to forward."""
         request_id = b""
         signed = not_executed = False
@@ -141,7 +141,7 @@
             for header in answer.headers
             if header[0].lower() not in dropped
         ]
-        return BackendAnswer(b"".join(lines), request_id, signed, not_executed)
+        return ParsedAnswerHead(b"".join(lines), request_id, signed, not_executed)
 
 
 def _split_tokens(value: bytes) -> frozenset[bytes]:
--- a/primroseglade/platform/operator_config.py
+++ b/primroseglade/platform/operator_config.py
@@ -44,8 +44,8 @@
         return limits
     limit_fields = fields.get_object("limits")
     return CallerLimits(
-        limit_fields.get_integer("max_header_bytes", limits.header_bytes),
-        limit_fields.get_integer("max_body_bytes", limits.body_bytes),
+        limit_fields.get_integer("max_header_bytes", limits.max_header_bytes),
+        limit_fields.get_integer("max_body_bytes", limits.max_body_bytes),
         limit_fields.get_seconds("header_timeout", limits.head_timeout),
         limit_fields.get_seconds("idle_timeout", limits.idle_timeout),
     )
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -38,7 +38,7 @@
 MAX_REPORT_DELAY_SECONDS = 10.0
 
 
-class BackendAnswer:
+class ParsedAnswerHead:
     """The head of a backend server's answer, as parsed by the platform's adapter.
 
     Args:
@@ -70,7 +70,7 @@
             remaining: Seconds until the call's deadline.
         """
 
-    def read_answer(self, answer: Response) -> BackendAnswer:
+    def read_answer(self, answer: Response) -> ParsedAnswerHead:
         """Parse a backend server's answer."""
 
 
@@ -79,7 +79,7 @@
 
     __slots__ = ("answer", "body", "status")
 
-    def __init__(self, status: int, answer: BackendAnswer, body: bytes):
+    def __init__(self, status: int, answer: ParsedAnswerHead, body: bytes):
         self.status = status
         self.answer = answer
         self.body = body
@@ -372,7 +372,7 @@
             raise not_run(Reason.DRAINING, "the backend server was replaced")
 
     async def _exchange(self, call: Call, deadline: float) -> ServedAnswer:
-        parsed: BackendAnswer | None = None
+        parsed: ParsedAnswerHead | None = None
 
         def is_answer_to_call(answer: Response) -> bool:
             nonlocal parsed
@@ -405,7 +405,9 @@
         assert parsed is not None
         return self._classify_answer(answer, parsed)
 
-    def _classify_answer(self, answer: Response, parsed: BackendAnswer) -> ServedAnswer:
+    def _classify_answer(
+        self, answer: Response, parsed: ParsedAnswerHead
+    ) -> ServedAnswer:
         """Return the answer of the backend server if it is valid.
 
         Answers with a status of 300 or above are valid without a signature.
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -14,7 +14,7 @@
 from .http_messages import MIN_FAILURE_STATUS
 from .load_balancing import (
     Candidate,
-    compute_cross_zone_cost_ms,
+    compute_cross_zone_surcharge_ms,
     compute_failure_cost_ms,
 )
 from .model import Route
@@ -316,7 +316,7 @@
         if self._backend.service == call.service:
             local_candidate = self._backend.build_candidate(self._node)
             if local_candidate is not None:
-                local_candidate.downstream_ms = downstream_ms_by_zone.get(
+                local_candidate.downstream_cost_ms = downstream_ms_by_zone.get(
                     self._fleet.zone, 0.0
                 )
         size_bytes = len(call.head) + len(call.body)
@@ -327,7 +327,7 @@
             call.service,
             local_candidate,
             tried,
-            compute_cross_zone_cost_ms(latency_tolerance, size_bytes),
+            compute_cross_zone_surcharge_ms(latency_tolerance, size_bytes),
             compute_failure_cost_ms(latency_target),
             downstream_ms_by_zone,
         )
--- a/primroseglade/sidecar/fleet.py
+++ b/primroseglade/sidecar/fleet.py
@@ -171,7 +171,7 @@
         service: str,
         own_candidate: Candidate | None,
         tried_names: Collection[str],
-        cross_zone_cost_ms: float,
+        cross_zone_surcharge_ms: float,
         failure_cost_ms: float,
         downstream_costs_ms: ZoneCostsMs,
     ) -> Candidate | None:
@@ -182,7 +182,7 @@
             own_candidate: This node, if its backend server provides the service; else
                 None.
             tried_names: Names of nodes already tried.
-            cross_zone_cost_ms: Extra cost of a call to another availability zone.
+            cross_zone_surcharge_ms: Extra cost of a call to another availability zone.
             failure_cost_ms: Cost of a failed call.
             downstream_costs_ms: Cost in milliseconds of the further calls that the call
                 makes, by the zone in which it is served.
@@ -205,7 +205,7 @@
                 tried_names,
                 downstream_costs_ms,
             ),
-            cross_zone_cost_ms,
+            cross_zone_surcharge_ms,
             min_downstream_cost_ms,
             failure_cost_ms,
             self._rng,
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -19,7 +19,7 @@
 # How long sent data may stay unacknowledged before the kernel closes the connection as
 # dead. Longer than two retransmissions within a site, shorter than most callers'
 # deadlines.
-UNACKNOWLEDGED_MS = 1500
+MAX_UNACKNOWLEDGED_MS = 1500
 KEEP_ALIVE_IDLE_SECONDS = 1
 # Used for servers that send no Keep-Alive header; common servers close idle connections
 # after 5 s or more.
@@ -116,7 +116,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Set the socket options that detect a dead peer."""
         self._transport = transport
-        set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS)
+        set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, MAX_UNACKNOWLEDGED_MS)
 
     def eof_received(self) -> bool:
         """Complete or fail a response that is delimited by the connection's end."""
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -47,12 +47,12 @@
         service_ms: Average service time of a call in milliseconds; 0 before the first
             answer, so that a new backend server gets calls.
         failure_ratio: Fraction of recent calls that failed.
-        downstream_ms: Cost in milliseconds of the downstream calls that the call makes
+        downstream_cost_ms: Cost in milliseconds of the downstream calls that the call makes
             if it runs there (`zone_costs.py`).
     """
 
     __slots__ = (
-        "downstream_ms",
+        "downstream_cost_ms",
         "failure_ratio",
         "in_flight",
         "name",
@@ -69,7 +69,7 @@
         in_flight: float,
         service_ms: float,
         failure_ratio: float,
-        downstream_ms: float = 0.0,
+        downstream_cost_ms: float = 0.0,
     ):
         self.name = name
         self.same_zone = same_zone
@@ -77,10 +77,12 @@
         self.in_flight = in_flight
         self.service_ms = service_ms
         self.failure_ratio = failure_ratio
-        self.downstream_ms = downstream_ms
+        self.downstream_cost_ms = downstream_cost_ms
 
 
-def compute_cross_zone_cost_ms(latency_tolerance: float, size_bytes: float) -> float:
+def compute_cross_zone_surcharge_ms(
+    latency_tolerance: float, size_bytes: float
+) -> float:
     """Return the surcharge on a cross-zone call in milliseconds.
 
     A backend server in another availability zone is chosen only if its cost is lower by
@@ -146,7 +148,7 @@
     same_zone_candidates: list[Candidate],
     list_cross_zone_candidates: Callable[[], list[Candidate]],
     cross_zone_surcharge_ms: float,
-    min_downstream_ms: float,
+    min_downstream_cost_ms: float,
     failure_cost_ms: float,
     rng: random.Random,
 ) -> Candidate | None:
@@ -157,7 +159,7 @@
         list_cross_zone_candidates: Returns the candidates in other zones. It is called
             only if a candidate there could be better.
         cross_zone_surcharge_ms: Result of `compute_cross_zone_surcharge_ms`.
-        min_downstream_ms: Lowest cost of the downstream calls over all zones, this one
+        min_downstream_cost_ms: Lowest cost of the downstream calls over all zones, this one
             included; a lower bound for candidates in other zones.
         failure_cost_ms: Result of `compute_failure_cost_ms`.
         rng: Draws the jitter and the calls sent to a random backend server.
@@ -179,7 +181,7 @@
     )
     if (
         best_same_zone is not None
-        and same_zone_cost_ms <= jittered_surcharge_ms + min_downstream_ms
+        and same_zone_cost_ms <= jittered_surcharge_ms + min_downstream_cost_ms
     ):
         return best_same_zone
     best_cross_zone, best_cross_zone_cost_ms = _find_cheapest(
@@ -201,7 +203,9 @@
     min_cost_ms = 0.0
     for candidate in candidates:
         cost_ms = estimate_cost_ms(candidate) * (1.0 + COST_JITTER_RATIO * rng.random())
-        cost_ms += failure_cost_ms * candidate.failure_ratio + candidate.downstream_ms
+        cost_ms += (
+            failure_cost_ms * candidate.failure_ratio + candidate.downstream_cost_ms
+        )
         if best is None or cost_ms < min_cost_ms:
             best = candidate
             min_cost_ms = cost_ms
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -136,17 +136,17 @@
 class CallerLimits:
     """Limits on what a caller may send; timeouts in seconds."""
 
-    __slots__ = ("body_bytes", "head_timeout", "header_bytes", "idle_timeout")
+    __slots__ = ("head_timeout", "idle_timeout", "max_body_bytes", "max_header_bytes")
 
     def __init__(
         self,
-        header_bytes: int = 16 * 1024,
-        body_bytes: int = 64 * 1024 * 1024,
+        max_header_bytes: int = 16 * 1024,
+        max_body_bytes: int = 64 * 1024 * 1024,
         head_timeout: float = 3.0,
         idle_timeout: float = 15.0,
     ):
-        self.header_bytes = header_bytes
-        self.body_bytes = body_bytes
+        self.max_header_bytes = max_header_bytes
+        self.max_body_bytes = max_body_bytes
         self.head_timeout = head_timeout
         self.idle_timeout = idle_timeout
 
--- a/primroseglade/sidecar/node.py
+++ b/primroseglade/sidecar/node.py
@@ -30,7 +30,7 @@
 from .fleet import Fleet
 from .frames import PolicyAnswer, TokenGrant, TokenRequest
 from .http_server import build_local_server, HttpServer
-from .load_balancing import compute_cross_zone_cost_ms
+from .load_balancing import compute_cross_zone_surcharge_ms
 from .load_monitor import LoadMonitor
 from .model import (
     NodeEntry,
@@ -154,7 +154,7 @@
         self.admission = Admission(self._rng)
         self.graph = CallGraph()
         self.answer_sizes = AnswerSizes()
-        self.zone_costs = ZoneCosts(self.graph, self._estimate_cross_zone_cost_ms)
+        self.zone_costs = ZoneCosts(self.graph, self._estimate_cross_zone_surcharge_ms)
         self.node_metrics = NodeMetrics()
         self.cross_zone_bytes = CrossZoneBytes()
         self.retry_budget = RetryBudget(
@@ -497,10 +497,10 @@
             slot_ms=backend.slot_ms,
         )
 
-    def _estimate_cross_zone_cost_ms(self, name: str) -> float:
+    def _estimate_cross_zone_surcharge_ms(self, name: str) -> float:
         route = self.policies.routes.by_name.get(name)
         latency_tolerance = route.latency_tolerance if route is not None else 0.0
-        return compute_cross_zone_cost_ms(
+        return compute_cross_zone_surcharge_ms(
             latency_tolerance, self.answer_sizes.estimate(name)
         )
 
--- a/primroseglade/sidecar/server_connection.py
+++ b/primroseglade/sidecar/server_connection.py
@@ -148,7 +148,7 @@
             return
         if self._reading_request and not self._method:
             self._received_bytes += len(data)
-            if self._received_bytes > self._server.limits.header_bytes:
+            if self._received_bytes > self._server.limits.max_header_bytes:
                 self._reject(431)
 
     def on_message_begin(self) -> None:
@@ -169,7 +169,10 @@
 
         This is an httptools callback.
         """
-        if self._received_bytes + self._chunk_bytes > self._server.limits.header_bytes:
+        if (
+            self._received_bytes + self._chunk_bytes
+            > self._server.limits.max_header_bytes
+        ):
             # The chunk may also hold body bytes: count the bytes of the head alone.
             self._check_head_size()
         self._received_bytes = 0
@@ -187,7 +190,7 @@
         """
         self._body.append(body)
         self._received_bytes += len(body)
-        if self._received_bytes > self._server.limits.body_bytes:
+        if self._received_bytes > self._server.limits.max_body_bytes:
             self._error_status = 413
             # The parser stops and raises HttpParserError in data_received.
             raise ValueError("request body exceeds the size limit")
@@ -259,7 +262,7 @@
     def _check_head_size(self) -> None:
         size = len(self._target)
         size += sum(len(name) + len(value) + 4 for name, value in self._headers)
-        if size > self._server.limits.header_bytes:
+        if size > self._server.limits.max_header_bytes:
             self._error_status = 431
             raise ValueError("request head exceeds the size limit")
 
--- a/primroseglade/sidecar/streams.py
+++ b/primroseglade/sidecar/streams.py
@@ -18,7 +18,7 @@
     State,
     States,
 )
-from .http_client import KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS
+from .http_client import KEEP_ALIVE_IDLE_SECONDS, MAX_UNACKNOWLEDGED_MS
 
 # A stream with more unsent bytes is closed, so that a peer that does not read cannot
 # exhaust this process's memory.
@@ -76,7 +76,7 @@
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Set the socket options that detect a dead peer."""
         self._transport = transport
-        set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, UNACKNOWLEDGED_MS)
+        set_dead_peer_options(transport, KEEP_ALIVE_IDLE_SECONDS, MAX_UNACKNOWLEDGED_MS)
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report the loss with its reason."""
--- a/tests/test_load_balancing.py
+++ b/tests/test_load_balancing.py
@@ -5,7 +5,7 @@
 from primroseglade.sidecar.load_balancing import (
     Candidate,
     choose,
-    compute_cross_zone_cost_ms,
+    compute_cross_zone_surcharge_ms,
     compute_failure_cost_ms,
 )
 from primroseglade.sidecar.model import Route, RouteKind, WeightedService
@@ -22,7 +22,9 @@
 ) -> float:
     """Return the share of 1000 calls that goes to the other availability zone."""
     rng = random.Random(1)
-    cross_zone_surcharge_ms = compute_cross_zone_cost_ms(latency_tolerance, size_bytes)
+    cross_zone_surcharge_ms = compute_cross_zone_surcharge_ms(
+        latency_tolerance, size_bytes
+    )
     cross_zone_calls = 0
     for _ in range(1000):
         same_zone = Candidate(
@@ -141,7 +143,7 @@
         cross_zone = [
             Candidate(f"far-{n}", False, SLOTS, 2.0, 20.0, 0.0) for n in range(3)
         ]
-        cross_zone_surcharge_ms = compute_cross_zone_cost_ms(0.3, 500)
+        cross_zone_surcharge_ms = compute_cross_zone_surcharge_ms(0.3, 500)
         choice = choose(
             [same_zone, failing],
             lambda cross_zone=cross_zone: cross_zone,
@@ -164,7 +166,7 @@
     rng = random.Random(3)
     same_zone = Candidate("near", True, SLOTS, 5.0, 22.0, 0.3)
     cross_zone = Candidate("far", False, SLOTS, 5.0, 22.0, 0.0)
-    cross_zone_surcharge_ms = compute_cross_zone_cost_ms(0.3, 900)
+    cross_zone_surcharge_ms = compute_cross_zone_surcharge_ms(0.3, 900)
     failure_cost_ms = compute_failure_cost_ms(0.3)
     chosen = [
         choose(
