--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -47,8 +47,8 @@
         service_ms: Average service time of a call in milliseconds; 0 before the first
             answer, so that a new backend server gets calls.
         failure_ratio: Fraction of recent calls that failed.
-        downstream_cost_ms: Cost in milliseconds of the downstream calls that the call makes
-            if it runs there (`zone_costs.py`).
+        downstream_cost_ms: Cost in milliseconds of the downstream calls that the call
+            makes if it runs there (`zone_costs.py`).
     """
 
     __slots__ = (
@@ -159,8 +159,8 @@
         list_cross_zone_candidates: Returns the candidates in other zones. It is called
             only if a candidate there could be better.
         cross_zone_surcharge_ms: Result of `compute_cross_zone_surcharge_ms`.
-        min_downstream_cost_ms: Lowest cost of the downstream calls over all zones, this one
-            included; a lower bound for candidates in other zones.
+        min_downstream_cost_ms: Lowest cost of the downstream calls over all zones, this
+            one included; a lower bound for candidates in other zones.
         failure_cost_ms: Result of `compute_failure_cost_ms`.
         rng: Draws the jitter and the calls sent to a random backend server.
     """
