--- a/bench/members.py
+++ b/bench/members.py
@@ -69,7 +69,7 @@
         edits = await measure_usage(
             nodes, operator_addresses, publish_edits(processes, operator_addresses)
         )
-        memory_mb = sum(node.memory_mb for node in nodes) / size
+        memory_mib = sum(node.memory_mib for node in nodes) / size
         return {
             "at rest, cpu % of a core": idle["cpu"] * 100,
             "at rest, bytes/s out and in": idle["bytes"],
@@ -81,7 +81,7 @@
             "an edit, bytes a node": (edits["bytes"] - idle["bytes"])
             * edits["seconds"]
             / EDIT_COUNT,
-            "memory MB": memory_mb,
+            "memory MB": memory_mib,
         }
 
 
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -40,8 +40,8 @@
         self.processes = processes
         self.latencies_us = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.cpu_seconds = 0.0
-        self.seconds = 0.0
-        self.calls = 0
+        self.elapsed_seconds = 0.0
+        self.call_count = 0
 
     async def run_round(self, in_flight: int) -> None:
         """Send one round of calls over ``in_flight`` connections."""
@@ -51,9 +51,9 @@
         await asyncio.gather(
             *(self._send(calls_per_connection) for _ in range(in_flight))
         )
-        self.seconds += time.perf_counter() - started
+        self.elapsed_seconds += time.perf_counter() - started
         self.cpu_seconds += sum(p.cpu_seconds for p in self.processes) - cpu_before
-        self.calls += calls_per_connection * in_flight
+        self.call_count += calls_per_connection * in_flight
 
     async def _send(self, count: int) -> None:
         host, port = self.address.split(":")
@@ -84,10 +84,10 @@
                     direct.latencies_us.get_value_at_percentile(percentile) / 1000
                 )
                 figures[f"added_{name}"] = round(figures[name] - direct_ms, 3)
-        figures["calls_per_s"] = round(self.calls / self.seconds)
+        figures["calls_per_s"] = round(self.call_count / self.elapsed_seconds)
         if self.processes and self.cpu_seconds:
-            figures["cpu_us_a_call"] = round(self.cpu_seconds / self.calls * 1e6)
-            figures["calls_per_core_s"] = round(self.calls / self.cpu_seconds)
+            figures["cpu_us_a_call"] = round(self.cpu_seconds / self.call_count * 1e6)
+            figures["calls_per_core_s"] = round(self.call_count / self.cpu_seconds)
         return figures
 
 
@@ -164,5 +164,5 @@
                 name: call_path.report(None if call_path is direct else direct)
                 for name, call_path in call_paths.items()
             }
-        figures["node memory MB"] = round(first_node.memory_mb, 1)
+        figures["node memory MB"] = round(first_node.memory_mib, 1)
     return figures
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -50,7 +50,9 @@
         "two": 0.3 * capacity * load_factor,
         "three": 0.3 * capacity * load_factor,
     }
-    trial = Trial(build_chain(demand, important=("important",)), options.seed, disabled)
+    trial = Trial(
+        build_chain(demand, important_workspaces=("important",)), options.seed, disabled
+    )
     seconds = options.seconds or 12.0
     await trial.run(seconds)
     first_sent_at = min(o.sent_at for o in trial.outcomes)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -34,7 +34,7 @@
         return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_SECOND
 
     @property
-    def memory_mb(self) -> float:
+    def memory_mib(self) -> float:
         """Resident memory in MiB."""
         status = pathlib.Path(f"/proc/{self._process.pid}/status").read_text()
         line = next(item for item in status.splitlines() if item.startswith("VmRSS"))
--- a/bench/tables.py
+++ b/bench/tables.py
@@ -41,7 +41,7 @@
     names = [member.instance for member in members]
 
     def rank_uncached() -> None:
-        partitions._ranking._ranked.clear()
+        partitions._ranking._cached_rankings.clear()
         partitions.rank("zone-1", 3)
 
     def route_uncached() -> None:
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -62,7 +62,7 @@
         entry_service: Service that root calls go to.
         capacity: Root calls per second that the chain can serve.
         demand: Root calls per second by workspace.
-        important: Workspaces that call the critical route.
+        important_workspaces: Workspaces that call the critical route.
         max_attempts: Maximum attempts of a caller per call.
     """
 
@@ -72,14 +72,14 @@
         entry_service: str,
         capacity: float,
         demand: dict[str, float],
-        important: tuple[str, ...] = (),
+        important_workspaces: tuple[str, ...] = (),
         max_attempts: int = 3,
     ):
         self.services = services
         self.entry_service = entry_service
         self.capacity = capacity
         self.demand = demand
-        self.important = important
+        self.important_workspaces = important_workspaces
         self.max_attempts = max_attempts
 
 
@@ -124,7 +124,7 @@
         self.executions: list[Any] = []
         self.fleet: EmbeddedFleet | None = None
 
-    async def run(self, seconds: float, disturbance: Any = None) -> None:
+    async def run(self, seconds: float, disturb: Any = None) -> None:
         """Start the fleet, send calls for some seconds and record their outcomes."""
         settings = {name: dict(value) for name, value in SETTINGS.items()}
         with mechanisms_disabled(self._disabled, settings):
@@ -132,8 +132,8 @@
                 self.fleet = fleet
                 await self._start(fleet)
                 tasks = [self._send_all(fleet, seconds)]
-                if disturbance is not None:
-                    tasks.append(disturbance(fleet))
+                if disturb is not None:
+                    tasks.append(disturb(fleet))
                 await asyncio.gather(*tasks)
                 self.executions = [
                     item
@@ -206,7 +206,9 @@
 
     async def _call(self, client: Client, outcome: CallOutcome) -> None:
         workload = self._workload
-        path = "/important" if outcome.workspace in workload.important else "/x"
+        path = (
+            "/important" if outcome.workspace in workload.important_workspaces else "/x"
+        )
         headers = {"X-Echo": outcome.id, "X-Operation": outcome.id}
         try:
             reply = await client.call(workload.entry_service, path, headers=headers)
@@ -246,18 +248,22 @@
             {name: offered_by_workspace[name] / seconds for name in workload.demand},
             workload.capacity,
         )
-        others = [name for name in workload.demand if name not in workload.important]
+        others = [
+            name
+            for name in workload.demand
+            if name not in workload.important_workspaces
+        ]
         worst_ratio = min(
             served_by_workspace[name] / seconds / max(fair_shares[name], 1e-9)
             for name in others
         )
         figures = {"worst workspace / fair share": worst_ratio}
-        if workload.important:
+        if workload.important_workspaces:
             important_offered = sum(
-                offered_by_workspace[name] for name in workload.important
+                offered_by_workspace[name] for name in workload.important_workspaces
             )
             important_served = sum(
-                served_by_workspace[name] for name in workload.important
+                served_by_workspace[name] for name in workload.important_workspaces
             )
             figures["important served"] = important_served / max(1, important_offered)
         return figures
--- a/bench/withdraw.py
+++ b/bench/withdraw.py
@@ -38,16 +38,16 @@
     seconds = []
     for key in keys:
         last_use: dict[str, float] = {}
-        caller_address = [
+        use_tasks = [
             asyncio.create_task(use_key(instance.caller_address, key, last_use))
             for instance in fleet.instances
         ]
         await asyncio.sleep(0.5)
         await fleet.publish(recalls={key: {"keys": [key]}})
-        accepted = time.monotonic()
+        accepted_at = time.monotonic()
         async with asyncio.timeout(30):
-            await asyncio.gather(*caller_address)
-        seconds.append(max(0.0, last_use.get(key, accepted) - accepted))
+            await asyncio.gather(*use_tasks)
+        seconds.append(max(0.0, last_use.get(key, accepted_at) - accepted_at))
     return seconds
 
 
--- a/primroseglade/demo/callers.py
+++ b/primroseglade/demo/callers.py
@@ -22,7 +22,8 @@
     Args:
         fleet: Fleet to call.
         deployment: Services and workspaces.
-        rate: Calls per second of all workspaces, without the excess of the greedy one.
+        rate_per_second: Calls of all workspaces per second, if the greedy one sent only
+            its share.
         greedy_workspace: Workspace that sends several times its share, or empty.
         seed: Seed of all random choices.
     """
@@ -31,13 +32,13 @@
         self,
         fleet: EmbeddedFleet,
         deployment: Deployment,
-        rate: float,
+        rate_per_second: float,
         greedy_workspace: str,
         seed: int,
     ):
         self._fleet = fleet
         self._deployment = deployment
-        self._rate = rate
+        self._rate_per_second = rate_per_second
         self._greedy_workspace = greedy_workspace
         self._random = random.Random(seed)
         self._clients: dict[tuple[str, int], Client] = {}
@@ -55,7 +56,9 @@
         ]
         next_call_at = clock()
         while next_call_at < until:
-            next_call_at += self._random.expovariate(self._rate * sum(weights))
+            next_call_at += self._random.expovariate(
+                self._rate_per_second * sum(weights)
+            )
             await asyncio.sleep(max(0.0, next_call_at - clock()))
             workspace = self._random.choices(names, weights)[0]
             self._start(workspace)
@@ -69,16 +72,18 @@
         weights = [size.call_ratio for size in services.values()]
         service = self._random.choices(list(services), weights)[0]
         method = "POST" if self._random.random() < POST_RATIO else "GET"
-        key = self._random.choice((1, 2))
+        key_number = self._random.choice((1, 2))
         self._call_count += 1
-        record = CallRecord(f"c{self._call_count}", workspace, key, service, method)
+        record = CallRecord(
+            f"c{self._call_count}", workspace, key_number, service, method
+        )
         self.records.append(record)
         task = asyncio.create_task(self._call(record))
         self._in_flight.add(task)
         task.add_done_callback(self._in_flight.discard)
 
     async def _call(self, record: CallRecord) -> None:
-        client = self._get_client(record.workspace, record.key)
+        client = self._get_client(record.workspace, record.key_number)
         headers = {"X-Echo": record.id, "X-Operation": record.id}
         try:
             reply = await client.call(
@@ -94,12 +99,12 @@
             return
         record.record_response(reply.status, _is_complete_response(reply.body, record))
 
-    def _get_client(self, workspace: str, key: int) -> Client:
-        client = self._clients.get((workspace, key))
+    def _get_client(self, workspace: str, key_number: int) -> Client:
+        client = self._clients.get((workspace, key_number))
         if client is None:
             nodes = [instance.caller_address for instance in self._fleet.instances]
-            client = Client(nodes, get_key(workspace, key), TIMEOUT_SECONDS)
-            self._clients[workspace, key] = client
+            client = Client(nodes, get_key(workspace, key_number), TIMEOUT_SECONDS)
+            self._clients[workspace, key_number] = client
         return client
 
 
--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -119,7 +119,7 @@
     for call in evidence.calls:
         # Calls over the rate limit are refused for that, not shed.
         if start <= call.sent_at < end and call.outcome != "rate-exceeded":
-            served[call.service].append(call.served)
+            served[call.service].append(call.fully_served)
     served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
     critical = evidence.deployment.critical_service
     deep = evidence.deployment.deep_service
@@ -159,11 +159,11 @@
 def _check_withdrawal(evidence: Evidence) -> tuple[int, int]:
     if evidence.withdrawn is None:
         return 0, 0
-    workspace, key, at = evidence.withdrawn
+    workspace, key_number, at = evidence.withdrawn
     ids = {
         call.id
         for call in evidence.calls
-        if call.workspace == workspace and call.key == key
+        if call.workspace == workspace and call.key_number == key_number
     }
     late = [
         item
@@ -224,7 +224,7 @@
 def _check_at_most_once(evidence: Evidence) -> tuple[int, int]:
     posts = {call.id for call in evidence.calls if call.method == "POST"}
     starts = collections.Counter(
-        item.operation for item in evidence.all_seen if item.operation in posts
+        item.operation_id for item in evidence.all_seen if item.operation_id in posts
     )
     return len(starts), sum(count > 1 for count in starts.values())
 
@@ -256,14 +256,14 @@
 def _check_no_revert(evidence: Evidence) -> tuple[int, int]:
     if evidence.withdrawn is None:
         return 0, 0
-    workspace, key, at = evidence.withdrawn
+    workspace, key_number, at = evidence.withdrawn
     # An instance that has refused the withdrawn key must not serve it again. Callers
     # do not see which instance that was: after the deadline none may serve the key.
     later = [
         call
         for call in evidence.calls
         if call.workspace == workspace
-        and call.key == key
+        and call.key_number == key_number
         and call.sent_at > at + WITHDRAWAL_DEADLINE_SECONDS
     ]
     return len(later), sum(call.outcome == "served" for call in later)
--- a/primroseglade/demo/deployments.py
+++ b/primroseglade/demo/deployments.py
@@ -127,7 +127,7 @@
     return f"demo-key-of-{workspace}-number-{number}"
 
 
-SPLIT = Deployment(
+SPLIT_DEPLOYMENT = Deployment(
     "split",
     ("split-a", "split-b", "split-c", "split-d"),
     {
@@ -148,7 +148,7 @@
     },
 )
 
-LAGOS = Deployment(
+LAGOS_DEPLOYMENT = Deployment(
     "lagos",
     ("lagos-a", "lagos-b", "lagos-c"),
     {
@@ -169,4 +169,6 @@
     },
 )
 
-DEPLOYMENTS = {deployment.name: deployment for deployment in (SPLIT, LAGOS)}
+DEPLOYMENTS = {
+    deployment.name: deployment for deployment in (SPLIT_DEPLOYMENT, LAGOS_DEPLOYMENT)
+}
--- a/primroseglade/demo/records.py
+++ b/primroseglade/demo/records.py
@@ -11,7 +11,7 @@
     Args:
         id: Unique id, which is sent as a header and echoed by the backend server.
         workspace: Workspace whose key the call carried.
-        key: Number of that key.
+        key_number: Number of that key in its workspace.
         service: Service that was called.
         method: HTTP method.
 
@@ -27,7 +27,7 @@
         "ended_at",
         "id",
         "is_complete",
-        "key",
+        "key_number",
         "method",
         "outcome",
         "sent_at",
@@ -36,10 +36,12 @@
         "workspace",
     )
 
-    def __init__(self, id: str, workspace: str, key: int, service: str, method: str):
+    def __init__(
+        self, id: str, workspace: str, key_number: int, service: str, method: str
+    ):
         self.id = id
         self.workspace = workspace
-        self.key = key
+        self.key_number = key_number
         self.service = service
         self.method = method
         self.sent_at = time.monotonic()
@@ -49,7 +51,7 @@
         self.is_complete = False
 
     @property
-    def served(self) -> bool:
+    def fully_served(self) -> bool:
         """Whether the caller got the complete response to its own call."""
         return self.outcome == "served" and self.is_complete
 
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -36,7 +36,7 @@
             call for call in evidence.calls if not _used_withdrawn_key(call, evidence)
         ]
         seconds = max(c.ended_at for c in calls) - min(c.sent_at for c in calls)
-        served = sum(call.served for call in calls)
+        served = sum(call.fully_served for call in calls)
         self.findings = findings
         self.offered = len(calls)
         self.goodput = served / seconds
@@ -98,14 +98,18 @@
 def _used_withdrawn_key(call: CallRecord, evidence: Evidence) -> bool:
     if evidence.withdrawn is None:
         return False
-    workspace, key, at = evidence.withdrawn
-    return call.workspace == workspace and call.key == key and call.sent_at > at
+    workspace, key_number, at = evidence.withdrawn
+    return (
+        call.workspace == workspace
+        and call.key_number == key_number
+        and call.sent_at > at
+    )
 
 
 def _find_worst_served(calls: list[CallRecord]) -> tuple[str, float]:
     served: dict[str, list[bool]] = collections.defaultdict(list)
     for call in calls:
-        served[call.workspace].append(call.served)
+        served[call.workspace].append(call.fully_served)
     served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
     worst = min(served_ratios, key=lambda name: served_ratios[name])
     return worst, served_ratios[worst]
@@ -125,7 +129,7 @@
     start, end = overload
     # Refusals of calls over the rate limit are not an effect of the overload.
     counted = [call for call in calls if call.outcome != "rate-exceeded"]
-    before = [call.served for call in counted if call.sent_at < start]
+    before = [call.fully_served for call in counted if call.sent_at < start]
     if not before:
         return None
     target_ratio = RECOVERED_RATIO * sum(before) / len(before)
@@ -134,7 +138,9 @@
         window_start = end + step * STEP_SECONDS
         window_end = window_start + WINDOW_STEPS * STEP_SECONDS
         in_window = [
-            call.served for call in counted if window_start <= call.sent_at < window_end
+            call.fully_served
+            for call in counted
+            if window_start <= call.sent_at < window_end
         ]
         if not in_window:
             return None
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -11,9 +11,9 @@
 from .deployments import Deployment, MIN_SLOTS, SLOTS_DIVISOR
 from .report import Report
 
-CALLS_PER_SECOND = 60.0
-TOTAL_RATE_PER_SECOND = 120.0
-WORK_SECONDS = 0.03
+OFFERED_CALLS_PER_SECOND = 60.0
+TOTAL_RATE_LIMIT_PER_SECOND = 120.0
+PROCESSING_SECONDS = 0.03
 SLOWDOWN_FACTOR = 40.0
 FLEET_SETTINGS = {
     "fleet": {"period": 0.5, "suspicion": 1.5, "lease": 1.5, "grant": 0.5},
@@ -48,7 +48,7 @@
         report_progress: ProgressCallback,
     ):
         self._deployment = deployment
-        self._seconds = seconds
+        self._duration_seconds = seconds
         self._seed = seed
         self._report_progress = report_progress
         # The last workspace sends several times its share, the first loses a key.
@@ -63,13 +63,13 @@
             callers = Callers(
                 fleet,
                 self._deployment,
-                CALLS_PER_SECOND,
+                OFFERED_CALLS_PER_SECOND,
                 self._greedy_workspace,
                 self._seed,
             )
             evidence = self._build_evidence(fleet, callers)
             loop = asyncio.get_running_loop()
-            until = loop.time() + self._seconds
+            until = loop.time() + self._duration_seconds
             async with asyncio.TaskGroup() as group:
                 group.create_task(callers.run(until))
                 group.create_task(self._withdraw_key(fleet, evidence))
@@ -86,7 +86,7 @@
 
     async def _start(self, fleet: EmbeddedFleet) -> None:
         document = self._deployment.build_document(
-            TOTAL_RATE_PER_SECOND, TOTAL_RATE_PER_SECOND
+            TOTAL_RATE_LIMIT_PER_SECOND, TOTAL_RATE_LIMIT_PER_SECOND
         )
         await fleet.publish(**document)
         zones = self._deployment.zones
@@ -95,7 +95,7 @@
         for service, size in self._deployment.services.items():
             for _ in range(size.server_count):
                 behavior = BackendBehavior(
-                    work=WORK_SECONDS,
+                    work=PROCESSING_SECONDS,
                     slots=max(MIN_SLOTS, size.slots // SLOTS_DIVISOR),
                     nested=size.nested,
                 )
@@ -115,14 +115,14 @@
         )
 
     async def _withdraw_key(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
-        await asyncio.sleep(self._seconds * WITHDRAW_AT_RATIO)
+        await asyncio.sleep(self._duration_seconds * WITHDRAW_AT_RATIO)
         key = f"{self._withdrawn_key_workspace}-1"
         self._report_progress(f"a recall withdraws key {key}")
         await fleet.publish(recalls={"lost-tablet": {"keys": [key]}})
         evidence.withdrawn = (self._withdrawn_key_workspace, 1, time.monotonic())
 
     async def _drain_and_stop(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
-        await asyncio.sleep(self._seconds * DRAIN_AT_RATIO)
+        await asyncio.sleep(self._duration_seconds * DRAIN_AT_RATIO)
         instance = self._find_instances(fleet, self._deployment.deep_service)[0]
         assert instance.backend is not None
         self._report_progress(f"{instance.node.settings.instance} drains and stops")
@@ -133,41 +133,43 @@
         self._report_progress("it has stopped")
 
     async def _slow_down(self, fleet: EmbeddedFleet, evidence: Evidence) -> None:
-        await asyncio.sleep(self._seconds * SLOW_START_RATIO)
+        await asyncio.sleep(self._duration_seconds * SLOW_START_RATIO)
         deep = self._deployment.deep_service
         self._report_progress(f"{deep} becomes {SLOWDOWN_FACTOR:g} times slower")
         instances = self._find_instances(fleet, deep)
         started = time.monotonic()
         for instance in instances:
             assert instance.backend is not None
-            instance.backend.behavior.work = WORK_SECONDS * SLOWDOWN_FACTOR
-        await asyncio.sleep(self._seconds * (SLOW_END_RATIO - SLOW_START_RATIO))
+            instance.backend.behavior.work = PROCESSING_SECONDS * SLOWDOWN_FACTOR
+        await asyncio.sleep(
+            self._duration_seconds * (SLOW_END_RATIO - SLOW_START_RATIO)
+        )
         for instance in instances:
             assert instance.backend is not None
-            instance.backend.behavior.work = WORK_SECONDS
+            instance.backend.behavior.work = PROCESSING_SECONDS
         evidence.overload = (started, time.monotonic())
         self._report_progress(f"{deep} is as fast as before")
 
     async def _cut_zone(self, fleet: EmbeddedFleet) -> None:
-        await asyncio.sleep(self._seconds * CUT_START_RATIO)
+        await asyncio.sleep(self._duration_seconds * CUT_START_RATIO)
         zone = self._deployment.zones[-1]
         self._report_progress(
             f"{zone} is cut off from the platform and all other zones"
         )
         fleet.cut_zone(zone, from_platform=True, from_zones=True)
-        await asyncio.sleep(self._seconds * (CUT_END_RATIO - CUT_START_RATIO))
+        await asyncio.sleep(self._duration_seconds * (CUT_END_RATIO - CUT_START_RATIO))
         fleet.heal()
         self._report_progress(f"{zone} is back")
 
     async def _show_progress(self, callers: Callers) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._seconds
+        until = loop.time() + self._duration_seconds
         shown = 0
         while loop.time() < until:
             await asyncio.sleep(1.0)
             recent = [call for call in callers.records[shown:] if call.ended_at]
             shown = len(callers.records)
-            served = sum(call.served for call in recent)
+            served = sum(call.fully_served for call in recent)
             self._report_progress(
                 f"{len(callers.records):6d} calls, last second {served} served"
             )
--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -69,19 +69,23 @@
         Args:
             timeout: Seconds after which a member without an answer counts as silent.
         """
-        own = self._members.own.instance
-        others = {
+        own_name = self._members.own.instance
+        names_by_address = {
             member.control: member.instance
             for member in self._members
-            if member.instance != own and member.state.name != "LEFT"
+            if member.instance != own_name and member.state.name != "LEFT"
         }
         # Dead members are included: an instance behind a network partition is dead in
         # this table, but may still serve calls. It is reported as silent.
-        reply = await self._collect_groups(sorted(others), timeout)
+        reply = await self._collect_groups(sorted(names_by_address), timeout)
         offsets = {item.instance: item.next_offset for item in reply.confirmations}
-        offsets[own] = self._configuration.next_offset
-        silent = {others[control] for control in reply.silent if control in others}
-        return ConfirmationStatus(offsets, sorted(silent))
+        offsets[own_name] = self._configuration.next_offset
+        silent_names = {
+            names_by_address[control]
+            for control in reply.silent
+            if control in names_by_address
+        }
+        return ConfirmationStatus(offsets, sorted(silent_names))
 
     async def _answer(self, request: pb.ConfirmRequest, _: str) -> pb.ConfirmReply:
         timeout = request.timeout_ms / 1000 * CHILD_TIMEOUT_RATIO
@@ -93,9 +97,9 @@
         return reply
 
     async def _collect_groups(
-        self, controls: list[str], timeout: float
+        self, addresses: list[str], timeout: float
     ) -> pb.ConfirmReply:
-        groups = [controls[start::FANOUT] for start in range(FANOUT)]
+        groups = [addresses[start::FANOUT] for start in range(FANOUT)]
         requests = [self._collect_group(group, timeout) for group in groups if group]
         merged = pb.ConfirmReply()
         for reply in await asyncio.gather(*requests):
@@ -106,22 +110,22 @@
         """Request the group's confirmations from its first node that answers."""
         clock = asyncio.get_running_loop().time
         deadline = clock() + timeout
-        silent: list[str] = []
+        silent_addresses: list[str] = []
         while group and clock() < deadline:
             first, *rest = group
             # Half of the remaining time, so that some is left for the next node.
-            timeout_of_first = (deadline - clock()) / (2 if rest else 1)
+            first_timeout = (deadline - clock()) / (2 if rest else 1)
             request = pb.ConfirmRequest(
-                controls=rest, timeout_ms=int(timeout_of_first * 1000)
+                controls=rest, timeout_ms=int(first_timeout * 1000)
             )
             try:
                 reply = await self._client.call(
-                    first, "Confirm", request, timeout_of_first
+                    first, "Confirm", request, first_timeout
                 )
             except PeerError:
-                silent.append(first)
+                silent_addresses.append(first)
                 group = rest
                 continue
-            reply.silent.extend(silent)
+            reply.silent.extend(silent_addresses)
             return reply
-        return pb.ConfirmReply(silent=silent + group)
+        return pb.ConfirmReply(silent=silent_addresses + group)
--- a/primroseglade/fleet/hashing.py
+++ b/primroseglade/fleet/hashing.py
@@ -27,7 +27,7 @@
 
     def __init__(self, members: Members):
         self._members = members
-        self._ranked: dict[tuple[str, str], tuple[int, list[str]]] = {}
+        self._cached_rankings: dict[tuple[str, str], tuple[int, list[str]]] = {}
 
     def get(self, zone: str, key: str, limit: int) -> list[str]:
         """Return the ``limit`` reachable instances of a zone that rank first for a key.
@@ -38,14 +38,14 @@
             limit: Maximum number of instances.
         """
         version = self._members.get_zone_version(zone)
-        cached = self._ranked.get((zone, key))
+        cached = self._cached_rankings.get((zone, key))
         if cached is not None and cached[0] == version:
             return cached[1]
         names = [member.instance for member in self._members.get_reachable(zone)]
         ranked = rank(f"{key}/{zone}", names, limit)
-        if len(self._ranked) >= MAX_CACHED_RANKINGS:
-            self._ranked.clear()
-        self._ranked[zone, key] = (version, ranked)
+        if len(self._cached_rankings) >= MAX_CACHED_RANKINGS:
+            self._cached_rankings.clear()
+        self._cached_rankings[zone, key] = (version, ranked)
         return ranked
 
 
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -28,7 +28,7 @@
 LONG_POLL_SECONDS = 5.0
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 2.0
-NON_READER_RETRY_SECONDS = (15.0, 45.0)
+NON_READER_RETRY_RANGE_SECONDS = (15.0, 45.0)
 # Another node also reads the log if its configuration has not been confirmed for this
 # long: all readers of its zone may have failed.
 FALLBACK_READ_AGE_SECONDS = 6.0
@@ -88,7 +88,7 @@
         """
         if self.is_reader() or not self._configuration.ready:
             return random.uniform(delay / 2, delay)
-        return random.uniform(*NON_READER_RETRY_SECONDS)
+        return random.uniform(*NON_READER_RETRY_RANGE_SECONDS)
 
     def is_reader(self) -> bool:
         """Whether this node is a reader of its zone, according to its member table."""
@@ -170,25 +170,25 @@
     def _find_snapshot(
         self, records: list[LogRecord], first: int
     ) -> list[SnapshotPart] | None:
-        groups: dict[str, list[Any]] = {}
+        values_by_snapshot_id: dict[str, list[Any]] = {}
         for record in records:
             if is_snapshot(record.value):
                 body = record.value["snapshot"]
-                identity = body.get("id", "") if isinstance(body, dict) else ""
-                groups.setdefault(identity, []).append(record.value)
-        best: list[SnapshotPart] | None = None
-        for values in groups.values():
+                snapshot_id = body.get("id", "") if isinstance(body, dict) else ""
+                values_by_snapshot_id.setdefault(snapshot_id, []).append(record.value)
+        newest: list[SnapshotPart] | None = None
+        for values in values_by_snapshot_id.values():
             try:
                 parts = self._configuration.parse_snapshot(values)
             except InputError as error:
                 self._journal.emit(SNAPSHOT_REFUSED, reason=str(error))
                 continue
-            reaches_log = parts[0].next_offset >= first
-            if reaches_log and (
-                best is None or parts[0].next_offset > best[0].next_offset
+            has_no_gap = parts[0].next_offset >= first
+            if has_no_gap and (
+                newest is None or parts[0].next_offset > newest[0].next_offset
             ):
-                best = parts
-        return best
+                newest = parts
+        return newest
 
     def _record_unavailable(self, error: Exception) -> None:
         if not self._log_unavailable:
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -141,11 +141,13 @@
         self._remaining_sends: dict[str, int] = {own.instance: 1}
         self._watchers: list[OnMemberChange] = []
         self._version = 0
-        self._by_control: dict[str, str] = {own.control: own.instance}
-        self._zones: dict[str, dict[str, Member]] = {own.zone: {own.instance: own}}
+        self._instance_by_control: dict[str, str] = {own.control: own.instance}
+        self._reachable_by_zone: dict[str, dict[str, Member]] = {
+            own.zone: {own.instance: own}
+        }
         self._zone_versions: dict[str, int] = {own.zone: 1}
         self._not_alive: set[str] = set()
-        self._buckets = [0] * BUCKET_COUNT
+        self._bucket_hashes = [0] * BUCKET_COUNT
         self._toggle_in_bucket_hash(own)
 
     @property
@@ -175,7 +177,11 @@
     @property
     def zones(self) -> list[str]:
         """Availability zones with at least one reachable member."""
-        return [zone for zone, zone_members in self._zones.items() if zone_members]
+        return [
+            zone
+            for zone, zone_members in self._reachable_by_zone.items()
+            if zone_members
+        ]
 
     def get_zone_version(self, zone: str) -> int:
         """Return the version of a zone's set of reachable members; for caches.
@@ -188,10 +194,10 @@
     def get_reachable(self, zone: str = "") -> list[Member]:
         """Return the reachable members of a zone, or of all zones by default."""
         if zone:
-            return list(self._zones.get(zone, {}).values())
+            return list(self._reachable_by_zone.get(zone, {}).values())
         return [
             member
-            for zone_members in self._zones.values()
+            for zone_members in self._reachable_by_zone.values()
             for member in zone_members.values()
         ]
 
@@ -201,7 +207,7 @@
         Dead members count in the total while they are in the table, so that a
         partitioned part of a zone does not consider itself the whole zone.
         """
-        reachable = len(self._zones.get(zone, {}))
+        reachable = len(self._reachable_by_zone.get(zone, {}))
         not_alive = (self._table[instance] for instance in self._not_alive)
         dead = sum(m.zone == zone and m.state is State.DEAD for m in not_alive)
         return reachable, reachable + dead
@@ -293,7 +299,7 @@
 
     def get_bucket_hashes(self) -> list[int]:
         """Return a hash of each bucket of members; equal tables have equal hashes."""
-        return list(self._buckets)
+        return list(self._bucket_hashes)
 
     def find_differing_members(self, buckets: Iterable[int]) -> list[Member]:
         """Return the members in the buckets whose hash differs from the peer's.
@@ -327,8 +333,8 @@
         """Declare the previous user of the update's control address dead."""
         if update.state is not State.ALIVE:
             return
-        predecessor = self._table.get(self._by_control.get(update.control, ""))
-        self._by_control[update.control] = update.instance
+        predecessor = self._table.get(self._instance_by_control.get(update.control, ""))
+        self._instance_by_control[update.control] = update.instance
         if predecessor is None or predecessor.instance in (
             update.instance,
             self._own.instance,
@@ -366,7 +372,7 @@
         if previous is not None and previous.zone != member.zone:
             self._remove_from_zone(previous)
         if member.reachable:
-            zone_members = self._zones.setdefault(member.zone, {})
+            zone_members = self._reachable_by_zone.setdefault(member.zone, {})
             if member.instance not in zone_members:
                 self._increment_zone_version(member.zone)
             zone_members[member.instance] = member
@@ -374,7 +380,7 @@
             self._remove_from_zone(member)
 
     def _remove_from_zone(self, member: Member) -> None:
-        zone_members = self._zones.get(member.zone, {})
+        zone_members = self._reachable_by_zone.get(member.zone, {})
         if zone_members.pop(member.instance, None) is not None:
             self._increment_zone_version(member.zone)
 
@@ -387,15 +393,15 @@
     def _toggle_in_bucket_hash(self, member: Member) -> None:
         """Add an entry to its bucket's hash, or remove it if it was added before."""
         text = f"{member.instance}|{member.precedence}"
-        self._buckets[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
+        self._bucket_hashes[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
 
     def _remove(self, instance: str) -> None:
         member = self._table.pop(instance)
         self._not_alive.discard(instance)
         self._remove_from_zone(member)
         self._toggle_in_bucket_hash(member)
-        if self._by_control.get(member.control) == instance:
-            del self._by_control[member.control]
+        if self._instance_by_control.get(member.control) == instance:
+            del self._instance_by_control[member.control]
         del self._state_since[instance]
         self._remaining_sends.pop(instance, None)
         self._version += 1
--- a/primroseglade/fleet/puller.py
+++ b/primroseglade/fleet/puller.py
@@ -74,8 +74,8 @@
             PeerError: The node does not answer.
             InputError: The node answered with an invalid snapshot.
         """
-        before = self._configuration.next_offset
-        request = pb.RecordsRequest(from_offset=before)
+        offset_before = self._configuration.next_offset
+        request = pb.RecordsRequest(from_offset=offset_before)
         reply = await self._client.call(
             control, "Records", request, PULL_TIMEOUT_SECONDS
         )
@@ -87,7 +87,7 @@
             LogRecord(item.offset, json.loads(item.value)) for item in reply.records
         ]
         self._configuration.apply(records)
-        if self._configuration.next_offset > before:
+        if self._configuration.next_offset > offset_before:
             self._on_records()
 
     async def _answer(self, request: pb.RecordsRequest, _: str) -> pb.RecordsReply:
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -19,7 +19,7 @@
 )
 from .members import Member
 
-FORMAT = 1
+ENTRY_FORMAT_VERSION = 1
 # Only the last entries are read: a few nodes that answer provide the whole table.
 MAX_RECORDS_READ = 200
 INITIAL_RETRY_SECONDS = 0.2
@@ -44,8 +44,8 @@
         self, log: LogClient, renewal_seconds: float, discovery_seconds: float
     ):
         self._log = log
-        self._renewal_seconds = renewal_seconds
-        self._discovery_seconds = discovery_seconds
+        self._renewal_interval_seconds = renewal_seconds
+        self._max_discovery_interval_seconds = discovery_seconds
 
     async def find_contacts(self) -> list[str]:
         """Return the control addresses of nodes with recent entries, newest first.
@@ -76,7 +76,9 @@
         """Write a join entry now, and again at each renewal interval."""
         while True:
             await self._append_with_retries(_build_entry(own, "join"))
-            await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
+            await asyncio.sleep(
+                self._renewal_interval_seconds * random.uniform(0.8, 1.2)
+            )
 
     async def run_discovery(self, join_peers: JoinPeers) -> None:
         """Contact random nodes of the stream, at intervals that double up to a maximum.
@@ -87,7 +89,7 @@
         pause = INITIAL_DISCOVERY_SECONDS
         while True:
             await asyncio.sleep(random.uniform(0.5, 1.5) * pause)
-            pause = min(self._discovery_seconds, pause * 2)
+            pause = min(self._max_discovery_interval_seconds, pause * 2)
             try:
                 contacts = await self.find_contacts()
             except LogUnavailableError:
@@ -115,7 +117,7 @@
 
 def _build_entry(own: Member, kind: str) -> dict[str, Any]:
     return {
-        "format": FORMAT,
+        "format": ENTRY_FORMAT_VERSION,
         "kind": kind,
         "instance": own.instance,
         "zone": own.zone,
@@ -125,7 +127,7 @@
 
 def _read_entry(value: Any) -> tuple[str, str, bool] | None:
     """Return instance, control address and whether it left; None if invalid."""
-    if not isinstance(value, dict) or value.get("format") != FORMAT:
+    if not isinstance(value, dict) or value.get("format") != ENTRY_FORMAT_VERSION:
         return None
     instance, control = value.get("instance"), value.get("control")
     if not isinstance(instance, str) or not isinstance(control, str):
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -21,7 +21,7 @@
 
     Args:
         work: Processing time of a call in seconds.
-        spread: Relative jitter of the processing time, such as 0.2 for 20 % either way.
+        jitter_ratio: Jitter of the processing time; 0.2 varies it by up to 20 % either way.
         slots: Maximum number of calls in flight; further calls are queued.
         max_queued: Number of queued calls from which new ones are refused, or None.
         cold_start_seconds: Duration of the slow phase after the start.
@@ -38,7 +38,7 @@
     def __init__(
         self,
         work: float = 0.005,
-        spread: float = 0.2,
+        jitter_ratio: float = 0.2,
         slots: int = 20,
         max_queued: int | None = None,
         cold_start_seconds: float = 0.0,
@@ -48,7 +48,7 @@
         announced_slots: int | None = None,
     ):
         self.work = work
-        self.spread = spread
+        self.jitter_ratio = jitter_ratio
         self.slots = slots
         self.max_queued = max_queued
         self.cold_start_seconds = cold_start_seconds
@@ -67,7 +67,7 @@
         "cancelled",
         "finished",
         "headers",
-        "operation",
+        "operation_id",
         "received_at",
         "target",
     )
@@ -76,7 +76,7 @@
         self.received_at = time.monotonic()
         self.target = target
         self.headers = headers
-        self.operation = headers.get("x-operation", "")
+        self.operation_id = headers.get("x-operation", "")
         self.finished = False
         self.cancelled = False
 
@@ -208,19 +208,19 @@
         if refusal is not None:
             await _send_json(send, 503, {"error": refusal}, [NOT_RUN_HEADER])
             return
-        seen = ReceivedRequest(target, headers)
-        self.seen.append(seen)
+        request = ReceivedRequest(target, headers)
+        self.seen.append(request)
         try:
-            await self._work(headers)
+            await self._process(headers)
         except asyncio.CancelledError:
-            seen.cancelled = True
+            request.cancelled = True
             return
         except (TimeoutError, _NestedCallError, aiohttp.ClientError) as error:
-            seen.finished = True
+            request.finished = True
             await _send_json(send, 500, {"error": f"a nested call failed: {error}"})
             return
-        seen.finished = True
-        await self._send_response(scope, send, seen, body)
+        request.finished = True
+        await self._send_response(scope, send, request, body)
 
     def _get_refusal(self) -> str | None:
         if self.draining:
@@ -230,7 +230,7 @@
             return "overloaded"
         return None
 
-    async def _work(self, headers: dict[str, str]) -> None:
+    async def _process(self, headers: dict[str, str]) -> None:
         self.queued += 1
         try:
             async with self._slot_freed:
@@ -245,15 +245,15 @@
                 await asyncio.sleep(0.05)
             for path in self.behavior.nested:
                 await self._make_nested_call(path, headers)
-            await asyncio.sleep(self._draw_work_seconds())
+            await asyncio.sleep(self._draw_processing_seconds())
         finally:
             self.in_flight -= 1
             async with self._slot_freed:
                 self._slot_freed.notify()
 
-    def _draw_work_seconds(self) -> float:
+    def _draw_processing_seconds(self) -> float:
         behavior = self.behavior
-        factor = 1 + self._random.uniform(-behavior.spread, behavior.spread)
+        factor = 1 + self._random.uniform(-behavior.jitter_ratio, behavior.jitter_ratio)
         if time.monotonic() - self._started_at < behavior.cold_start_seconds:
             factor *= behavior.cold_start_factor
         return behavior.work * factor
@@ -272,13 +272,13 @@
                 raise _NestedCallError(response.status)
 
     async def _send_response(
-        self, scope: Any, send: Any, seen: ReceivedRequest, body: bytes
+        self, scope: Any, send: Any, request: ReceivedRequest, body: bytes
     ) -> None:
         fields = {
             "service": self.service,
-            "target": seen.target,
-            "workspace": seen.workspace,
-            "echo": seen.headers.get("x-echo", ""),
+            "target": request.target,
+            "workspace": request.workspace,
+            "echo": request.headers.get("x-echo", ""),
             "received": len(body),
         }
         text = json.dumps(fields).encode()
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -18,15 +18,15 @@
     def __init__(self, target: str):
         self._host, self._port = parse_address(target)
         self._blackholed: set[asyncio.Event] = set()
-        self._open: set[asyncio.Event] = set()
+        self._blackhole_events: set[asyncio.Event] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
         self.address = ""
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """Number of open connections that are forwarded."""
-        return len(self._open)
+        return len(self._blackhole_events)
 
     async def start(self) -> None:
         """Listen on a free loopback port."""
@@ -46,10 +46,10 @@
 
         They stay open, so that neither end gets an error.
         """
-        count = len(self._open)
-        for blackholed in self._open:
+        count = len(self._blackhole_events)
+        for blackholed in self._blackhole_events:
             blackholed.set()
-        self._open.clear()
+        self._blackhole_events.clear()
         return count
 
     async def _accept(
@@ -60,7 +60,7 @@
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         blackholed = asyncio.Event()
-        self._open.add(blackholed)
+        self._blackhole_events.add(blackholed)
         try:
             upstream_reader, upstream_writer = await asyncio.open_connection(
                 self._host, self._port
@@ -77,7 +77,7 @@
             # From stop(); asyncio would log a cancelled connection as an error.
             return
         finally:
-            self._open.discard(blackholed)
+            self._blackhole_events.discard(blackholed)
             writer.transport.abort()
 
 
--- a/primroseglade/stand_ins/mesh_backend.py
+++ b/primroseglade/stand_ins/mesh_backend.py
@@ -20,15 +20,15 @@
         address: ``IP:PORT`` to listen on.
         control: ``IP:PORT`` of the node's control listener.
         slots: Number of slots that it reports.
-        work: Processing time of a request in seconds.
+        processing_seconds: Processing time of a request in seconds.
         start_time_ms: Reported start time in Unix milliseconds.
-        reached: ``IP:PORT`` that it reports if other than ``address``.
+        reported_address: ``IP:PORT`` that it reports if other than ``address``.
 
     Attributes:
         state: State that it reports, such as ``ready`` or ``draining``.
         executed_request_ids: Ids of the requests that began to run.
         cancelled: Number of requests that were cancelled while they ran.
-        seen: Headers of all requests, also of those refused as misdirected.
+        seen_headers: Headers of all requests, also of those refused as misdirected.
         answer: Builds responses in place of the usual ones, or None.
     """
 
@@ -39,20 +39,20 @@
         address: str,
         control: str,
         slots: int = 20,
-        work: float = 0.005,
+        processing_seconds: float = 0.005,
         start_time_ms: int = 1,
-        reached: str = "",
+        reported_address: str = "",
     ):
         self.instance = instance
         self.service = service
-        self.address = reached or address
+        self.address = reported_address or address
         self.slots = slots
-        self.work = work
+        self.processing_seconds = processing_seconds
         self.start_time_ms = start_time_ms
         self.state = "ready"
         self.executed_request_ids: list[str] = []
         self.cancelled = 0
-        self.seen: list[dict[str, str]] = []
+        self.seen_headers: list[dict[str, str]] = []
         self.answer: Callable[[Request, dict[str, str]], Reply] | None = None
         self._sequence = 0
         self._control = ConnectionPool(control, 1.0)
@@ -110,14 +110,14 @@
         headers = {
             name.decode().lower(): value.decode() for name, value in request.headers
         }
-        self.seen.append(headers)
+        self.seen_headers.append(headers)
         expected = headers.get("x-primroseglade-expected-instance", self.instance)
         if expected != self.instance:
             return Reply(render_status_line(421), b"")
         request_id = headers.get("x-primroseglade-request-id", "")
         self.executed_request_ids.append(request_id)
         try:
-            await asyncio.sleep(self.work)
+            await asyncio.sleep(self.processing_seconds)
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -15,7 +15,7 @@
 from primroseglade.sidecar.http_messages import Reply, Request
 from primroseglade.stand_ins.mesh_backend import MeshBackend
 
-WORK_SECONDS_RANGE = (0.005, 0.06)
+PROCESSING_SECONDS_RANGE = (0.005, 0.06)
 # Time for which it keeps serving after the node acknowledged its drain.
 LINGER_SECONDS = 2.5
 
@@ -39,7 +39,7 @@
                 tenant=headers.get("x-primroseglade-tenant", ""),
                 key_seen="authorization" in headers,
             )
-        self.work = random.uniform(*WORK_SECONDS_RANGE)
+        self.processing_seconds = random.uniform(*PROCESSING_SECONDS_RANGE)
         reply = await super()._handle(request)
         return Reply(reply.head, f"{request_id} {'x' * 2000} end".encode())
 
@@ -72,7 +72,7 @@
                 options.address,
                 options.control,
                 start_time_ms=int(time.time() * 1000),
-                reached=options.reached,
+                reported_address=options.reached,
             )
         )
     )
--- a/soak/machines.py
+++ b/soak/machines.py
@@ -34,16 +34,18 @@
 
     Args:
         number: Index of the machine; determines service, zone and loopback address.
-        network: First three octets of the loopback addresses.
-        store: ``IP:PORT`` of the store.
+        network_prefix: First three octets of the loopback addresses.
+        store_address: ``IP:PORT`` of the store.
         folder: Folder for settings and logs.
     """
 
-    def __init__(self, number: int, network: str, store: str, folder: pathlib.Path):
+    def __init__(
+        self, number: int, network_prefix: str, store_address: str, folder: pathlib.Path
+    ):
         self.number = number
         self.service = SERVICES[number % len(SERVICES)]
         self.zone = ZONES[number // len(SERVICES) % len(ZONES)]
-        self.host = f"{network}.{10 + number}"
+        self.host = f"{network_prefix}.{10 + number}"
         self.name = f"node-{number}"
         self.folder = folder
         self.events: asyncio.Queue[dict[str, object]] = asyncio.Queue()
@@ -51,7 +53,7 @@
             self.host, BACKEND_PROXY_PORT, self.address(BACKEND_PORT)
         )
         self.store_proxy: FaultProxy = build_fault_proxy(
-            self.host, STORE_PROXY_PORT, store
+            self.host, STORE_PROXY_PORT, store_address
         )
         self._backend_starts = 0
         self._is_first_start = True
--- a/soak/run.py
+++ b/soak/run.py
@@ -218,7 +218,7 @@
 
     def get_machine(self, fault: ScheduledFault) -> Machine:
         """Return the machine that a fault affects."""
-        return self._machines[fault.machine]
+        return self._machines[fault.machine_index]
 
     def withdraw_key(self, variant: int) -> None:
         """Withdraw an API key, unless it is the last one."""
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -29,34 +29,42 @@
         start_seconds: Time from the start of the schedule.
         kind: One of `FAULT_KINDS`.
         duration_seconds: How long it lasts, for kinds that last.
-        machine: Index of the affected machine, for kinds that affect one.
+        machine_index: Index of the affected machine, for kinds that affect one.
         variant: Random number from which some kinds choose what they do.
     """
 
-    __slots__ = ("duration_seconds", "kind", "machine", "start_seconds", "variant")
+    __slots__ = (
+        "duration_seconds",
+        "kind",
+        "machine_index",
+        "start_seconds",
+        "variant",
+    )
 
     def __init__(
         self,
         start_seconds: float,
         kind: str,
         duration_seconds: float,
-        machine: int,
+        machine_index: int,
         variant: int,
     ):
         self.start_seconds = start_seconds
         self.kind = kind
         self.duration_seconds = duration_seconds
-        self.machine = machine
+        self.machine_index = machine_index
         self.variant = variant
 
     def __repr__(self) -> str:
         return (
-            f"{self.start_seconds:.2f} s {self.kind} at {self.machine} "
+            f"{self.start_seconds:.2f} s {self.kind} at {self.machine_index} "
             f"for {self.duration_seconds:.2f} s"
         )
 
 
-def generate_faults(seed: int, seconds: float, machines: int) -> list[ScheduledFault]:
+def generate_faults(
+    seed: int, seconds: float, machine_count: int
+) -> list[ScheduledFault]:
     """Return the faults for a seed, the same in each run, ordered by start time.
 
     >>> one = generate_faults(1, 10.0, 4)
@@ -72,7 +80,7 @@
                 now,
                 rng.choice(FAULT_KINDS),
                 rng.uniform(0.3, MAX_FAULT_SECONDS),
-                rng.randrange(machines),
+                rng.randrange(machine_count),
                 rng.randrange(1000),
             )
         )
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -121,10 +121,10 @@
             )
         refused = [r for r in responses if isinstance(r, Refusal)]
         seen = [
-            item.operation
+            item.operation_id
             for server in (backend, fleet.instances[1].backend)
             for item in server.seen
-            if item.operation
+            if item.operation_id
         ]
         assert refused
         assert {r.verdict for r in refused} == {Verdict.MAY_HAVE_RUN}
--- a/tests/test_mesh_faults.py
+++ b/tests/test_mesh_faults.py
@@ -177,7 +177,7 @@
     """
     stopping = mesh.instances[1]
     for instance in mesh.instances[1:]:
-        instance.backend.work = 0.5
+        instance.backend.processing_seconds = 0.5
     running = [
         asyncio.create_task(send_request(mesh.instances[0], "/deep/a", f"r{number}"))
         for number in range(12)
@@ -200,7 +200,7 @@
 async def test_idempotent_calls_on_a_killed_node_are_retried(mesh: Mesh):
     """A node is killed; idempotent calls in flight there are answered by another."""
     for instance in mesh.instances[1:]:
-        instance.backend.work = 0.4
+        instance.backend.processing_seconds = 0.4
     running = [
         asyncio.create_task(send_request(mesh.instances[0], "/deep/a", f"r{number}"))
         for number in range(8)
@@ -263,7 +263,7 @@
     """
     stopping = mesh.instances[0]
     for instance in mesh.instances[1:]:
-        instance.backend.work = 0.3
+        instance.backend.processing_seconds = 0.3
     stopping.stopping.set()
     # The grace period is 2 s here, part of which is reserved for the process's exit.
     await asyncio.sleep(0.95)
--- a/tests/test_mesh_path.py
+++ b/tests/test_mesh_path.py
@@ -35,7 +35,9 @@
     assert answer.status == 200
     assert answer.body.startswith(b"served by i-deep")
     assert get_header(answer, "x-primroseglade-upstream-seal") == "s1"
-    (seen,) = [seen for instance in mesh.instances for seen in instance.backend.seen]
+    (seen,) = [
+        seen for instance in mesh.instances for seen in instance.backend.seen_headers
+    ]
     assert seen["x-primroseglade-tenant"] == "north"
     assert seen["x-primroseglade-caller-service"] == "front"
     assert 0 < int(seen["x-primroseglade-deadline-ms"]) <= 2000
@@ -149,7 +151,7 @@
     to another node.
     """
     for instance in mesh.instances[1:]:
-        instance.backend.work = 5.0
+        instance.backend.processing_seconds = 5.0
     asking = asyncio.create_task(send_request(mesh.instances[0], "/deep/a", "left"))
     await asyncio.sleep(0.3)
     assert count_executions(mesh, "left") == 1
@@ -165,7 +167,7 @@
     mesh.store.publish(build_configuration(2, *paths))
     await asyncio.sleep(0.3)
     for instance in mesh.instances[1:]:
-        instance.backend.work = 5.0
+        instance.backend.processing_seconds = 5.0
     started = asyncio.get_running_loop().time()
     answer = await send_request(mesh.instances[0], "/short/a", remaining_ms=5000)
     assert answer.status in (502, 504)
--- a/tests/test_mesh_pipelining.py
+++ b/tests/test_mesh_pipelining.py
@@ -214,7 +214,7 @@
 async def test_stopping_node_answers_pipelined_requests(mesh: Mesh):
     """Requests that a node has forwarded are answered while it shuts down."""
     for instance in mesh.instances[1:]:
-        instance.backend.work = 0.3
+        instance.backend.processing_seconds = 0.3
     node = mesh.instances[0]
     reader, writer = await asyncio.open_connection(
         *parse_address(node.settings.outbound)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -248,7 +248,7 @@
 
 async def test_graceful_stop_cuts_off_no_call():
     """A node is stopped gracefully while non-idempotent calls are in flight."""
-    slow = BackendBehavior(work=0.5, spread=0)
+    slow = BackendBehavior(work=0.5, jitter_ratio=0)
     async with run_fleet(("a", "archive", slow), ("a", "archive", slow)) as fleet:
         instance = fleet.instances[0]
         async with Client([instance.caller_address], KEY) as client:
