--- a/bench/mechanisms.py
+++ b/bench/mechanisms.py
@@ -66,7 +66,7 @@
 
 @disables("fair-shares")
 def _disable_fair_shares(_: dict[str, Any]) -> list[Any]:
-    """Put the calls of all workspaces into one queue."""
+    """Put the calls of all workspaces into a single queue."""
     add = admission.AdmissionQueue._add
 
     def add_to_shared_queue(queue: Any, waiter: Any) -> None:
@@ -78,7 +78,7 @@
 
 @disables("same-order")
 def _disable_same_order(_: dict[str, Any]) -> list[Any]:
-    """Let each hop choose at random which calls it sheds."""
+    """Let each hop choose at random which calls to shed, not all hops the same ones."""
     return [
         mock.patch.object(admission, "hash_root", lambda _: getrandbits(32)),
     ]
@@ -108,7 +108,7 @@
 
 @disables("retry-share")
 def _disable_retry_share(settings: dict[str, Any]) -> None:
-    """Lift the limit on the share of retries of a node."""
+    """Lift the limit on a node's ratio of retries to first attempts."""
     settings.setdefault("retries", {})["share"] = 1000.0
 
 
--- a/bench/members.py
+++ b/bench/members.py
@@ -1,4 +1,4 @@
-"""Control traffic of an idle fleet and one under edits, by the fleet's size."""
+"""Control traffic per node, idle and during edits, at several fleet sizes."""
 
 import argparse
 import asyncio
@@ -25,7 +25,7 @@
 
 
 class CpuSample:
-    """CPU time that nodes have used up to now."""
+    """The CPU time that nodes have used so far, in total."""
 
     def __init__(self, nodes: list[Process]):
         self.taken_at = time.monotonic()
@@ -57,7 +57,7 @@
 
 
 async def measure_fleet(size: int) -> dict[str, Any]:
-    """Start a fleet of this size and return what control traffic costs a node."""
+    """Start a fleet of this size and return a node's cost when idle and per edit."""
     async with run_processes(log={"level": "error"}) as processes:
         await processes.log.append(CONFIGURATION_TOPIC, build_edit().to_value())
         nodes, operator_addresses = await start_nodes(processes, size)
@@ -113,7 +113,7 @@
 
 
 async def publish_edits(processes: Any, operator_addresses: list[str]) -> None:
-    """Publish edits, then wait until the last node answers its status page."""
+    """Publish edits, and wait until the last node is free to answer a request."""
     for number in range(EDIT_COUNT):
         edit = Edit(
             [SectionEdit(f"recalls/r{number}", None, {"keys": [f"k{number}"]})], "bench"
@@ -126,7 +126,7 @@
 async def measure_usage(
     nodes: list[Process], operator_addresses: list[str], activity: Any
 ) -> Any:
-    """Return a node's mean usage per second while an activity runs."""
+    """Return the mean CPU, bytes and messages of a node per second of an activity."""
     metric_names = (
         "primroseglade_control_bytes_total",
         "primroseglade_control_messages_total",
@@ -158,7 +158,7 @@
 
 
 def measure_table(size: int) -> dict[str, Any]:
-    """Fill a member table in this process and return its memory and merge cost."""
+    """Fill a member table and return its memory and the cost of a merge."""
     import tracemalloc
 
     tracemalloc.start()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""Cost of a call: direct, over a bare relay, over one node and over two nodes."""
+"""Cost of a call: sent directly, through a bare relay, through one or two nodes."""
 
 import argparse
 import asyncio
@@ -75,7 +75,7 @@
         connection.close()
 
     def report(self, direct: "CallPath | None") -> dict[str, Any]:
-        """Return latencies, rate and CPU cost, and what the path adds to ``direct``."""
+        """Return latency, call rate, CPU cost, and the latency added to ``direct``."""
         figures: dict[str, Any] = {}
         for name, percentile in (("p50_ms", 50), ("p99_ms", 99)):
             figures[name] = self.latencies_us.get_value_at_percentile(percentile) / 1000
@@ -103,12 +103,15 @@
 
 
 def choose_first_port() -> int:
-    """Return the first of several hundred ports below the ephemeral port range."""
+    """Return a random port below the ephemeral port range.
+
+    The nodes of a benchmark listen on this port and the following ones.
+    """
     return 10_000 + find_free_ports(1)[0] % 20_000
 
 
 def build_edit() -> Edit:
-    """Return this benchmark's document, with a rate too high to limit any call."""
+    """Return the edit that creates the document; its rate limits no call."""
     sections = {
         "zones/a": {"share": 1.0},
         "workspaces/bench": {"keys": [{"id": "bench", "digest": digest_key(API_KEY)}]},
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,4 +1,4 @@
-"""Overload control under load and faults: goodput, recovery, fairness and waste."""
+"""Goodput, recovery, fairness and wasted work of overload control."""
 
 import argparse
 import asyncio
@@ -13,8 +13,8 @@
 RECOVERY_STEP_SECONDS = 0.25
 RECOVERED_RATIO = 0.95
 
-# Mechanisms that the baselines disable: everything that limits load, or everything
-# but the concurrency limit.
+# Mechanisms that the two baselines disable: all that limit load, and all except the
+# concurrency limit.
 NO_CONTROL = ["limit", "queue", "retry-tokens", "retry-share", "throttle", "doomed"]
 FIXED_LIMIT_PLAIN_RETRIES = [
     "queue",
@@ -62,7 +62,7 @@
 
 @benchmark("overload")
 async def measure_overload(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure demand below, above and far above capacity, with and without control."""
+    """Measure load below and above capacity, with and without overload control."""
     figures: dict[str, Any] = {}
     load_factors = (0.8, 2.0, 10.0)
     for load_factor in load_factors:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -48,7 +48,7 @@
 
 
 class Processes:
-    """Runs nodes and backend servers as processes, and their log in this one."""
+    """Runs nodes and backend servers as processes, and the log stand-in in this one."""
 
     def __init__(self, settings: dict[str, Any] | None = None):
         self._settings = settings or {}
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,4 +1,4 @@
-"""Rate limits in a fleet at even and skewed demand: excess grants and refusals."""
+"""Accuracy of a fleet's rate limits at even and skewed demand."""
 
 import argparse
 import asyncio
@@ -39,7 +39,7 @@
 
 
 class CaseOutcome:
-    """Calls of one case: when each was sent, and when it got its token or None."""
+    """Calls of one case, as the times of sending and of the token (None if refused)."""
 
     def __init__(self, rate: float, burst: float):
         self.rate = rate
@@ -49,8 +49,8 @@
     def count_refused_within_rate(self) -> int:
         """Return how many more calls a single local bucket would have granted.
 
-        Only the totals are compared: above the rate, which of the calls get the tokens
-        is a matter of chance.
+        Only the totals are compared: above the rate, it is a matter of chance which
+        calls get the tokens.
         """
         ideal_bucket = Bucket(self.rate, self.burst, 0.0, 0.0)
         ideal_bucket.accrue(1e9)
@@ -69,7 +69,7 @@
         return max(0, ideal_count - granted_count)
 
     def find_worst_window(self) -> float:
-        """Return the highest granted / allowed ratio over all windows."""
+        """Return the maximum over all windows of granted calls / allowed calls."""
         times = sorted(
             granted_at for _, granted_at in self.calls if granted_at is not None
         )
@@ -215,7 +215,7 @@
 
 @benchmark("rates")
 async def measure_rates(options: argparse.Namespace) -> dict[str, Any]:
-    """Compare zone buckets with loans, one zone for all rates, and a static split."""
+    """Compare buckets in all zones, a bucket in one zone, and a fixed part per node."""
     zones = DEPLOYMENTS[options.deployment].zones
     zone_buckets = await measure_fleet(options, zones, False)
     if "baselines" in options.off:
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -31,9 +31,9 @@
 
     Args:
         server_count: Number of backend servers.
-        slots_per_server: Calls that a backend server works on at once.
-        work_seconds: Work per call.
-        nested_paths: Paths that each call calls before its own work.
+        slots_per_server: Number of calls that a backend server processes at once.
+        work_seconds: Processing time of a call.
+        nested_paths: Paths of the calls that each call makes first.
     """
 
     def __init__(
@@ -62,8 +62,8 @@
         entry_service: Service that root calls go to.
         capacity: Root calls per second that the chain can serve.
         demand: Root calls per second by workspace.
-        important_workspaces: Workspaces that call the critical route.
-        max_attempts: Maximum attempts of a caller per call.
+        important_workspaces: Workspaces whose calls are of critical importance.
+        max_attempts: Maximum number of attempts that a caller makes per call.
     """
 
     def __init__(
@@ -125,7 +125,12 @@
         self.fleet: EmbeddedFleet | None = None
 
     async def run(self, seconds: float, disturb: Any = None) -> None:
-        """Start the fleet, send calls for some seconds and record their outcomes."""
+        """Start the fleet, send calls and record their outcomes.
+
+        Args:
+            seconds: Duration of the load.
+            disturb: Called with the fleet at the start of the load, and awaited.
+        """
         settings = {name: dict(value) for name, value in SETTINGS.items()}
         with mechanisms_disabled(self._disabled, settings):
             async with EmbeddedFleet(settings) as fleet:
@@ -219,7 +224,7 @@
         outcome.ended_at = time.monotonic()
 
     def report(self, start: float, end: float) -> dict[str, Any]:
-        """Return the figures of the calls that were due in ``[start, end)``."""
+        """Return the figures of the calls that were sent in ``[start, end)``."""
         workload = self._workload
         offered = [o for o in self.outcomes if start <= o.sent_at < end]
         served = [o for o in offered if o.served]
@@ -300,7 +305,7 @@
 
 
 def compute_fair_shares(demand: dict[str, float], capacity: float) -> dict[str, float]:
-    """Return the max-min fair shares of a capacity by name."""
+    """Return the max-min fair share of the capacity for each name in ``demand``."""
     shares: dict[str, float] = {}
     remaining = capacity
     for number, name in enumerate(sorted(demand, key=lambda key: demand[key])):
--- a/primroseglade/demo/callers.py
+++ b/primroseglade/demo/callers.py
@@ -22,8 +22,8 @@
     Args:
         fleet: Fleet to call.
         deployment: Services and workspaces.
-        rate_per_second: Calls of all workspaces per second, if the greedy one sent only
-            its share.
+        rate_per_second: Calls per second of all workspaces together; the greedy one's
+            calls beyond its share come on top.
         greedy_workspace: Workspace that sends several times its share, or empty.
         seed: Seed of all random choices.
     """
--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -8,12 +8,13 @@
 from .deployments import Deployment, get_key
 from .records import CallRecord
 
-# Maximum time from an accepted edit, or a drain request, to the last effect of the
-# old state.
+# Maximum time from the accepted edit until the withdrawn key is refused everywhere.
 WITHDRAWAL_DEADLINE_SECONDS = 3.0
+# Maximum time from the drain request until the backend server gets no new requests.
 DRAIN_DEADLINE_SECONDS = 3.0
+# A service that callers use, and the one that it calls.
 MAX_CALL_CHAIN_LENGTH = 2
-# How far the critical class's served ratio may fall below another's by chance.
+# The critical class's served ratio may by chance be lower than another's by this much.
 SERVED_RATIO_TOLERANCE = 0.02
 
 
@@ -25,8 +26,8 @@
     Args:
         deployment: Deployment that ran.
         calls: Root calls as callers saw them.
-        seen: Requests that each backend server started, by its address.
-        rates: Rate limit per second and burst, by workspace.
+        seen: Requests that each backend server started to process, by its address.
+        rates: Rate limit in calls per second, and burst, by workspace.
         retry_tokens: Maximum number of retries per root call.
 
     Attributes:
@@ -117,14 +118,15 @@
     start, end = evidence.overload
     served: dict[str, list[bool]] = collections.defaultdict(list)
     for call in evidence.calls:
-        # Calls over the rate limit are refused for that, not shed.
+        # A call over the rate limit is refused, but that is not load shedding.
         if start <= call.sent_at < end and call.outcome != "rate-exceeded":
             served[call.service].append(call.fully_served)
     served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
     critical = evidence.deployment.critical_service
     deep = evidence.deployment.deep_service
     critical_ratio = served_ratios.pop(critical, 1.0)
-    # Compared only with the slow service: services that do not call it are not shed.
+    # Only the slowed service sheds load: calls of services that do not use it are
+    # served, so that their ratios say nothing about the order.
     return len(served.get(critical, ())), int(
         critical_ratio + SERVED_RATIO_TOLERANCE < served_ratios.get(deep, 0.0)
     )
@@ -182,8 +184,8 @@
 def _check_rates(evidence: Evidence) -> tuple[int, int]:
     violations = 0
     for workspace, (rate, burst) in evidence.rates.items():
-        # A call's token is taken between its start and its end, so calls that lie
-        # wholly within a window have all taken theirs within it.
+        # A call takes its token between its start and its end: calls that lie wholly
+        # within a window have all taken their tokens within the window.
         charged = sorted(
             (call.sent_at, call.ended_at)
             for call in evidence.calls
@@ -257,8 +259,8 @@
     if evidence.withdrawn is None:
         return 0, 0
     workspace, key_number, at = evidence.withdrawn
-    # An instance that has refused the withdrawn key must not serve it again. Callers
-    # do not see which instance that was: after the deadline none may serve the key.
+    # An instance that has refused the withdrawn key must not accept it again. Callers
+    # do not see which instance refused it: after the deadline none may accept it.
     later = [
         call
         for call in evidence.calls
--- a/primroseglade/demo/deployments.py
+++ b/primroseglade/demo/deployments.py
@@ -4,8 +4,8 @@
 
 from ..document.document import digest_key
 
-# Divides the slots of all backend servers: they share one process, which could not
-# fill them otherwise. Limits that are relative to slots stay in proportion.
+# The slots of each backend server are divided by this: all run in one process, which
+# could not fill more. Limits that are relative to slots stay in proportion.
 SLOTS_DIVISOR = 20
 MIN_SLOTS = 4
 
@@ -54,7 +54,7 @@
     Args:
         name: Name of the deployment.
         zones: Availability zones, which get equal shares of each rate.
-        services: Services by name; the first is the end of the call chains.
+        services: Services by name; the first is the one that other services call.
         workspaces: Fraction of all root calls that each workspace sends, by name.
     """
 
@@ -74,7 +74,7 @@
 
     @property
     def deep_service(self) -> str:
-        """Service at the end of the call chains, which the demo slows down."""
+        """Service that other services call, and that the demo slows down."""
         return next(iter(self.services))
 
     @property
@@ -127,6 +127,7 @@
     return f"demo-key-of-{workspace}-number-{number}"
 
 
+# Split and Lagos are the cities that the deployments serve.
 SPLIT_DEPLOYMENT = Deployment(
     "split",
     ("split-a", "split-b", "split-c", "split-d"),
--- a/primroseglade/demo/records.py
+++ b/primroseglade/demo/records.py
@@ -18,8 +18,9 @@
     Attributes:
         sent_at: Start of the call, by ``time.monotonic``.
         ended_at: End of the call, or 0 while it is in flight.
-        outcome: ``served``, ``status-`` and a 5xx status, or the code of the refusal.
-        verdict: Whether a refused call may have run; None for other calls.
+        outcome: ``served`` for a status below 500, ``status-`` and the number for other
+            statuses, or the code of the refusal.
+        verdict: Whether a refused call may have run; None if it was not refused.
         is_complete: Whether the whole response to this very call arrived.
     """
 
@@ -52,17 +53,17 @@
 
     @property
     def fully_served(self) -> bool:
-        """Whether the caller got the complete response to its own call."""
+        """Whether the outcome is ``served`` and the complete response arrived."""
         return self.outcome == "served" and self.is_complete
 
     def record_response(self, status: int, is_complete: bool) -> None:
-        """Record the end of the call by a response."""
+        """Record that the call ended with a response."""
         self.ended_at = time.monotonic()
         self.outcome = "served" if status < 500 else f"status-{status}"
         self.is_complete = is_complete
 
     def record_refusal(self, refusal: Refusal) -> None:
-        """Record the end of the call by a refusal."""
+        """Record that the call ended with a refusal."""
         self.ended_at = time.monotonic()
         self.outcome = refusal.reason.code
         self.verdict = refusal.verdict
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -14,7 +14,7 @@
 class Report:
     """Measurements and findings of one run.
 
-    Except in ``outcomes``, calls sent with a withdrawn key are not counted.
+    Calls sent with the withdrawn key count only in ``outcomes``.
     """
 
     __slots__ = (
@@ -121,8 +121,8 @@
     """Return seconds from the end of the overload until calls are served as before.
 
     That is when the served ratio of the calls sent within a sliding window of 1 s
-    reaches 95 % of its value before the overload. None if that never happens, or
-    without an overload.
+    reaches 95 % of the ratio before the overload. Return None if it never does, or if
+    there was no overload.
     """
     if overload is None:
         return None
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -11,6 +11,7 @@
 from .deployments import Deployment, MIN_SLOTS, SLOTS_DIVISOR
 from .report import Report
 
+# Load and rate limit of all workspaces together; each gets its share of both.
 OFFERED_CALLS_PER_SECOND = 60.0
 TOTAL_RATE_LIMIT_PER_SECOND = 120.0
 PROCESSING_SECONDS = 0.03
@@ -51,7 +52,7 @@
         self._duration_seconds = seconds
         self._seed = seed
         self._report_progress = report_progress
-        # The last workspace sends several times its share, the first loses a key.
+        # The last workspace sends several times its share; the first loses a key.
         names = list(deployment.workspaces)
         self._greedy_workspace = names[-1]
         self._withdrawn_key_workspace = names[0]
--- a/primroseglade/fleet/configuration.py
+++ b/primroseglade/fleet/configuration.py
@@ -58,7 +58,7 @@
 
     @property
     def next_offset(self) -> int:
-        """Offset of the first record that has not been applied."""
+        """Offset of the next record to apply."""
         return self._fold.next_offset
 
     @property
@@ -87,7 +87,8 @@
         """Apply records in the order of offsets, except those applied before."""
         for record in records:
             if record.offset > self.next_offset:
-                # After a gap, the document would differ from that of other nodes.
+                # Records before this one are missing: without them the document would
+                # differ from that of other nodes.
                 return
             if record.offset < self.next_offset:
                 continue
@@ -116,7 +117,7 @@
         return True
 
     def update_age(self, age: float) -> None:
-        """Record that this configuration was the newest ``age`` seconds ago."""
+        """Record that this configuration was still the newest ``age`` seconds ago."""
         self._confirmed_at = max(self._confirmed_at, time.monotonic() - age)
 
     def mark_initialized(self) -> None:
@@ -129,7 +130,7 @@
             await self._changed.wait_for(lambda: self.next_offset >= next_offset)
 
     def get_records(self, from_offset: int) -> list[LogRecord] | None:
-        """Return the records from an offset on, or None if some are no longer kept."""
+        """Return all records from an offset on, or None if some are no longer kept."""
         if from_offset >= self.next_offset:
             return []
         if from_offset not in self._recent_records:
--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -1,8 +1,8 @@
 """Collects the configuration offsets of the whole fleet over a tree of nodes.
 
-Nodes send confirmations only on request: at 12,000 nodes and 9,800 edits a day, a
-report of every node on every edit would alone exceed a node's share of the network.
-Each node requests them from at most ``FANOUT`` others, which request the rest.
+Nodes send confirmations only on request: at 12,000 nodes and 9,800 edits a day, reports
+of every node on every edit would alone exceed a node's share of the network. A node
+requests confirmations from at most ``FANOUT`` others, which request those of the rest.
 """
 
 import asyncio
@@ -13,16 +13,16 @@
 from .members import Members
 
 FANOUT = 8
-# Part of its timeout that a node gives the nodes below it, so that its own reply is in
-# time even if theirs are not.
+# Fraction of its own timeout that a node gives the nodes below it in the tree, so that
+# its reply is in time even if theirs are not.
 CHILD_TIMEOUT_RATIO = 0.8
 
 
 class ConfirmationStatus:
-    """How far the configuration of each instance is.
+    """How far each instance has applied the configuration log.
 
     Args:
-        offsets: Next offset by instance, of the instances that answered.
+        offsets: Next offset of each instance that answered, by its name.
         silent: Names of the instances that did not answer.
     """
 
@@ -33,7 +33,7 @@
         self.silent = silent
 
     def find_behind(self, next_offset: int) -> list[str]:
-        """Return the names of instances that answered with a lower offset."""
+        """Return the names of the instances whose offset is lower than this one."""
         return sorted(
             name for name, offset in self.offsets.items() if offset < next_offset
         )
@@ -60,7 +60,7 @@
         self._client = client
 
     def register(self, server: ControlServer) -> None:
-        """Register the handler that answers for this node and those below it."""
+        """Register the handler that answers for this node and the nodes below it."""
         server.register("Confirm", self._answer)
 
     async def collect(self, timeout: float) -> ConfirmationStatus:
@@ -75,8 +75,8 @@
             for member in self._members
             if member.instance != own_name and member.state.name != "LEFT"
         }
-        # Dead members are included: an instance behind a network partition is dead in
-        # this table, but may still serve calls. It is reported as silent.
+        # Dead members are asked too: an instance behind a network partition is dead in
+        # this table, but may still serve calls. Without an answer it counts as silent.
         reply = await self._collect_groups(sorted(names_by_address), timeout)
         offsets = {item.instance: item.next_offset for item in reply.confirmations}
         offsets[own_name] = self._configuration.next_offset
@@ -113,7 +113,7 @@
         silent_addresses: list[str] = []
         while group and clock() < deadline:
             first, *rest = group
-            # Half of the remaining time, so that some is left for the next node.
+            # Half of the remaining time, so that the next node can still be tried.
             first_timeout = (deadline - clock()) / (2 if rest else 1)
             request = pb.ConfirmRequest(
                 controls=rest, timeout_ms=int(first_timeout * 1000)
--- a/primroseglade/fleet/control.py
+++ b/primroseglade/fleet/control.py
@@ -92,7 +92,7 @@
         return self._address
 
     def register(self, method: str, handler: Handler) -> None:
-        """Register the handler of a method; it gets the request and sender's name."""
+        """Register a method's handler, which gets the request and the sender's name."""
         self._handlers[method] = handler
 
     async def run(self) -> None:
@@ -146,7 +146,7 @@
     Args:
         sealer: Signs requests and authenticates replies.
         metrics: Metrics with the numbers of messages and bytes.
-        network: Reachability of addresses; tests cut links in it.
+        network: The network, in which tests and the demo can cut links.
     """
 
     def __init__(self, sealer: Sealer, metrics: Metrics, network: Network):
@@ -173,7 +173,7 @@
             method: One of ``METHODS``.
             request: The request message.
             timeout: Timeout in seconds.
-            receiver: Name of the node, if known; other instances refuse the message.
+            receiver: Name of the node, if known; any other node refuses the message.
 
         Raises:
             PeerError: There is no valid reply within the timeout.
--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -20,22 +20,23 @@
 from .hashing import rank
 from .members import Member, Members, parse_member, State
 
-# Neighbors of a node: those on the ring of its zone ensure that every member is probed
-# by others, the random ones spread updates over a large zone in a few hops, and those
-# in other zones spread updates between zones.
+# Numbers of a node's neighbors. Those next on the ring of its zone ensure that every
+# member is probed by others, the random ones spread updates over a large zone in a few
+# hops, and those in other zones spread updates between zones.
 RING_NEIGHBORS = 2
 RANDOM_NEIGHBORS = 2
 CROSS_ZONE_NEIGHBORS = 2
 MAX_UPDATES_PER_MESSAGE = 40
 EXCHANGE_TIMEOUT_SECONDS = 1.0
 PROBE_TIMEOUT_SECONDS = 2.0
-# Members asked to probe a member before it is suspected, since only the link to it may
-# have failed.
+# Number of members that probe a member on this node's behalf before this node suspects
+# it: perhaps only the link between the two has failed.
 INDIRECT_PROBES = 2
-# Delay before updates are sent, so that one message carries those arriving together.
+# Delay before updates are sent, so that updates that arrive together share a message.
 BATCH_DELAY_SECONDS = 0.01
+# One in this many exchanges with a neighbor compares the whole member tables.
 COMPARE_INTERVAL_ROUNDS = 10
-# Limits the age sent to peers; that of a configuration never confirmed is infinite.
+# Limits the configuration age sent to peers, which is infinite before any confirmation.
 MAX_SENT_AGE_SECONDS = 1e6
 
 OnOffset = Callable[[int, float, str], None]
@@ -44,7 +45,7 @@
 class Gossip:
     """Keeps the member table in sync with those of other nodes, and probes members.
 
-    An exchange of updates with a neighbor is also a probe of it.
+    An exchange of updates with a neighbor also serves as its probe.
 
     Args:
         members: The member table.
@@ -52,7 +53,7 @@
         journal: Journal that receives joins, suspicions, deaths and departures.
         metrics: Metrics with the number of members by state.
         period_seconds: Average interval of the exchanges with each neighbor.
-        suspicion_seconds: Time for which a member is suspect before it is dead.
+        suspicion_seconds: Time after which a suspect member is declared dead.
         get_offset: Returns the configuration's next offset and its age in seconds.
         on_offset: Called with a peer's next offset, age and control address.
     """
@@ -88,14 +89,14 @@
         server.register("Probe", self._answer_probe)
 
     async def run(self) -> None:
-        """Run a task for each neighbor; choose neighbors again as members come and go.
+        """Run a task for each neighbor; choose new neighbors as members come and go.
 
         Also expires suspicions and tombstones, once per period.
         """
         try:
             while True:
                 if self._neighbors_outdated.is_set():
-                    # Only after changes: ranking a large fleet takes tens of ms.
+                    # Not in every period: ranking a large fleet takes tens of ms.
                     self._neighbors_outdated.clear()
                     await self._update_neighbor_tasks()
                 self._members.expire(self._suspicion_seconds)
@@ -111,7 +112,7 @@
             await self._supervisor.close()
 
     async def join_peers(self, addresses: list[str], max_answers: int = 3) -> int:
-        """Contact nodes one by one, to join their tables and fetch unknown members.
+        """Exchange member tables with nodes, one after the other.
 
         Args:
             addresses: Control addresses of the nodes.
@@ -220,8 +221,8 @@
             address, "Exchange", request, EXCHANGE_TIMEOUT_SECONDS, receiver
         )
         self._merge([reply.sender, *reply.updates])
-        # The reply may have been created right after the request was sent, so that its
-        # age has grown by up to a round trip.
+        # The peer may have computed the age right after the request was sent: it has
+        # grown by up to a round trip since.
         age = reply.configuration_age_ms / 1000 + time.monotonic() - sent_at
         self._on_offset(reply.next_offset, age, address)
 
--- a/primroseglade/fleet/hashing.py
+++ b/primroseglade/fleet/hashing.py
@@ -17,9 +17,9 @@
 class ZoneRanking:
     """Ranks a zone's reachable members by key, and caches rankings.
 
-    A ranking is valid until the zone's set of reachable members changes. Ranking 900
-    members takes a millisecond; each charged call needs a ranking of every zone, and
-    leases need one of every partition.
+    A cached ranking is valid until the zone's set of reachable members changes. Ranking
+    900 members takes a millisecond, too long without a cache: each charged call needs a
+    ranking of every zone, and leases need one of every partition.
 
     Args:
         members: The member table.
@@ -34,7 +34,7 @@
 
         Args:
             zone: Name of the availability zone.
-            key: Any text; use one ``limit`` per key, as the ranking is cached.
+            key: Any text; always passed with the same ``limit``, which is not cached.
             limit: Maximum number of instances.
         """
         version = self._members.get_zone_version(zone)
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -28,9 +28,10 @@
 LONG_POLL_SECONDS = 5.0
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 2.0
+# Minimum and maximum.
 NON_READER_RETRY_RANGE_SECONDS = (15.0, 45.0)
-# Another node also reads the log if its configuration has not been confirmed for this
-# long: all readers of its zone may have failed.
+# Any node reads the log if its configuration has not been confirmed for this long: all
+# readers of its zone may have failed.
 FALLBACK_READ_AGE_SECONDS = 6.0
 
 
@@ -82,9 +83,10 @@
     def _choose_retry_delay(self, delay: float) -> float:
         """Return the delay in seconds before the log is read again after a failure.
 
-        In an outage the configuration of every node grows old, so that all nodes read
-        the log. If all of them retried every second or two, the load would take a
-        recovering platform down again; the readers alone notice its recovery as soon.
+        In an outage the configuration of every node grows old, so that all nodes try to
+        read the log. Retries of all of them every second or two would overload a
+        recovering platform again. Only the readers retry that often: they notice the
+        recovery as soon as all nodes together would.
         """
         if self.is_reader() or not self._configuration.ready:
             return random.uniform(delay / 2, delay)
@@ -100,8 +102,8 @@
         """Load the newest configuration from the log.
 
         Raises:
-            LogUnavailableError: The log does not answer, or has deleted records that no
-                complete snapshot covers.
+            LogUnavailableError: The log does not answer, or some of its records were
+                deleted and are in no complete snapshot.
         """
         first, end = await self._log.get_range(CONFIGURATION_TOPIC)
         if end == 0:
@@ -128,15 +130,17 @@
         except OffsetOutOfRangeError:
             first, end = await self._log.get_range(CONFIGURATION_TOPIC)
             if end < offset:
-                # The log ends before the applied records: it is another log, or has
-                # lost its last records. Accepted edits are never reverted.
+                # The log ends before the records that this node has applied: it is
+                # another log, or has lost its last records. Applied edits are never
+                # reverted.
                 raise LogUnavailableError(
                     f"the log ends at offset {end}, before the state at {offset}"
                 ) from None
             await self._start_from_snapshot(first, end)
             return
         self._configuration.apply(records)
-        # An empty long poll confirms the end of the log as of its return.
+        # A long poll that returns no records shows that the configuration is the newest
+        # at this moment; with records it does so only for the time of the request.
         age = time.monotonic() - requested_at if records else 0.0
         self._configuration.update_age(age)
 
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -9,17 +9,17 @@
 
 from ..proto import control_pb2 as pb
 
-# A dead or departed member stays in the table this long. Older updates that call it
-# alive are rejected meanwhile, and a partitioned part of a zone still counts it in the
-# zone's size.
+# A dead or departed member stays in the table this long. Until then, older updates that
+# call the member alive are rejected, and a partitioned part of a zone still counts its
+# dead members in the zone's size.
 TOMBSTONE_RETENTION_SECONDS = 600.0
 BUCKET_COUNT = 32
-# Each update is sent this many times log2 of the fleet's size, as in SWIM.
+# Each update is sent RETRANSMIT_MULTIPLIER * log2(fleet size) times, as in SWIM.
 RETRANSMIT_MULTIPLIER = 3
 
 
 class State(enum.IntEnum):
-    """States of a member; the higher wins between otherwise equal updates."""
+    """States of a member; of two updates that differ only in state, the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -88,12 +88,12 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Sort key of updates about one member; the higher one wins."""
+        """Sort key of updates about one member; the update with the higher key wins."""
         return (self.incarnation, self.sequence, self.state)
 
     @property
     def reachable(self) -> bool:
-        """Whether messages are sent to it: it is alive or only suspect."""
+        """Whether messages are sent to the member: it is alive or only suspect."""
         return self.state in (State.ALIVE, State.SUSPECT)
 
     def replace(self, **changes: Any) -> "Member":
@@ -102,7 +102,7 @@
         return Member(**(fields | changes))
 
     def to_proto(self, age: float = 0.0) -> pb.Member:
-        """Return the member as a message; ``age`` is that of its state, in seconds."""
+        """Return the member as a message; its state began ``age`` seconds ago."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         fields["state"] = int(self.state)
         return pb.Member(**fields, state_age_ms=int(age * 1000))
@@ -171,7 +171,7 @@
         return self._table.get(instance)
 
     def watch(self, watcher: OnMemberChange) -> None:
-        """Call ``watcher`` with each changed entry and the previous one, or None."""
+        """Call ``watcher`` with each changed entry and its previous value or None."""
         self._watchers.append(watcher)
 
     @property
@@ -202,10 +202,11 @@
         ]
 
     def count_electorate(self, zone: str) -> tuple[int, int]:
-        """Return the numbers of reachable members and of all members of a zone.
+        """Return a zone's number of reachable members, and of reachable or dead ones.
 
-        Dead members count in the total while they are in the table, so that a
-        partitioned part of a zone does not consider itself the whole zone.
+        Neither includes members that left. Dead members count while they are in the
+        table, so that a partitioned part of a zone does not consider itself the whole
+        zone.
         """
         reachable = len(self._reachable_by_zone.get(zone, {}))
         not_alive = (self._table[instance] for instance in self._not_alive)
@@ -232,7 +233,7 @@
 
         Args:
             update: Entry of a member, as another node sent it.
-            age: Seconds since the member's state was first reported.
+            age: Seconds since the member entered its state.
 
         Returns:
             Whether the table changed.
@@ -243,8 +244,8 @@
         if current is not None and update.precedence <= current.precedence:
             return False
         if not update.reachable and age > TOMBSTONE_RETENTION_SECONDS:
-            # Others are about to remove this tombstone. If it were added again,
-            # nodes would send it back and forth forever.
+            # Other nodes are about to remove this tombstone. If this node added it
+            # again, nodes would send it back and forth forever.
             return False
         self._store(update, age)
         self._end_predecessor(update)
@@ -259,7 +260,7 @@
         self._change_state(instance, State.SUSPECT, State.DEAD)
 
     def expire(self, suspicion_seconds: float) -> None:
-        """Declare members dead that were suspect too long; remove old tombstones.
+        """Declare members that were suspect too long dead, and remove old tombstones.
 
         Args:
             suspicion_seconds: Time that a suspect member has to refute the suspicion.
@@ -279,7 +280,7 @@
     def take_updates(self, max_count: int) -> list[Member]:
         """Return up to ``max_count`` updates to send, those sent least often first.
 
-        Each update counts as sent once more; after its last time it is removed.
+        Each returned update counts as sent; one that was sent often enough is removed.
         """
         chosen = sorted(
             self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
@@ -302,7 +303,7 @@
         return list(self._bucket_hashes)
 
     def find_differing_members(self, buckets: Iterable[int]) -> list[Member]:
-        """Return the members in the buckets whose hash differs from the peer's.
+        """Return the members in those buckets whose hash differs from the peer's.
 
         Args:
             buckets: The peer's bucket hashes.
@@ -364,7 +365,7 @@
             watcher(member, previous)
 
     def _update_indexes(self, member: Member, previous: Member | None) -> None:
-        """Update the indexes, which spare frequent queries a scan of the table."""
+        """Update the indexes by state and zone, which save scans of the table."""
         if member.state is State.ALIVE:
             self._not_alive.discard(member.instance)
         else:
@@ -391,7 +392,7 @@
         return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(len(self._table) + 1))
 
     def _toggle_in_bucket_hash(self, member: Member) -> None:
-        """Add an entry to its bucket's hash, or remove it if it was added before."""
+        """Add an entry to its bucket's hash; the second call removes it again."""
         text = f"{member.instance}|{member.precedence}"
         self._bucket_hashes[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
 
--- a/primroseglade/fleet/puller.py
+++ b/primroseglade/fleet/puller.py
@@ -14,7 +14,7 @@
 
 
 class PeerPuller:
-    """Pulls records from peers that are ahead, and serves them to those behind.
+    """Pulls records from peers that are ahead, and serves records to those behind.
 
     Args:
         configuration: The configuration of this instance.
@@ -38,7 +38,9 @@
         server.register("Records", self._answer)
 
     def handle_peer_offset(self, next_offset: int, age: float, control: str) -> None:
-        """Schedule a pull if a peer is ahead, or take over its age if it is equal.
+        """Schedule a pull if a peer's configuration is newer than this node's.
+
+        If both are the same, this node adopts the peer's age if that is lower.
 
         Args:
             next_offset: Next offset of the peer's configuration.
@@ -52,11 +54,12 @@
             if not self._peers_ahead.full():
                 self._peers_ahead.put_nowait(control)
         elif next_offset == own_offset and age < self._configuration.age:
-            # The configurations are equal, so that the peer's lower age holds here too.
+            # The configurations are the same, so that the peer's later confirmation
+            # holds here too.
             self._configuration.update_age(age)
 
     async def run(self) -> None:
-        """Pull from peers that are ahead, as ``handle_peer_offset`` reports them."""
+        """Pull from the peers that ``handle_peer_offset`` finds to be ahead."""
         while True:
             control = await self._peers_ahead.get()
             try:
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -14,14 +14,14 @@
 
 
 class SnapshotWriter:
-    """Appends snapshots to the log before the platform deletes their records.
+    """Writes snapshots to the log before the platform deletes the records in them.
 
     Every node runs a writer, but the whole fleet writes only a few snapshots.
 
     Args:
         configuration: The configuration of this instance.
         log: Client of the platform's log.
-        reader: Tells whether this node is a reader; only readers write snapshots.
+        reader: The log reader of this node; only readers write snapshots.
         interval_seconds: Time between two snapshots.
         journal: Journal that receives the written snapshots.
     """
@@ -45,8 +45,8 @@
     async def run(self) -> None:
         """Write a snapshot whenever one is due and no other node has written it."""
         while True:
-            # With jitter, usually one node wakes first and writes, and the others read
-            # its snapshot from the log before they check.
+            # The jitter usually lets one node wake first and write a snapshot, which
+            # the others have read from the log when they wake.
             await asyncio.sleep(random.uniform(0.05, 0.15) * self._interval_seconds)
             if self._is_due():
                 await self._write()
@@ -57,8 +57,8 @@
             self._latest_offset = latest
             self._latest_seen_at = time.monotonic()
         new_records = self._configuration.next_offset - max(latest, 0)
-        # Snapshots are themselves records, so that one is also due without any edits:
-        # the platform deletes the last snapshot like any other record.
+        # A snapshot is also due without edits: the platform deletes old records, and
+        # the last snapshot is one of them.
         overdue = time.monotonic() - self._latest_seen_at > self._interval_seconds
         due = new_records > 0 and (
             overdue or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -1,8 +1,8 @@
 """Discovery of nodes through the membership stream, a topic of the platform's log.
 
 Gossip only connects nodes that know each other. Nodes that start at the same moment
-may find an empty stream, and after a long partition each side has removed the other
-from its member tables. Every node therefore repeats discovery for as long as it runs.
+may find the stream empty, and after a long network partition each side has removed the
+other side's nodes from its member tables. Every node therefore repeats discovery.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 from .members import Member
 
 ENTRY_FORMAT_VERSION = 1
-# Only the last entries are read: a few nodes that answer provide the whole table.
+# The newest entries suffice: each node that answers sends its whole member table.
 MAX_RECORDS_READ = 200
 INITIAL_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 5.0
@@ -36,8 +36,8 @@
 
     Args:
         log: Client of the platform's log.
-        renewal_seconds: Average interval at which a running node writes a join entry.
-        discovery_seconds: Maximum interval of discovery rounds, before jitter.
+        renewal_seconds: Average interval between join entries of a running node.
+        discovery_seconds: Maximum interval between discovery rounds, before jitter.
     """
 
     def __init__(
@@ -126,7 +126,7 @@
 
 
 def _read_entry(value: Any) -> tuple[str, str, bool] | None:
-    """Return instance, control address and whether it left; None if invalid."""
+    """Return instance, control address and whether it left; None if it is invalid."""
     if not isinstance(value, dict) or value.get("format") != ENTRY_FORMAT_VERSION:
         return None
     instance, control = value.get("instance"), value.get("control")
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -21,17 +21,19 @@
 
     Args:
         work: Processing time of a call in seconds.
-        jitter_ratio: Jitter of the processing time; 0.2 varies it by up to 20 % either way.
-        slots: Maximum number of calls in flight; further calls are queued.
-        max_queued: Number of queued calls from which new ones are refused, or None.
+        jitter_ratio: Jitter of the processing time, such as 0.2 for 20 % either way.
+        slots: Maximum number of calls processed at once; further calls are queued.
+        max_queued: Maximum number of queued calls; further calls are refused. None for
+            no limit.
         cold_start_seconds: Duration of the slow phase after the start.
-        cold_start_factor: Factor by which processing is slower in that phase.
+        cold_start_factor: Factor of the processing time in that phase.
         response_bytes: Minimum size of a response body.
         nested: Paths of calls that each call makes first, such as ``/archive/x``.
-        announced_slots: Slots that it announces if other than ``slots``.
+        announced_slots: Number of slots that it announces, if other than ``slots``.
 
     Attributes:
-        responses_to_truncate: Number of next responses cut off after half the body.
+        responses_to_truncate: Number of responses still to be cut off after half the
+            body.
         never_responds: Whether calls in flight are held without a response.
     """
 
@@ -82,7 +84,7 @@
 
     @property
     def workspace(self) -> str:
-        """Workspace that the node named in the request headers, or an empty string."""
+        """Workspace in the header that the node sets, or an empty string."""
         return self.headers.get("primroseglade-workspace", "")
 
 
@@ -96,7 +98,8 @@
         address: ``IP:PORT`` to listen on.
         connections: Connection limit that it announces.
         seed: Seed of the jitter of processing times.
-        max_seen: Number of the latest requests kept in ``seen``; None for all.
+        max_seen: Maximum length of ``seen``, which keeps the latest requests; None for
+            no limit.
     """
 
     def __init__(
@@ -148,7 +151,7 @@
         await self._listener.wait_started()
 
     async def drain(self) -> None:
-        """Refuse new calls and announce it to the node."""
+        """Refuse new calls from now on, and announce the drain to the node."""
         self.draining = True
         await self.announce()
 
@@ -193,7 +196,7 @@
         assert task is not None
         scope["on_disconnect"] = task.cancel
         if scope["method"] == "OPTIONS":
-            # Health check of a node: it is not a call and occupies no slot.
+            # A node's health check is not a call, so that it occupies no slot.
             await _send_json(send, 200, {})
             return
         target = scope["raw_path"].decode("latin-1")
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -17,7 +17,7 @@
 
 
 class EmbeddedInstance:
-    """A node with its own network and the backend server beside it, if any."""
+    """A node, its own simulated network, and its local backend server, if any."""
 
     def __init__(
         self, node: Node, network: PartitionableNetwork, backend: BackendStandIn | None
@@ -47,7 +47,7 @@
     """Starts, partitions and stops the parts of a fleet.
 
     Args:
-        settings: Groups of node settings that replace the defaults.
+        settings: Node settings that differ from the defaults, by group.
         retention: Maximum number of records per topic of the log.
     """
 
@@ -80,7 +80,7 @@
         return [instance.node for instance in self.instances if not instance.stopped]
 
     async def publish(self, author: str = "operator", **kinds: dict[str, Any]) -> int:
-        """Append an edit based on the section versions that the first node applied.
+        """Append an edit that replaces the section versions that the first node knows.
 
         Args:
             author: Name of the operator who publishes.
@@ -133,7 +133,7 @@
         return started
 
     async def stop(self, instance: EmbeddedInstance) -> None:
-        """Drain and stop an instance gracefully, the node before its backend server."""
+        """Drain an instance, then stop its node and after that its backend server."""
         instance.stopped = True
         if instance.backend is not None:
             await instance.backend.drain()
@@ -190,8 +190,8 @@
     async def wait_ready(self) -> None:
         """Wait until the fleet is ready.
 
-        Nodes know each other, backend servers serve, and each rate has a lease holder
-        in every zone that has a share.
+        That is when nodes know each other, backend servers serve, and each rate has a
+        lease holder in every zone that has a share of the rates.
         """
         await self.wait(self._is_ready, what="the fleet to be ready")
 
@@ -222,7 +222,7 @@
         return self._has_rate_lease_holders()
 
     def _has_rate_lease_holders(self) -> bool:
-        """Return whether each zone with a share has a lease holder for every rate."""
+        """Return whether each zone with a share of the rates has all lease holders."""
         nodes = self.nodes
         document = nodes[0].configuration.document
         for zone in {node.settings.zone for node in nodes}:
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -1,4 +1,4 @@
-"""Stand-in for a NAT or firewall that may lose track of open connections."""
+"""Stand-in for a NAT or firewall that forgets open connections and drops their data."""
 
 import asyncio
 
@@ -18,6 +18,7 @@
     def __init__(self, target: str):
         self._host, self._port = parse_address(target)
         self._blackholed: set[asyncio.Event] = set()
+        # An event for each open connection, set when its data is to be dropped.
         self._blackhole_events: set[asyncio.Event] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
@@ -42,9 +43,9 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def blackhole_connections(self) -> int:
-        """Drop all further data on open connections and return how many there are.
+        """Drop all further data on the open connections and return their number.
 
-        They stay open, so that neither end gets an error.
+        The connections stay open, so that neither end gets an error.
         """
         count = len(self._blackhole_events)
         for blackholed in self._blackhole_events:
@@ -74,7 +75,7 @@
         except OSError:
             return
         except asyncio.CancelledError:
-            # From stop(); asyncio would log a cancelled connection as an error.
+            # Raised by stop(). If it propagated, asyncio would log it as an error.
             return
         finally:
             self._blackhole_events.discard(blackholed)
@@ -89,7 +90,7 @@
     while True:
         data = await reader.read(65536)
         if blackholed.is_set():
-            # Discarded; this end's kernel has acknowledged the data to the sender.
+            # The data is lost although the kernel has acknowledged it to the sender.
             if not data:
                 return
             continue
--- a/primroseglade/stand_ins/log.py
+++ b/primroseglade/stand_ins/log.py
@@ -16,9 +16,9 @@
     """Faults that the log injects at present.
 
     Args:
-        outage: Whether every request is answered 503.
+        outage: Whether every request is answered with status 503.
         delay: Seconds added to every request.
-        lose_answers: Number of the next appends that are applied but answered 504.
+        lose_answers: Number of appends still to be applied but answered 504.
     """
 
     __slots__ = ("delay", "lose_answers", "outage")
--- a/primroseglade/stand_ins/mesh_backend.py
+++ b/primroseglade/stand_ins/mesh_backend.py
@@ -15,21 +15,21 @@
     """Serves requests after a fixed processing time and reports its status.
 
     Args:
-        instance: Instance id.
+        instance: Instance id of the backend server.
         service: Name of the service.
         address: ``IP:PORT`` to listen on.
         control: ``IP:PORT`` of the node's control listener.
         slots: Number of slots that it reports.
         processing_seconds: Processing time of a request in seconds.
         start_time_ms: Reported start time in Unix milliseconds.
-        reported_address: ``IP:PORT`` that it reports if other than ``address``.
+        reported_address: ``IP:PORT`` that it reports, if other than ``address``.
 
     Attributes:
         state: State that it reports, such as ``ready`` or ``draining``.
         executed_request_ids: Ids of the requests that began to run.
         cancelled: Number of requests that were cancelled while they ran.
         seen_headers: Headers of all requests, also of those refused as misdirected.
-        answer: Builds responses in place of the usual ones, or None.
+        answer: Function that builds the responses, or None for the usual ones.
     """
 
     def __init__(
@@ -85,7 +85,7 @@
         return await self.send_control_request("PUT", json.dumps(body).encode())
 
     async def deregister(self) -> int:
-        """Deregister from the node and return the response status, 0 for none."""
+        """Deregister from the node; return the response status, 0 for no response."""
         return await self.send_control_request("DELETE", b"")
 
     async def send_control_request(self, method: str, body: bytes) -> int:
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -16,7 +16,7 @@
 from primroseglade.stand_ins.mesh_backend import MeshBackend
 
 PROCESSING_SECONDS_RANGE = (0.005, 0.06)
-# Time for which it keeps serving after the node acknowledged its drain.
+# The backend server serves for this long after it has reported its drain.
 LINGER_SECONDS = 2.5
 
 
@@ -27,7 +27,7 @@
 
 
 class SoakBackend(MeshBackend):
-    """Reports each execution and returns the request id in the response body."""
+    """Writes an event for each execution; responds with the request id in the body."""
 
     async def _handle(self, request: Request) -> Reply:
         headers = {name.decode().lower(): v.decode() for name, v in request.headers}
--- a/soak/checks.py
+++ b/soak/checks.py
@@ -2,12 +2,12 @@
 
 # The platform requires that a withdrawn key stops working within this time.
 MAX_REVOCATION_SECONDS = 5.0
-# A backend server receives no requests later than this after its drain was
-# acknowledged.
+# Time after the acknowledgment of its drain in which a backend server may still receive
+# requests.
 MAX_DRAIN_SECONDS = 2.0
 # Tolerance for timestamps of different processes on a loaded machine.
 TIMESTAMP_TOLERANCE_SECONDS = 0.3
-# A response with one of these guarantees that the request was not executed.
+# A response with one of these statuses guarantees that the request was not executed.
 NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
 
 
--- a/soak/machines.py
+++ b/soak/machines.py
@@ -1,4 +1,4 @@
-"""A node and its backend server as processes, with methods that disturb them."""
+"""Runs a node and its backend server as processes, and injects faults into them."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 from .proxy import build_fault_proxy, FaultProxy
 
-# The same ports on each machine: every machine has its own loopback address.
+# All machines use the same ports, each on a loopback address of its own.
 (
     OUTBOUND_PORT,
     READY_PORT,
@@ -33,7 +33,7 @@
     """One emulated machine: a node, its backend server and their fault proxies.
 
     Args:
-        number: Index of the machine; determines service, zone and loopback address.
+        number: Index of the machine, which determines its service, zone and address.
         network_prefix: First three octets of the loopback addresses.
         store_address: ``IP:PORT`` of the store.
         folder: Folder for settings and logs.
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -19,7 +19,8 @@
     NONE = "none"
     DELAY = "delay"
     RESET = "reset"
-    # Connections that are open now stay open but carry no more data; new ones work.
+    # Connections open at the fault's start stay open but carry no more data; new
+    # connections work.
     SILENCE = "silence"
     # Data reaches the target; data from the target is dropped.
     ONE_WAY = "one way"
--- a/soak/run.py
+++ b/soak/run.py
@@ -22,9 +22,9 @@
 MEAN_CALLER_PAUSE_SECONDS = 0.05
 REQUEST_TIMEOUT_SECONDS = 3.0
 WARM_UP_SECONDS = 3.0
-# Time after the last fault, by the end of which requests must succeed again.
+# Requests must succeed again within this time after the last fault.
 RECOVERY_SECONDS = 10.0
-# Share of the final requests that must succeed.
+# Fraction of the last requests of the run that must succeed.
 MIN_RECOVERED_RATIO = 0.9
 TENANTS_BY_KEY = {"key-a": "north", "key-b": "north", "key-c": "south"}
 KINDS_BY_ROUTE = {"front": "safe", "deep": "safe", "once": "unsafe"}
@@ -45,7 +45,8 @@
     ):
         self._random = random.Random(seed)
         self._fault_seconds = fault_seconds
-        # Not from the seed: concurrent runs on one host need different addresses.
+        # The addresses do not depend on the seed: concurrent runs on one host, also of
+        # the same seed, need different ones.
         system_random = random.SystemRandom()
         network = (
             f"127.{system_random.randrange(10, 250)}.{system_random.randrange(250)}"
@@ -129,7 +130,7 @@
             )
             self.record.requests[request.request_id] = request
             with contextlib.suppress(ExchangeError, TimeoutError):
-                # No response is a valid outcome; it guarantees nothing.
+                # A request without a response violates no guarantee.
                 async with asyncio.timeout(REQUEST_TIMEOUT_SECONDS):
                     await self._send_request(pool, request, route)
 
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -17,7 +17,7 @@
     "key-withdrawn",
     "rate-changed",
 )
-# Mean of a Poisson process: faults can come in bursts and overlap.
+# Rate of a Poisson process, in which faults can come in bursts and overlap.
 MEAN_FAULTS_PER_SECOND = 0.7
 MAX_FAULT_SECONDS = 4.0
 
@@ -28,9 +28,9 @@
     Args:
         start_seconds: Time from the start of the schedule.
         kind: One of `FAULT_KINDS`.
-        duration_seconds: How long it lasts, for kinds that last.
-        machine_index: Index of the affected machine, for kinds that affect one.
-        variant: Random number from which some kinds choose what they do.
+        duration_seconds: Duration; ignored by kinds that happen at one moment.
+        machine_index: Index of the affected machine; ignored by kinds that affect none.
+        variant: Random number; some kinds use it to choose a key, a rate or a fault.
     """
 
     __slots__ = (
