--- a/bench/members.py
+++ b/bench/members.py
@@ -63,23 +63,23 @@
         nodes, operator_addresses = await start_nodes(processes, size)
         await wait_for_members(operator_addresses, size)
         await asyncio.sleep(5)
-        idle = await measure_usage(
+        idle_usage = await measure_usage(
             nodes, operator_addresses, asyncio.sleep(IDLE_SECONDS)
         )
-        edits = await measure_usage(
+        edit_usage = await measure_usage(
             nodes, operator_addresses, publish_edits(processes, operator_addresses)
         )
         memory_mib = sum(node.memory_mib for node in nodes) / size
         return {
-            "at rest, cpu % of a core": idle["cpu"] * 100,
-            "at rest, bytes/s out and in": idle["bytes"],
-            "at rest, messages/s out": idle["messages"],
-            "an edit, cpu ms a node": (edits["cpu"] - idle["cpu"])
-            * edits["seconds"]
+            "at rest, cpu % of a core": idle_usage["cpu"] * 100,
+            "at rest, bytes/s out and in": idle_usage["bytes"],
+            "at rest, messages/s out": idle_usage["messages"],
+            "an edit, cpu ms a node": (edit_usage["cpu"] - idle_usage["cpu"])
+            * edit_usage["seconds"]
             / EDIT_COUNT
             * 1000,
-            "an edit, bytes a node": (edits["bytes"] - idle["bytes"])
-            * edits["seconds"]
+            "an edit, bytes a node": (edit_usage["bytes"] - idle_usage["bytes"])
+            * edit_usage["seconds"]
             / EDIT_COUNT,
             "memory MB": memory_mib,
         }
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -91,7 +91,7 @@
     seed: int,
 ) -> CaseOutcome:
     """Send open-loop demand to the nodes and return its outcome."""
-    rate, burst, demand = case
+    rate, burst, demand_ratio = case
     rng = random.Random(seed)
     outcome = CaseOutcome(rate, burst)
     tasks = []
@@ -107,7 +107,7 @@
     due = time.monotonic()
     end = due + seconds
     while due < end:
-        due += rng.expovariate(rate * demand)
+        due += rng.expovariate(rate * demand_ratio)
         await asyncio.sleep(max(0.0, due - time.monotonic()))
         tasks.append(asyncio.create_task(send_call(choose_node(nodes, rng))))
     await asyncio.gather(*tasks)
@@ -165,7 +165,7 @@
             for _ in range(NODES_PER_ZONE):
                 await fleet.add(zone)
         await fleet.wait_ready()
-        for demand, choose_node in DEMAND_PATTERNS.items():
+        for pattern_name, choose_node in DEMAND_PATTERNS.items():
             # Let all buckets fill up before each pattern.
             await asyncio.sleep(3)
             outcomes = await asyncio.gather(
@@ -178,7 +178,7 @@
             )
             for name, outcome in zip(CASES, outcomes, strict=True):
                 granted = sum(granted_at is not None for _, granted_at in outcome.calls)
-                figures.setdefault(demand, {})[name] = {
+                figures.setdefault(pattern_name, {})[name] = {
                     "asked": len(outcome.calls),
                     "granted": granted,
                     "granted/allowed, worst window": outcome.find_worst_window(),
--- a/primroseglade/demo/callers.py
+++ b/primroseglade/demo/callers.py
@@ -46,7 +46,7 @@
         self._call_count = 0
         self.records: list[CallRecord] = []
 
-    async def run(self, until: float) -> None:
+    async def run(self, end_time: float) -> None:
         """Send calls until a time of the loop's clock and wait for all responses."""
         clock = asyncio.get_running_loop().time
         names = list(self._deployment.workspaces)
@@ -55,7 +55,7 @@
             for name, weight in self._deployment.workspaces.items()
         ]
         next_call_at = clock()
-        while next_call_at < until:
+        while next_call_at < end_time:
             next_call_at += self._random.expovariate(
                 self._rate_per_second * sum(weights)
             )
--- a/primroseglade/demo/checks.py
+++ b/primroseglade/demo/checks.py
@@ -104,11 +104,13 @@
 
 @guarantee("A request is retried a bounded number of times across the whole chain")
 def _check_retries(evidence: Evidence) -> tuple[int, int]:
-    starts = collections.Counter(
+    execution_counts = collections.Counter(
         item.headers.get("traceparent", "")[3:35] for item in evidence.all_seen
     )
-    bound = MAX_CALL_CHAIN_LENGTH * (1 + evidence.retry_tokens)
-    return len(starts), sum(count > bound for count in starts.values())
+    max_executions = MAX_CALL_CHAIN_LENGTH * (1 + evidence.retry_tokens)
+    return len(execution_counts), sum(
+        count > max_executions for count in execution_counts.values()
+    )
 
 
 @guarantee("Under overload the critical class is shed last")
@@ -116,18 +118,20 @@
     if evidence.overload is None:
         return 0, 0
     start, end = evidence.overload
-    served: dict[str, list[bool]] = collections.defaultdict(list)
+    served_flags: dict[str, list[bool]] = collections.defaultdict(list)
     for call in evidence.calls:
         # A call over the rate limit is refused, but that is not load shedding.
         if start <= call.sent_at < end and call.outcome != "rate-exceeded":
-            served[call.service].append(call.fully_served)
-    served_ratios = {name: sum(items) / len(items) for name, items in served.items()}
+            served_flags[call.service].append(call.fully_served)
+    served_ratios = {
+        name: sum(items) / len(items) for name, items in served_flags.items()
+    }
     critical = evidence.deployment.critical_service
     deep = evidence.deployment.deep_service
     critical_ratio = served_ratios.pop(critical, 1.0)
     # Only the slowed service sheds load: calls of services that do not use it are
     # served, so that their ratios say nothing about the order.
-    return len(served.get(critical, ())), int(
+    return len(served_flags.get(critical, ())), int(
         critical_ratio + SERVED_RATIO_TOLERANCE < served_ratios.get(deep, 0.0)
     )
 
@@ -161,7 +165,7 @@
 def _check_withdrawal(evidence: Evidence) -> tuple[int, int]:
     if evidence.withdrawn is None:
         return 0, 0
-    workspace, key_number, at = evidence.withdrawn
+    workspace, key_number, withdrawn_at = evidence.withdrawn
     ids = {
         call.id
         for call in evidence.calls
@@ -171,13 +175,13 @@
         item
         for item in evidence.all_seen
         if item.headers.get("x-echo", "") in ids
-        and item.received_at > at + WITHDRAWAL_DEADLINE_SECONDS
+        and item.received_at > withdrawn_at + WITHDRAWAL_DEADLINE_SECONDS
     ]
-    tried = sum(
-        call.id in ids and call.sent_at > at + WITHDRAWAL_DEADLINE_SECONDS
+    checked = sum(
+        call.id in ids and call.sent_at > withdrawn_at + WITHDRAWAL_DEADLINE_SECONDS
         for call in evidence.calls
     )
-    return tried, len(late)
+    return checked, len(late)
 
 
 @guarantee("No workspace gets more than its rate and burst over all instances")
@@ -186,23 +190,25 @@
     for workspace, (rate, burst) in evidence.rates.items():
         # A call takes its token between its start and its end: calls that lie wholly
         # within a window have all taken their tokens within the window.
-        charged = sorted(
+        intervals = sorted(
             (call.sent_at, call.ended_at)
             for call in evidence.calls
             if call.workspace == workspace and call.outcome == "served"
         )
-        ends = sorted(end for _, end in charged)
+        ends = sorted(end for _, end in intervals)
         violations += any(
-            _count_inside(charged, start, end) > burst + rate * (end - start) + 1
-            for start, _ in charged[::3]
+            _count_inside(intervals, start, end) > burst + rate * (end - start) + 1
+            for start, _ in intervals[::3]
             for end in ends[::3]
             if end > start
         )
     return len(evidence.rates), violations
 
 
-def _count_inside(charged: list[tuple[float, float]], start: float, end: float) -> int:
-    return sum(start <= sent_at and ended_at <= end for sent_at, ended_at in charged)
+def _count_inside(
+    intervals: list[tuple[float, float]], start: float, end: float
+) -> int:
+    return sum(start <= sent_at and ended_at <= end for sent_at, ended_at in intervals)
 
 
 @guarantee("Every caller receives the whole answer to its own request")
@@ -225,19 +231,21 @@
 @guarantee("A non-idempotent request runs at most once")
 def _check_at_most_once(evidence: Evidence) -> tuple[int, int]:
     posts = {call.id for call in evidence.calls if call.method == "POST"}
-    starts = collections.Counter(
+    execution_counts = collections.Counter(
         item.operation_id for item in evidence.all_seen if item.operation_id in posts
     )
-    return len(starts), sum(count > 1 for count in starts.values())
+    return len(execution_counts), sum(count > 1 for count in execution_counts.values())
 
 
 @guarantee("A leaving backend server receives no new work after a few seconds")
 def _check_drain(evidence: Evidence) -> tuple[int, int]:
     if evidence.drained is None:
         return 0, 0
-    address, at = evidence.drained
+    address, drain_started_at = evidence.drained
     late = [
-        s for s in evidence.seen[address] if s.received_at > at + DRAIN_DEADLINE_SECONDS
+        request
+        for request in evidence.seen[address]
+        if request.received_at > drain_started_at + DRAIN_DEADLINE_SECONDS
     ]
     return len(evidence.seen[address]), len(late)
 
@@ -247,18 +255,18 @@
     if evidence.stop is None:
         return 0, 0
     start, end = evidence.stop
-    during = [
+    overlapping = [
         call for call in evidence.calls if call.sent_at < end and call.ended_at > start
     ]
-    lost = ("connection-lost", "answer-broken")
-    return len(during), sum(call.outcome in lost for call in during)
+    lost_outcomes = ("connection-lost", "answer-broken")
+    return len(overlapping), sum(call.outcome in lost_outcomes for call in overlapping)
 
 
 @guarantee("An accepted configuration never reverts")
 def _check_no_revert(evidence: Evidence) -> tuple[int, int]:
     if evidence.withdrawn is None:
         return 0, 0
-    workspace, key_number, at = evidence.withdrawn
+    workspace, key_number, withdrawn_at = evidence.withdrawn
     # An instance that has refused the withdrawn key must not accept it again. Callers
     # do not see which instance refused it: after the deadline none may accept it.
     later = [
@@ -266,6 +274,6 @@
         for call in evidence.calls
         if call.workspace == workspace
         and call.key_number == key_number
-        and call.sent_at > at + WITHDRAWAL_DEADLINE_SECONDS
+        and call.sent_at > withdrawn_at + WITHDRAWAL_DEADLINE_SECONDS
     ]
     return len(later), sum(call.outcome == "served" for call in later)
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -98,11 +98,11 @@
 def _used_withdrawn_key(call: CallRecord, evidence: Evidence) -> bool:
     if evidence.withdrawn is None:
         return False
-    workspace, key_number, at = evidence.withdrawn
+    workspace, key_number, withdrawn_at = evidence.withdrawn
     return (
         call.workspace == workspace
         and call.key_number == key_number
-        and call.sent_at > at
+        and call.sent_at > withdrawn_at
     )
 
 
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -70,9 +70,9 @@
             )
             evidence = self._build_evidence(fleet, callers)
             loop = asyncio.get_running_loop()
-            until = loop.time() + self._duration_seconds
+            end_time = loop.time() + self._duration_seconds
             async with asyncio.TaskGroup() as group:
-                group.create_task(callers.run(until))
+                group.create_task(callers.run(end_time))
                 group.create_task(self._withdraw_key(fleet, evidence))
                 group.create_task(self._drain_and_stop(fleet, evidence))
                 group.create_task(self._slow_down(fleet, evidence))
@@ -164,9 +164,9 @@
 
     async def _show_progress(self, callers: Callers) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._duration_seconds
+        end_time = loop.time() + self._duration_seconds
         shown = 0
-        while loop.time() < until:
+        while loop.time() < end_time:
             await asyncio.sleep(1.0)
             recent = [call for call in callers.records[shown:] if call.ended_at]
             shown = len(callers.records)
--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -112,7 +112,7 @@
         deadline = clock() + timeout
         silent_addresses: list[str] = []
         while group and clock() < deadline:
-            first, *rest = group
+            first_address, *rest = group
             # Half of the remaining time, so that the next node can still be tried.
             first_timeout = (deadline - clock()) / (2 if rest else 1)
             request = pb.ConfirmRequest(
@@ -120,10 +120,10 @@
             )
             try:
                 reply = await self._client.call(
-                    first, "Confirm", request, first_timeout
+                    first_address, "Confirm", request, first_timeout
                 )
             except PeerError:
-                silent_addresses.append(first)
+                silent_addresses.append(first_address)
                 group = rest
                 continue
             reply.silent.extend(silent_addresses)
--- a/primroseglade/fleet/gossip.py
+++ b/primroseglade/fleet/gossip.py
@@ -178,14 +178,14 @@
     def _build_exchange_loop(self, name: str) -> Callable[[], Awaitable[None]]:
         async def keep_exchanging() -> None:
             wakeup = self._wakeups[name]
-            rounds = random.randrange(COMPARE_INTERVAL_ROUNDS)
+            round_number = random.randrange(COMPARE_INTERVAL_ROUNDS)
             while True:
                 member = self._members.get(name)
                 if member is None or not member.reachable:
                     return
-                rounds += 1
+                round_number += 1
                 await self._exchange_or_suspect(
-                    member, rounds % COMPARE_INTERVAL_ROUNDS == 0
+                    member, round_number % COMPARE_INTERVAL_ROUNDS == 0
                 )
                 pause = self._period_seconds * random.uniform(0.8, 1.2)
                 try:
--- a/primroseglade/fleet/hashing.py
+++ b/primroseglade/fleet/hashing.py
@@ -34,7 +34,7 @@
 
         Args:
             zone: Name of the availability zone.
-            key: Any text; always passed with the same ``limit``, which is not cached.
+            key: Any text; use one ``limit`` per key, which the cache does not tell apart.
             limit: Maximum number of instances.
         """
         version = self._members.get_zone_version(zone)
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -146,7 +146,7 @@
             own.zone: {own.instance: own}
         }
         self._zone_versions: dict[str, int] = {own.zone: 1}
-        self._not_alive: set[str] = set()
+        self._not_alive_names: set[str] = set()
         self._bucket_hashes = [0] * BUCKET_COUNT
         self._toggle_in_bucket_hash(own)
 
@@ -209,16 +209,16 @@
         zone.
         """
         reachable = len(self._reachable_by_zone.get(zone, {}))
-        not_alive = (self._table[instance] for instance in self._not_alive)
+        not_alive = (self._table[instance] for instance in self._not_alive_names)
         dead = sum(m.zone == zone and m.state is State.DEAD for m in not_alive)
         return reachable, reachable + dead
 
     def count_by_state(self) -> dict[State, int]:
         """Return the number of members in each state."""
         counts = dict.fromkeys(State, 0)
-        for instance in self._not_alive:
+        for instance in self._not_alive_names:
             counts[self._table[instance].state] += 1
-        counts[State.ALIVE] = len(self._table) - len(self._not_alive)
+        counts[State.ALIVE] = len(self._table) - len(self._not_alive_names)
         return counts
 
     def update_own(self, **changes: Any) -> None:
@@ -266,7 +266,7 @@
             suspicion_seconds: Time that a suspect member has to refute the suspicion.
         """
         now = self._clock()
-        for member in [self._table[instance] for instance in self._not_alive]:
+        for member in [self._table[instance] for instance in self._not_alive_names]:
             age = now - self._state_since[member.instance]
             if member.state is State.SUSPECT and age > suspicion_seconds:
                 self.declare_dead(member.instance)
@@ -367,9 +367,9 @@
     def _update_indexes(self, member: Member, previous: Member | None) -> None:
         """Update the indexes by state and zone, which save scans of the table."""
         if member.state is State.ALIVE:
-            self._not_alive.discard(member.instance)
+            self._not_alive_names.discard(member.instance)
         else:
-            self._not_alive.add(member.instance)
+            self._not_alive_names.add(member.instance)
         if previous is not None and previous.zone != member.zone:
             self._remove_from_zone(previous)
         if member.reachable:
@@ -398,7 +398,7 @@
 
     def _remove(self, instance: str) -> None:
         member = self._table.pop(instance)
-        self._not_alive.discard(instance)
+        self._not_alive_names.discard(instance)
         self._remove_from_zone(member)
         self._toggle_in_bucket_hash(member)
         if self._instance_by_control.get(member.control) == instance:
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -39,8 +39,8 @@
         self._reader = reader
         self._interval_seconds = interval_seconds
         self._journal = journal
-        self._latest_offset = -1
-        self._latest_seen_at = time.monotonic()
+        self._latest_snapshot_offset = -1
+        self._latest_snapshot_seen_at = time.monotonic()
 
     async def run(self) -> None:
         """Write a snapshot whenever one is due and no other node has written it."""
@@ -52,16 +52,18 @@
                 await self._write()
 
     def _is_due(self) -> bool:
-        latest = self._configuration.fold.latest_snapshot_offset
-        if latest != self._latest_offset:
-            self._latest_offset = latest
-            self._latest_seen_at = time.monotonic()
-        new_records = self._configuration.next_offset - max(latest, 0)
+        latest_offset = self._configuration.fold.latest_snapshot_offset
+        if latest_offset != self._latest_snapshot_offset:
+            self._latest_snapshot_offset = latest_offset
+            self._latest_snapshot_seen_at = time.monotonic()
+        new_records = self._configuration.next_offset - max(latest_offset, 0)
         # A snapshot is also due without edits: the platform deletes old records, and
         # the last snapshot is one of them.
-        overdue = time.monotonic() - self._latest_seen_at > self._interval_seconds
+        interval_passed = (
+            time.monotonic() - self._latest_snapshot_seen_at > self._interval_seconds
+        )
         due = new_records > 0 and (
-            overdue or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
+            interval_passed or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
         )
         return due and self._reader.is_reader()
 
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -48,16 +48,16 @@
 
     Args:
         settings: Node settings that differ from the defaults, by group.
-        retention: Maximum number of records per topic of the log.
+        max_topic_records: Maximum number of records per topic of the log.
     """
 
     def __init__(
-        self, settings: dict[str, Any] | None = None, retention: int = 100_000
+        self, settings: dict[str, Any] | None = None, max_topic_records: int = 100_000
     ):
         self._settings = settings or {}
         self._tasks: list[asyncio.Task[None]] = []
         self._started_nodes = 0
-        self.log = LogStandIn(retention=retention)
+        self.log = LogStandIn(max_topic_records=max_topic_records)
         self.instances: list[EmbeddedInstance] = []
 
     async def __aenter__(self) -> "EmbeddedFleet":
--- a/primroseglade/stand_ins/log.py
+++ b/primroseglade/stand_ins/log.py
@@ -60,14 +60,14 @@
 
     Args:
         address: ``IP:PORT`` to listen on.
-        retention: Maximum number of records per topic.
+        max_topic_records: Maximum number of records per topic.
     """
 
-    def __init__(self, address: str = "127.0.0.1:0", retention: int = 100_000):
+    def __init__(self, address: str = "127.0.0.1:0", max_topic_records: int = 100_000):
         self.faults = LogFaults()
         self.appends = 0
         self.reads = 0
-        self._retention = retention
+        self._max_topic_records = max_topic_records
         self._topics: dict[str, Topic] = {}
         self._listener = Listener(self._build_application(), address)
 
@@ -86,7 +86,7 @@
         async with topic.changed:
             offset = topic.end_offset
             topic.records.append(value)
-            topic.truncate(self._retention)
+            topic.truncate(self._max_topic_records)
             topic.changed.notify_all()
         self.appends += 1
         return offset
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -63,7 +63,7 @@
 
 
 def generate_faults(
-    seed: int, seconds: float, machine_count: int
+    seed: int, schedule_seconds: float, machine_count: int
 ) -> list[ScheduledFault]:
     """Return the faults for a seed, the same in each run, ordered by start time.
 
@@ -74,7 +74,7 @@
     rng = random.Random(seed)
     faults: list[ScheduledFault] = []
     now = rng.expovariate(MEAN_FAULTS_PER_SECOND)
-    while now < seconds:
+    while now < schedule_seconds:
         faults.append(
             ScheduledFault(
                 now,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -20,8 +20,8 @@
 
 
 @contextlib.asynccontextmanager
-async def run_fleet(zones: str = "ab", retention: int = 100_000, **behavior):
-    async with EmbeddedFleet(FAST_SETTINGS, retention) as fleet:
+async def run_fleet(zones: str = "ab", max_topic_records: int = 100_000, **behavior):
+    async with EmbeddedFleet(FAST_SETTINGS, max_topic_records) as fleet:
         await fleet.publish(**build_document(tuple(sorted(set(zones)))))
         for zone in zones:
             await fleet.add(zone, "archive", BackendBehavior(**behavior))
@@ -178,7 +178,7 @@
     fast_snapshots = FAST_SETTINGS | {
         "fleet": FAST_SETTINGS["fleet"] | {"snapshot": 1.0}
     }
-    async with EmbeddedFleet(fast_snapshots, retention=4) as fleet:
+    async with EmbeddedFleet(fast_snapshots, max_topic_records=4) as fleet:
         await fleet.publish(**build_document(("a",)))
         await fleet.add("a", "archive")
         await fleet.wait_ready()
@@ -195,7 +195,7 @@
 
 async def test_forged_snapshot_is_rejected():
     """Someone who can write to the log, but lacks the fleet secret, appends one."""
-    async with EmbeddedFleet(FAST_SETTINGS, retention=1) as fleet:
+    async with EmbeddedFleet(FAST_SETTINGS, max_topic_records=1) as fleet:
         await fleet.publish(**build_document(("a",)))
         body = {"id": "x", "next_offset": 1, "part": 0, "parts": 1, "sections": {}}
         forged = {"format": 1, "snapshot": body, "mac": "0" * 64}
