--- a/primroseglade/fleet/hashing.py
+++ b/primroseglade/fleet/hashing.py
@@ -34,7 +34,8 @@
 
         Args:
             zone: Name of the availability zone.
-            key: Any text; use one ``limit`` per key, which the cache does not tell apart.
+            key: Any text; always use the same ``limit`` with it, as the cache ignores
+                limits.
             limit: Maximum number of instances.
         """
         version = self._members.get_zone_version(zone)
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -98,8 +98,7 @@
         address: ``IP:PORT`` to listen on.
         connections: Connection limit that it announces.
         seed: Seed of the jitter of processing times.
-        max_seen: Maximum length of ``seen``, which keeps the latest requests; None for
-            no limit.
+        max_seen: Number of latest requests that ``seen`` keeps; None for all.
     """
 
     def __init__(
