--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -111,7 +111,7 @@
 
 
 def build_edit() -> Edit:
-    """Return the edit that creates the document; its rate limits no call."""
+    """Return an edit that creates the document, with a rate that is never reached."""
     sections = {
         "zones/a": {"share": 1.0},
         "workspaces/bench": {"keys": [{"id": "bench", "digest": digest_key(API_KEY)}]},
--- a/bench/withdraw.py
+++ b/bench/withdraw.py
@@ -53,7 +53,7 @@
 
 @benchmark("withdraw")
 async def measure_withdraw(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure normal operation, a zone without the platform, and a slow platform."""
+    """Measure a normal fleet, a zone cut off from the platform, and a slow platform."""
     figures: dict[str, Any] = {}
     keys = [f"k{number}" for number in range(3 * KEYS_PER_CASE)]
     async with EmbeddedFleet(SETTINGS) as fleet:
--- a/primroseglade/fleet/confirm.py
+++ b/primroseglade/fleet/confirm.py
@@ -33,7 +33,7 @@
         self.silent = silent
 
     def find_behind(self, next_offset: int) -> list[str]:
-        """Return the names of the instances whose offset is lower than this one."""
+        """Return the names of instances that answered with an offset below this one."""
         return sorted(
             name for name, offset in self.offsets.items() if offset < next_offset
         )
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -84,9 +84,9 @@
         """Return the delay in seconds before the log is read again after a failure.
 
         In an outage the configuration of every node grows old, so that all nodes try to
-        read the log. Retries of all of them every second or two would overload a
-        recovering platform again. Only the readers retry that often: they notice the
-        recovery as soon as all nodes together would.
+        read the log. If all retried every second or two, they would overload a
+        recovering platform again. It is enough that the readers retry so often: they
+        notice the recovery and pass the records on to the other nodes.
         """
         if self.is_reader() or not self._configuration.ready:
             return random.uniform(delay / 2, delay)
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -280,7 +280,7 @@
     def take_updates(self, max_count: int) -> list[Member]:
         """Return up to ``max_count`` updates to send, those sent least often first.
 
-        Each returned update counts as sent; one that was sent often enough is removed.
+        Each returned update counts as sent; after its last time it is not sent again.
         """
         chosen = sorted(
             self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -20,7 +20,8 @@
 from .members import Member
 
 ENTRY_FORMAT_VERSION = 1
-# The newest entries suffice: each node that answers sends its whole member table.
+# The newest entries suffice: each node that answers sends all members that
+# this node lacks.
 MAX_RECORDS_READ = 200
 INITIAL_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 5.0
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -23,8 +23,8 @@
         work: Processing time of a call in seconds.
         jitter_ratio: Jitter of the processing time, such as 0.2 for 20 % either way.
         slots: Maximum number of calls processed at once; further calls are queued.
-        max_queued: Maximum number of queued calls; further calls are refused. None for
-            no limit.
+        max_queued: Number of queued calls at which new calls are refused, so that 0
+            refuses all; None for no limit.
         cold_start_seconds: Duration of the slow phase after the start.
         cold_start_factor: Factor of the processing time in that phase.
         response_bytes: Minimum size of a response body.
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -80,7 +80,7 @@
         return [instance.node for instance in self.instances if not instance.stopped]
 
     async def publish(self, author: str = "operator", **kinds: dict[str, Any]) -> int:
-        """Append an edit that replaces the section versions that the first node knows.
+        """Append an edit that is based on the first node's versions of the sections.
 
         Args:
             author: Name of the operator who publishes.
