--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,4 +1,4 @@
-"""Cost of a call: direct, over a bare relay, over one node and over two nodes."""
+"""Cost of a call: sent directly, through a bare relay, through one or two nodes."""
 
 import argparse
 import asyncio
@@ -40,8 +40,8 @@
         self.processes = processes
         self.latencies_us = HdrHistogram(1, MAX_LATENCY_US, 3)
         self.cpu_seconds = 0.0
-        self.seconds = 0.0
-        self.calls = 0
+        self.elapsed_seconds = 0.0
+        self.call_count = 0
 
     async def run_round(self, in_flight: int) -> None:
         """Send one round of calls over ``in_flight`` connections."""
@@ -51,9 +51,9 @@
         await asyncio.gather(
             *(self._send(calls_per_connection) for _ in range(in_flight))
         )
-        self.seconds += time.perf_counter() - started
+        self.elapsed_seconds += time.perf_counter() - started
         self.cpu_seconds += sum(p.cpu_seconds for p in self.processes) - cpu_before
-        self.calls += calls_per_connection * in_flight
+        self.call_count += calls_per_connection * in_flight
 
     async def _send(self, count: int) -> None:
         host, port = self.address.split(":")
@@ -75,7 +75,7 @@
         connection.close()
 
     def report(self, direct: "CallPath | None") -> dict[str, Any]:
-        """Return latencies, rate and CPU cost, and what the path adds to ``direct``."""
+        """Return latency, call rate, CPU cost, and the latency added to ``direct``."""
         figures: dict[str, Any] = {}
         for name, percentile in (("p50_ms", 50), ("p99_ms", 99)):
             figures[name] = self.latencies_us.get_value_at_percentile(percentile) / 1000
@@ -84,10 +84,10 @@
                     direct.latencies_us.get_value_at_percentile(percentile) / 1000
                 )
                 figures[f"added_{name}"] = round(figures[name] - direct_ms, 3)
-        figures["calls_per_s"] = round(self.calls / self.seconds)
+        figures["calls_per_s"] = round(self.call_count / self.elapsed_seconds)
         if self.processes and self.cpu_seconds:
-            figures["cpu_us_a_call"] = round(self.cpu_seconds / self.calls * 1e6)
-            figures["calls_per_core_s"] = round(self.calls / self.cpu_seconds)
+            figures["cpu_us_a_call"] = round(self.cpu_seconds / self.call_count * 1e6)
+            figures["calls_per_core_s"] = round(self.call_count / self.cpu_seconds)
         return figures
 
 
@@ -103,12 +103,15 @@
 
 
 def choose_first_port() -> int:
-    """Return the first of several hundred ports below the ephemeral port range."""
+    """Return a random port below the ephemeral port range.
+
+    The nodes of a benchmark listen on this port and the following ones.
+    """
     return 10_000 + find_free_ports(1)[0] % 20_000
 
 
 def build_edit() -> Edit:
-    """Return this benchmark's document, with a rate too high to limit any call."""
+    """Return an edit that creates the document, with a rate that is never reached."""
     sections = {
         "zones/a": {"share": 1.0},
         "workspaces/bench": {"keys": [{"id": "bench", "digest": digest_key(API_KEY)}]},
@@ -164,5 +167,5 @@
                 name: call_path.report(None if call_path is direct else direct)
                 for name, call_path in call_paths.items()
             }
-        figures["node memory MB"] = round(first_node.memory_mb, 1)
+        figures["node memory MB"] = round(first_node.memory_mib, 1)
     return figures
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -1,4 +1,4 @@
-"""Rate limits in a fleet at even and skewed demand: excess grants and refusals."""
+"""Accuracy of a fleet's rate limits at even and skewed demand."""
 
 import argparse
 import asyncio
@@ -39,7 +39,7 @@
 
 
 class CaseOutcome:
-    """Calls of one case: when each was sent, and when it got its token or None."""
+    """Calls of one case, as the times of sending and of the token (None if refused)."""
 
     def __init__(self, rate: float, burst: float):
         self.rate = rate
@@ -49,8 +49,8 @@
     def count_refused_within_rate(self) -> int:
         """Return how many more calls a single local bucket would have granted.
 
-        Only the totals are compared: above the rate, which of the calls get the tokens
-        is a matter of chance.
+        Only the totals are compared: above the rate, it is a matter of chance which
+        calls get the tokens.
         """
         ideal_bucket = Bucket(self.rate, self.burst, 0.0, 0.0)
         ideal_bucket.accrue(1e9)
@@ -69,7 +69,7 @@
         return max(0, ideal_count - granted_count)
 
     def find_worst_window(self) -> float:
-        """Return the highest granted / allowed ratio over all windows."""
+        """Return the maximum over all windows of granted calls / allowed calls."""
         times = sorted(
             granted_at for _, granted_at in self.calls if granted_at is not None
         )
@@ -91,7 +91,7 @@
     seed: int,
 ) -> CaseOutcome:
     """Send open-loop demand to the nodes and return its outcome."""
-    rate, burst, demand = case
+    rate, burst, demand_ratio = case
     rng = random.Random(seed)
     outcome = CaseOutcome(rate, burst)
     tasks = []
@@ -107,7 +107,7 @@
     due = time.monotonic()
     end = due + seconds
     while due < end:
-        due += rng.expovariate(rate * demand)
+        due += rng.expovariate(rate * demand_ratio)
         await asyncio.sleep(max(0.0, due - time.monotonic()))
         tasks.append(asyncio.create_task(send_call(choose_node(nodes, rng))))
     await asyncio.gather(*tasks)
@@ -165,7 +165,7 @@
             for _ in range(NODES_PER_ZONE):
                 await fleet.add(zone)
         await fleet.wait_ready()
-        for demand, choose_node in DEMAND_PATTERNS.items():
+        for pattern_name, choose_node in DEMAND_PATTERNS.items():
             # Let all buckets fill up before each pattern.
             await asyncio.sleep(3)
             outcomes = await asyncio.gather(
@@ -178,7 +178,7 @@
             )
             for name, outcome in zip(CASES, outcomes, strict=True):
                 granted = sum(granted_at is not None for _, granted_at in outcome.calls)
-                figures.setdefault(demand, {})[name] = {
+                figures.setdefault(pattern_name, {})[name] = {
                     "asked": len(outcome.calls),
                     "granted": granted,
                     "granted/allowed, worst window": outcome.find_worst_window(),
@@ -215,7 +215,7 @@
 
 @benchmark("rates")
 async def measure_rates(options: argparse.Namespace) -> dict[str, Any]:
-    """Compare zone buckets with loans, one zone for all rates, and a static split."""
+    """Compare buckets in all zones, a bucket in one zone, and a fixed part per node."""
     zones = DEPLOYMENTS[options.deployment].zones
     zone_buckets = await measure_fleet(options, zones, False)
     if "baselines" in options.off:
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -31,9 +31,9 @@
 
     Args:
         server_count: Number of backend servers.
-        slots_per_server: Calls that a backend server works on at once.
-        work_seconds: Work per call.
-        nested_paths: Paths that each call calls before its own work.
+        slots_per_server: Number of calls that a backend server processes at once.
+        work_seconds: Processing time of a call.
+        nested_paths: Paths of the calls that each call makes first.
     """
 
     def __init__(
@@ -62,8 +62,8 @@
         entry_service: Service that root calls go to.
         capacity: Root calls per second that the chain can serve.
         demand: Root calls per second by workspace.
-        important: Workspaces that call the critical route.
-        max_attempts: Maximum attempts of a caller per call.
+        important_workspaces: Workspaces whose calls are of critical importance.
+        max_attempts: Maximum number of attempts that a caller makes per call.
     """
 
     def __init__(
@@ -72,14 +72,14 @@
         entry_service: str,
         capacity: float,
         demand: dict[str, float],
-        important: tuple[str, ...] = (),
+        important_workspaces: tuple[str, ...] = (),
         max_attempts: int = 3,
     ):
         self.services = services
         self.entry_service = entry_service
         self.capacity = capacity
         self.demand = demand
-        self.important = important
+        self.important_workspaces = important_workspaces
         self.max_attempts = max_attempts
 
 
@@ -124,16 +124,21 @@
         self.executions: list[Any] = []
         self.fleet: EmbeddedFleet | None = None
 
-    async def run(self, seconds: float, disturbance: Any = None) -> None:
-        """Start the fleet, send calls for some seconds and record their outcomes."""
+    async def run(self, seconds: float, disturb: Any = None) -> None:
+        """Start the fleet, send calls and record their outcomes.
+
+        Args:
+            seconds: Duration of the load.
+            disturb: Called with the fleet at the start of the load, and awaited.
+        """
         settings = {name: dict(value) for name, value in SETTINGS.items()}
         with mechanisms_disabled(self._disabled, settings):
             async with EmbeddedFleet(settings) as fleet:
                 self.fleet = fleet
                 await self._start(fleet)
                 tasks = [self._send_all(fleet, seconds)]
-                if disturbance is not None:
-                    tasks.append(disturbance(fleet))
+                if disturb is not None:
+                    tasks.append(disturb(fleet))
                 await asyncio.gather(*tasks)
                 self.executions = [
                     item
@@ -206,7 +211,9 @@
 
     async def _call(self, client: Client, outcome: CallOutcome) -> None:
         workload = self._workload
-        path = "/important" if outcome.workspace in workload.important else "/x"
+        path = (
+            "/important" if outcome.workspace in workload.important_workspaces else "/x"
+        )
         headers = {"X-Echo": outcome.id, "X-Operation": outcome.id}
         try:
             reply = await client.call(workload.entry_service, path, headers=headers)
@@ -217,7 +224,7 @@
         outcome.ended_at = time.monotonic()
 
     def report(self, start: float, end: float) -> dict[str, Any]:
-        """Return the figures of the calls that were due in ``[start, end)``."""
+        """Return the figures of the calls that were sent in ``[start, end)``."""
         workload = self._workload
         offered = [o for o in self.outcomes if start <= o.sent_at < end]
         served = [o for o in offered if o.served]
@@ -246,18 +253,22 @@
             {name: offered_by_workspace[name] / seconds for name in workload.demand},
             workload.capacity,
         )
-        others = [name for name in workload.demand if name not in workload.important]
+        others = [
+            name
+            for name in workload.demand
+            if name not in workload.important_workspaces
+        ]
         worst_ratio = min(
             served_by_workspace[name] / seconds / max(fair_shares[name], 1e-9)
             for name in others
         )
         figures = {"worst workspace / fair share": worst_ratio}
-        if workload.important:
+        if workload.important_workspaces:
             important_offered = sum(
-                offered_by_workspace[name] for name in workload.important
+                offered_by_workspace[name] for name in workload.important_workspaces
             )
             important_served = sum(
-                served_by_workspace[name] for name in workload.important
+                served_by_workspace[name] for name in workload.important_workspaces
             )
             figures["important served"] = important_served / max(1, important_offered)
         return figures
@@ -294,7 +305,7 @@
 
 
 def compute_fair_shares(demand: dict[str, float], capacity: float) -> dict[str, float]:
-    """Return the max-min fair shares of a capacity by name."""
+    """Return the max-min fair share of the capacity for each name in ``demand``."""
     shares: dict[str, float] = {}
     remaining = capacity
     for number, name in enumerate(sorted(demand, key=lambda key: demand[key])):
--- a/primroseglade/demo/deployments.py
+++ b/primroseglade/demo/deployments.py
@@ -4,8 +4,8 @@
 
 from ..document.document import digest_key
 
-# Divides the slots of all backend servers: they share one process, which could not
-# fill them otherwise. Limits that are relative to slots stay in proportion.
+# The slots of each backend server are divided by this: all run in one process, which
+# could not fill more. Limits that are relative to slots stay in proportion.
 SLOTS_DIVISOR = 20
 MIN_SLOTS = 4
 
@@ -54,7 +54,7 @@
     Args:
         name: Name of the deployment.
         zones: Availability zones, which get equal shares of each rate.
-        services: Services by name; the first is the end of the call chains.
+        services: Services by name; the first is the one that other services call.
         workspaces: Fraction of all root calls that each workspace sends, by name.
     """
 
@@ -74,7 +74,7 @@
 
     @property
     def deep_service(self) -> str:
-        """Service at the end of the call chains, which the demo slows down."""
+        """Service that other services call, and that the demo slows down."""
         return next(iter(self.services))
 
     @property
@@ -127,7 +127,8 @@
     return f"demo-key-of-{workspace}-number-{number}"
 
 
-SPLIT = Deployment(
+# Split and Lagos are the cities that the deployments serve.
+SPLIT_DEPLOYMENT = Deployment(
     "split",
     ("split-a", "split-b", "split-c", "split-d"),
     {
@@ -148,7 +149,7 @@
     },
 )
 
-LAGOS = Deployment(
+LAGOS_DEPLOYMENT = Deployment(
     "lagos",
     ("lagos-a", "lagos-b", "lagos-c"),
     {
@@ -169,4 +170,6 @@
     },
 )
 
-DEPLOYMENTS = {deployment.name: deployment for deployment in (SPLIT, LAGOS)}
+DEPLOYMENTS = {
+    deployment.name: deployment for deployment in (SPLIT_DEPLOYMENT, LAGOS_DEPLOYMENT)
+}
--- a/primroseglade/demo/records.py
+++ b/primroseglade/demo/records.py
@@ -11,15 +11,16 @@
     Args:
         id: Unique id, which is sent as a header and echoed by the backend server.
         workspace: Workspace whose key the call carried.
-        key: Number of that key.
+        key_number: Number of that key in its workspace.
         service: Service that was called.
         method: HTTP method.
 
     Attributes:
         sent_at: Start of the call, by ``time.monotonic``.
         ended_at: End of the call, or 0 while it is in flight.
-        outcome: ``served``, ``status-`` and a 5xx status, or the code of the refusal.
-        verdict: Whether a refused call may have run; None for other calls.
+        outcome: ``served`` for a status below 500, ``status-`` and the number for other
+            statuses, or the code of the refusal.
+        verdict: Whether a refused call may have run; None if it was not refused.
         is_complete: Whether the whole response to this very call arrived.
     """
 
@@ -27,7 +28,7 @@
         "ended_at",
         "id",
         "is_complete",
-        "key",
+        "key_number",
         "method",
         "outcome",
         "sent_at",
@@ -36,10 +37,12 @@
         "workspace",
     )
 
-    def __init__(self, id: str, workspace: str, key: int, service: str, method: str):
+    def __init__(
+        self, id: str, workspace: str, key_number: int, service: str, method: str
+    ):
         self.id = id
         self.workspace = workspace
-        self.key = key
+        self.key_number = key_number
         self.service = service
         self.method = method
         self.sent_at = time.monotonic()
@@ -49,18 +52,18 @@
         self.is_complete = False
 
     @property
-    def served(self) -> bool:
-        """Whether the caller got the complete response to its own call."""
+    def fully_served(self) -> bool:
+        """Whether the outcome is ``served`` and the complete response arrived."""
         return self.outcome == "served" and self.is_complete
 
     def record_response(self, status: int, is_complete: bool) -> None:
-        """Record the end of the call by a response."""
+        """Record that the call ended with a response."""
         self.ended_at = time.monotonic()
         self.outcome = "served" if status < 500 else f"status-{status}"
         self.is_complete = is_complete
 
     def record_refusal(self, refusal: Refusal) -> None:
-        """Record the end of the call by a refusal."""
+        """Record that the call ended with a refusal."""
         self.ended_at = time.monotonic()
         self.outcome = refusal.reason.code
         self.verdict = refusal.verdict
--- a/primroseglade/fleet/log_reader.py
+++ b/primroseglade/fleet/log_reader.py
@@ -28,9 +28,10 @@
 LONG_POLL_SECONDS = 5.0
 INITIAL_RETRY_SECONDS = 0.1
 MAX_RETRY_SECONDS = 2.0
-NON_READER_RETRY_SECONDS = (15.0, 45.0)
-# Another node also reads the log if its configuration has not been confirmed for this
-# long: all readers of its zone may have failed.
+# Minimum and maximum.
+NON_READER_RETRY_RANGE_SECONDS = (15.0, 45.0)
+# Any node reads the log if its configuration has not been confirmed for this long: all
+# readers of its zone may have failed.
 FALLBACK_READ_AGE_SECONDS = 6.0
 
 
@@ -82,13 +83,14 @@
     def _choose_retry_delay(self, delay: float) -> float:
         """Return the delay in seconds before the log is read again after a failure.
 
-        In an outage the configuration of every node grows old, so that all nodes read
-        the log. If all of them retried every second or two, the load would take a
-        recovering platform down again; the readers alone notice its recovery as soon.
+        In an outage the configuration of every node grows old, so that all nodes try to
+        read the log. If all retried every second or two, they would overload a
+        recovering platform again. It is enough that the readers retry so often: they
+        notice the recovery and pass the records on to the other nodes.
         """
         if self.is_reader() or not self._configuration.ready:
             return random.uniform(delay / 2, delay)
-        return random.uniform(*NON_READER_RETRY_SECONDS)
+        return random.uniform(*NON_READER_RETRY_RANGE_SECONDS)
 
     def is_reader(self) -> bool:
         """Whether this node is a reader of its zone, according to its member table."""
@@ -100,8 +102,8 @@
         """Load the newest configuration from the log.
 
         Raises:
-            LogUnavailableError: The log does not answer, or has deleted records that no
-                complete snapshot covers.
+            LogUnavailableError: The log does not answer, or some of its records were
+                deleted and are in no complete snapshot.
         """
         first, end = await self._log.get_range(CONFIGURATION_TOPIC)
         if end == 0:
@@ -128,15 +130,17 @@
         except OffsetOutOfRangeError:
             first, end = await self._log.get_range(CONFIGURATION_TOPIC)
             if end < offset:
-                # The log ends before the applied records: it is another log, or has
-                # lost its last records. Accepted edits are never reverted.
+                # The log ends before the records that this node has applied: it is
+                # another log, or has lost its last records. Applied edits are never
+                # reverted.
                 raise LogUnavailableError(
                     f"the log ends at offset {end}, before the state at {offset}"
                 ) from None
             await self._start_from_snapshot(first, end)
             return
         self._configuration.apply(records)
-        # An empty long poll confirms the end of the log as of its return.
+        # A long poll that returns no records shows that the configuration is the newest
+        # at this moment; with records it does so only for the time of the request.
         age = time.monotonic() - requested_at if records else 0.0
         self._configuration.update_age(age)
 
@@ -170,25 +174,25 @@
     def _find_snapshot(
         self, records: list[LogRecord], first: int
     ) -> list[SnapshotPart] | None:
-        groups: dict[str, list[Any]] = {}
+        values_by_snapshot_id: dict[str, list[Any]] = {}
         for record in records:
             if is_snapshot(record.value):
                 body = record.value["snapshot"]
-                identity = body.get("id", "") if isinstance(body, dict) else ""
-                groups.setdefault(identity, []).append(record.value)
-        best: list[SnapshotPart] | None = None
-        for values in groups.values():
+                snapshot_id = body.get("id", "") if isinstance(body, dict) else ""
+                values_by_snapshot_id.setdefault(snapshot_id, []).append(record.value)
+        newest: list[SnapshotPart] | None = None
+        for values in values_by_snapshot_id.values():
             try:
                 parts = self._configuration.parse_snapshot(values)
             except InputError as error:
                 self._journal.emit(SNAPSHOT_REFUSED, reason=str(error))
                 continue
-            reaches_log = parts[0].next_offset >= first
-            if reaches_log and (
-                best is None or parts[0].next_offset > best[0].next_offset
+            has_no_gap = parts[0].next_offset >= first
+            if has_no_gap and (
+                newest is None or parts[0].next_offset > newest[0].next_offset
             ):
-                best = parts
-        return best
+                newest = parts
+        return newest
 
     def _record_unavailable(self, error: Exception) -> None:
         if not self._log_unavailable:
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -9,17 +9,17 @@
 
 from ..proto import control_pb2 as pb
 
-# A dead or departed member stays in the table this long. Older updates that call it
-# alive are rejected meanwhile, and a partitioned part of a zone still counts it in the
-# zone's size.
+# A dead or departed member stays in the table this long. Until then, older updates that
+# call the member alive are rejected, and a partitioned part of a zone still counts its
+# dead members in the zone's size.
 TOMBSTONE_RETENTION_SECONDS = 600.0
 BUCKET_COUNT = 32
-# Each update is sent this many times log2 of the fleet's size, as in SWIM.
+# Each update is sent RETRANSMIT_MULTIPLIER * log2(fleet size) times, as in SWIM.
 RETRANSMIT_MULTIPLIER = 3
 
 
 class State(enum.IntEnum):
-    """States of a member; the higher wins between otherwise equal updates."""
+    """States of a member; of two updates that differ only in state, the higher wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -88,12 +88,12 @@
 
     @property
     def precedence(self) -> tuple[int, int, int]:
-        """Sort key of updates about one member; the higher one wins."""
+        """Sort key of updates about one member; the update with the higher key wins."""
         return (self.incarnation, self.sequence, self.state)
 
     @property
     def reachable(self) -> bool:
-        """Whether messages are sent to it: it is alive or only suspect."""
+        """Whether messages are sent to the member: it is alive or only suspect."""
         return self.state in (State.ALIVE, State.SUSPECT)
 
     def replace(self, **changes: Any) -> "Member":
@@ -102,7 +102,7 @@
         return Member(**(fields | changes))
 
     def to_proto(self, age: float = 0.0) -> pb.Member:
-        """Return the member as a message; ``age`` is that of its state, in seconds."""
+        """Return the member as a message; its state began ``age`` seconds ago."""
         fields = {name: getattr(self, name) for name in self.__slots__}
         fields["state"] = int(self.state)
         return pb.Member(**fields, state_age_ms=int(age * 1000))
@@ -141,11 +141,13 @@
         self._remaining_sends: dict[str, int] = {own.instance: 1}
         self._watchers: list[OnMemberChange] = []
         self._version = 0
-        self._by_control: dict[str, str] = {own.control: own.instance}
-        self._zones: dict[str, dict[str, Member]] = {own.zone: {own.instance: own}}
+        self._instance_by_control: dict[str, str] = {own.control: own.instance}
+        self._reachable_by_zone: dict[str, dict[str, Member]] = {
+            own.zone: {own.instance: own}
+        }
         self._zone_versions: dict[str, int] = {own.zone: 1}
-        self._not_alive: set[str] = set()
-        self._buckets = [0] * BUCKET_COUNT
+        self._not_alive_names: set[str] = set()
+        self._bucket_hashes = [0] * BUCKET_COUNT
         self._toggle_in_bucket_hash(own)
 
     @property
@@ -169,13 +171,17 @@
         return self._table.get(instance)
 
     def watch(self, watcher: OnMemberChange) -> None:
-        """Call ``watcher`` with each changed entry and the previous one, or None."""
+        """Call ``watcher`` with each changed entry and its previous value or None."""
         self._watchers.append(watcher)
 
     @property
     def zones(self) -> list[str]:
         """Availability zones with at least one reachable member."""
-        return [zone for zone, zone_members in self._zones.items() if zone_members]
+        return [
+            zone
+            for zone, zone_members in self._reachable_by_zone.items()
+            if zone_members
+        ]
 
     def get_zone_version(self, zone: str) -> int:
         """Return the version of a zone's set of reachable members; for caches.
@@ -188,30 +194,31 @@
     def get_reachable(self, zone: str = "") -> list[Member]:
         """Return the reachable members of a zone, or of all zones by default."""
         if zone:
-            return list(self._zones.get(zone, {}).values())
+            return list(self._reachable_by_zone.get(zone, {}).values())
         return [
             member
-            for zone_members in self._zones.values()
+            for zone_members in self._reachable_by_zone.values()
             for member in zone_members.values()
         ]
 
     def count_electorate(self, zone: str) -> tuple[int, int]:
-        """Return the numbers of reachable members and of all members of a zone.
+        """Return a zone's number of reachable members, and of reachable or dead ones.
 
-        Dead members count in the total while they are in the table, so that a
-        partitioned part of a zone does not consider itself the whole zone.
+        Neither includes members that left. Dead members count while they are in the
+        table, so that a partitioned part of a zone does not consider itself the whole
+        zone.
         """
-        reachable = len(self._zones.get(zone, {}))
-        not_alive = (self._table[instance] for instance in self._not_alive)
+        reachable = len(self._reachable_by_zone.get(zone, {}))
+        not_alive = (self._table[instance] for instance in self._not_alive_names)
         dead = sum(m.zone == zone and m.state is State.DEAD for m in not_alive)
         return reachable, reachable + dead
 
     def count_by_state(self) -> dict[State, int]:
         """Return the number of members in each state."""
         counts = dict.fromkeys(State, 0)
-        for instance in self._not_alive:
+        for instance in self._not_alive_names:
             counts[self._table[instance].state] += 1
-        counts[State.ALIVE] = len(self._table) - len(self._not_alive)
+        counts[State.ALIVE] = len(self._table) - len(self._not_alive_names)
         return counts
 
     def update_own(self, **changes: Any) -> None:
@@ -226,7 +233,7 @@
 
         Args:
             update: Entry of a member, as another node sent it.
-            age: Seconds since the member's state was first reported.
+            age: Seconds since the member entered its state.
 
         Returns:
             Whether the table changed.
@@ -237,8 +244,8 @@
         if current is not None and update.precedence <= current.precedence:
             return False
         if not update.reachable and age > TOMBSTONE_RETENTION_SECONDS:
-            # Others are about to remove this tombstone. If it were added again,
-            # nodes would send it back and forth forever.
+            # Other nodes are about to remove this tombstone. If this node added it
+            # again, nodes would send it back and forth forever.
             return False
         self._store(update, age)
         self._end_predecessor(update)
@@ -253,13 +260,13 @@
         self._change_state(instance, State.SUSPECT, State.DEAD)
 
     def expire(self, suspicion_seconds: float) -> None:
-        """Declare members dead that were suspect too long; remove old tombstones.
+        """Declare members that were suspect too long dead, and remove old tombstones.
 
         Args:
             suspicion_seconds: Time that a suspect member has to refute the suspicion.
         """
         now = self._clock()
-        for member in [self._table[instance] for instance in self._not_alive]:
+        for member in [self._table[instance] for instance in self._not_alive_names]:
             age = now - self._state_since[member.instance]
             if member.state is State.SUSPECT and age > suspicion_seconds:
                 self.declare_dead(member.instance)
@@ -273,7 +280,7 @@
     def take_updates(self, max_count: int) -> list[Member]:
         """Return up to ``max_count`` updates to send, those sent least often first.
 
-        Each update counts as sent once more; after its last time it is removed.
+        Each returned update counts as sent; after its last time it is not sent again.
         """
         chosen = sorted(
             self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
@@ -293,10 +300,10 @@
 
     def get_bucket_hashes(self) -> list[int]:
         """Return a hash of each bucket of members; equal tables have equal hashes."""
-        return list(self._buckets)
+        return list(self._bucket_hashes)
 
     def find_differing_members(self, buckets: Iterable[int]) -> list[Member]:
-        """Return the members in the buckets whose hash differs from the peer's.
+        """Return the members in those buckets whose hash differs from the peer's.
 
         Args:
             buckets: The peer's bucket hashes.
@@ -327,8 +334,8 @@
         """Declare the previous user of the update's control address dead."""
         if update.state is not State.ALIVE:
             return
-        predecessor = self._table.get(self._by_control.get(update.control, ""))
-        self._by_control[update.control] = update.instance
+        predecessor = self._table.get(self._instance_by_control.get(update.control, ""))
+        self._instance_by_control[update.control] = update.instance
         if predecessor is None or predecessor.instance in (
             update.instance,
             self._own.instance,
@@ -358,15 +365,15 @@
             watcher(member, previous)
 
     def _update_indexes(self, member: Member, previous: Member | None) -> None:
-        """Update the indexes, which spare frequent queries a scan of the table."""
+        """Update the indexes by state and zone, which save scans of the table."""
         if member.state is State.ALIVE:
-            self._not_alive.discard(member.instance)
+            self._not_alive_names.discard(member.instance)
         else:
-            self._not_alive.add(member.instance)
+            self._not_alive_names.add(member.instance)
         if previous is not None and previous.zone != member.zone:
             self._remove_from_zone(previous)
         if member.reachable:
-            zone_members = self._zones.setdefault(member.zone, {})
+            zone_members = self._reachable_by_zone.setdefault(member.zone, {})
             if member.instance not in zone_members:
                 self._increment_zone_version(member.zone)
             zone_members[member.instance] = member
@@ -374,7 +381,7 @@
             self._remove_from_zone(member)
 
     def _remove_from_zone(self, member: Member) -> None:
-        zone_members = self._zones.get(member.zone, {})
+        zone_members = self._reachable_by_zone.get(member.zone, {})
         if zone_members.pop(member.instance, None) is not None:
             self._increment_zone_version(member.zone)
 
@@ -385,17 +392,17 @@
         return RETRANSMIT_MULTIPLIER * math.ceil(math.log2(len(self._table) + 1))
 
     def _toggle_in_bucket_hash(self, member: Member) -> None:
-        """Add an entry to its bucket's hash, or remove it if it was added before."""
+        """Add an entry to its bucket's hash; the second call removes it again."""
         text = f"{member.instance}|{member.precedence}"
-        self._buckets[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
+        self._bucket_hashes[_get_bucket(member.instance)] ^= zlib.crc32(text.encode())
 
     def _remove(self, instance: str) -> None:
         member = self._table.pop(instance)
-        self._not_alive.discard(instance)
+        self._not_alive_names.discard(instance)
         self._remove_from_zone(member)
         self._toggle_in_bucket_hash(member)
-        if self._by_control.get(member.control) == instance:
-            del self._by_control[member.control]
+        if self._instance_by_control.get(member.control) == instance:
+            del self._instance_by_control[member.control]
         del self._state_since[instance]
         self._remaining_sends.pop(instance, None)
         self._version += 1
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -14,14 +14,14 @@
 
 
 class SnapshotWriter:
-    """Appends snapshots to the log before the platform deletes their records.
+    """Writes snapshots to the log before the platform deletes the records in them.
 
     Every node runs a writer, but the whole fleet writes only a few snapshots.
 
     Args:
         configuration: The configuration of this instance.
         log: Client of the platform's log.
-        reader: Tells whether this node is a reader; only readers write snapshots.
+        reader: The log reader of this node; only readers write snapshots.
         interval_seconds: Time between two snapshots.
         journal: Journal that receives the written snapshots.
     """
@@ -39,29 +39,31 @@
         self._reader = reader
         self._interval_seconds = interval_seconds
         self._journal = journal
-        self._latest_offset = -1
-        self._latest_seen_at = time.monotonic()
+        self._latest_snapshot_offset = -1
+        self._latest_snapshot_seen_at = time.monotonic()
 
     async def run(self) -> None:
         """Write a snapshot whenever one is due and no other node has written it."""
         while True:
-            # With jitter, usually one node wakes first and writes, and the others read
-            # its snapshot from the log before they check.
+            # The jitter usually lets one node wake first and write a snapshot, which
+            # the others have read from the log when they wake.
             await asyncio.sleep(random.uniform(0.05, 0.15) * self._interval_seconds)
             if self._is_due():
                 await self._write()
 
     def _is_due(self) -> bool:
-        latest = self._configuration.fold.latest_snapshot_offset
-        if latest != self._latest_offset:
-            self._latest_offset = latest
-            self._latest_seen_at = time.monotonic()
-        new_records = self._configuration.next_offset - max(latest, 0)
-        # Snapshots are themselves records, so that one is also due without any edits:
-        # the platform deletes the last snapshot like any other record.
-        overdue = time.monotonic() - self._latest_seen_at > self._interval_seconds
+        latest_offset = self._configuration.fold.latest_snapshot_offset
+        if latest_offset != self._latest_snapshot_offset:
+            self._latest_snapshot_offset = latest_offset
+            self._latest_snapshot_seen_at = time.monotonic()
+        new_records = self._configuration.next_offset - max(latest_offset, 0)
+        # A snapshot is also due without edits: the last one is itself a record, which
+        # the platform deletes when it is old.
+        interval_passed = (
+            time.monotonic() - self._latest_snapshot_seen_at > self._interval_seconds
+        )
         due = new_records > 0 and (
-            overdue or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
+            interval_passed or new_records > MAX_RECORDS_BETWEEN_SNAPSHOTS
         )
         return due and self._reader.is_reader()
 
--- a/primroseglade/fleet/stream.py
+++ b/primroseglade/fleet/stream.py
@@ -1,8 +1,8 @@
 """Discovery of nodes through the membership stream, a topic of the platform's log.
 
 Gossip only connects nodes that know each other. Nodes that start at the same moment
-may find an empty stream, and after a long partition each side has removed the other
-from its member tables. Every node therefore repeats discovery for as long as it runs.
+may find the stream empty, and after a long network partition each side has removed the
+other side's nodes from its member tables. Every node therefore repeats discovery.
 """
 
 import asyncio
@@ -19,8 +19,9 @@
 )
 from .members import Member
 
-FORMAT = 1
-# Only the last entries are read: a few nodes that answer provide the whole table.
+ENTRY_FORMAT_VERSION = 1
+# The newest entries suffice: each node that answers sends all members that
+# this node lacks.
 MAX_RECORDS_READ = 200
 INITIAL_RETRY_SECONDS = 0.2
 MAX_RETRY_SECONDS = 5.0
@@ -36,16 +37,16 @@
 
     Args:
         log: Client of the platform's log.
-        renewal_seconds: Average interval at which a running node writes a join entry.
-        discovery_seconds: Maximum interval of discovery rounds, before jitter.
+        renewal_seconds: Average interval between join entries of a running node.
+        discovery_seconds: Maximum interval between discovery rounds, before jitter.
     """
 
     def __init__(
         self, log: LogClient, renewal_seconds: float, discovery_seconds: float
     ):
         self._log = log
-        self._renewal_seconds = renewal_seconds
-        self._discovery_seconds = discovery_seconds
+        self._renewal_interval_seconds = renewal_seconds
+        self._max_discovery_interval_seconds = discovery_seconds
 
     async def find_contacts(self) -> list[str]:
         """Return the control addresses of nodes with recent entries, newest first.
@@ -76,7 +77,9 @@
         """Write a join entry now, and again at each renewal interval."""
         while True:
             await self._append_with_retries(_build_entry(own, "join"))
-            await asyncio.sleep(self._renewal_seconds * random.uniform(0.8, 1.2))
+            await asyncio.sleep(
+                self._renewal_interval_seconds * random.uniform(0.8, 1.2)
+            )
 
     async def run_discovery(self, join_peers: JoinPeers) -> None:
         """Contact random nodes of the stream, at intervals that double up to a maximum.
@@ -87,7 +90,7 @@
         pause = INITIAL_DISCOVERY_SECONDS
         while True:
             await asyncio.sleep(random.uniform(0.5, 1.5) * pause)
-            pause = min(self._discovery_seconds, pause * 2)
+            pause = min(self._max_discovery_interval_seconds, pause * 2)
             try:
                 contacts = await self.find_contacts()
             except LogUnavailableError:
@@ -115,7 +118,7 @@
 
 def _build_entry(own: Member, kind: str) -> dict[str, Any]:
     return {
-        "format": FORMAT,
+        "format": ENTRY_FORMAT_VERSION,
         "kind": kind,
         "instance": own.instance,
         "zone": own.zone,
@@ -124,8 +127,8 @@
 
 
 def _read_entry(value: Any) -> tuple[str, str, bool] | None:
-    """Return instance, control address and whether it left; None if invalid."""
-    if not isinstance(value, dict) or value.get("format") != FORMAT:
+    """Return instance, control address and whether it left; None if it is invalid."""
+    if not isinstance(value, dict) or value.get("format") != ENTRY_FORMAT_VERSION:
         return None
     instance, control = value.get("instance"), value.get("control")
     if not isinstance(instance, str) or not isinstance(control, str):
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -21,24 +21,26 @@
 
     Args:
         work: Processing time of a call in seconds.
-        spread: Relative jitter of the processing time, such as 0.2 for 20 % either way.
-        slots: Maximum number of calls in flight; further calls are queued.
-        max_queued: Number of queued calls from which new ones are refused, or None.
+        jitter_ratio: Jitter of the processing time, such as 0.2 for 20 % either way.
+        slots: Maximum number of calls processed at once; further calls are queued.
+        max_queued: Number of queued calls at which new calls are refused, so that 0
+            refuses all; None for no limit.
         cold_start_seconds: Duration of the slow phase after the start.
-        cold_start_factor: Factor by which processing is slower in that phase.
+        cold_start_factor: Factor of the processing time in that phase.
         response_bytes: Minimum size of a response body.
         nested: Paths of calls that each call makes first, such as ``/archive/x``.
-        announced_slots: Slots that it announces if other than ``slots``.
+        announced_slots: Number of slots that it announces, if other than ``slots``.
 
     Attributes:
-        responses_to_truncate: Number of next responses cut off after half the body.
+        responses_to_truncate: Number of responses still to be cut off after half the
+            body.
         never_responds: Whether calls in flight are held without a response.
     """
 
     def __init__(
         self,
         work: float = 0.005,
-        spread: float = 0.2,
+        jitter_ratio: float = 0.2,
         slots: int = 20,
         max_queued: int | None = None,
         cold_start_seconds: float = 0.0,
@@ -48,7 +50,7 @@
         announced_slots: int | None = None,
     ):
         self.work = work
-        self.spread = spread
+        self.jitter_ratio = jitter_ratio
         self.slots = slots
         self.max_queued = max_queued
         self.cold_start_seconds = cold_start_seconds
@@ -67,7 +69,7 @@
         "cancelled",
         "finished",
         "headers",
-        "operation",
+        "operation_id",
         "received_at",
         "target",
     )
@@ -76,13 +78,13 @@
         self.received_at = time.monotonic()
         self.target = target
         self.headers = headers
-        self.operation = headers.get("x-operation", "")
+        self.operation_id = headers.get("x-operation", "")
         self.finished = False
         self.cancelled = False
 
     @property
     def workspace(self) -> str:
-        """Workspace that the node named in the request headers, or an empty string."""
+        """Workspace in the header that the node sets, or an empty string."""
         return self.headers.get("primroseglade-workspace", "")
 
 
@@ -96,7 +98,7 @@
         address: ``IP:PORT`` to listen on.
         connections: Connection limit that it announces.
         seed: Seed of the jitter of processing times.
-        max_seen: Number of the latest requests kept in ``seen``; None for all.
+        max_seen: Number of latest requests that ``seen`` keeps; None for all.
     """
 
     def __init__(
@@ -148,7 +150,7 @@
         await self._listener.wait_started()
 
     async def drain(self) -> None:
-        """Refuse new calls and announce it to the node."""
+        """Refuse new calls from now on, and announce the drain to the node."""
         self.draining = True
         await self.announce()
 
@@ -193,7 +195,7 @@
         assert task is not None
         scope["on_disconnect"] = task.cancel
         if scope["method"] == "OPTIONS":
-            # Health check of a node: it is not a call and occupies no slot.
+            # A node's health check is not a call, so that it occupies no slot.
             await _send_json(send, 200, {})
             return
         target = scope["raw_path"].decode("latin-1")
@@ -208,19 +210,19 @@
         if refusal is not None:
             await _send_json(send, 503, {"error": refusal}, [NOT_RUN_HEADER])
             return
-        seen = ReceivedRequest(target, headers)
-        self.seen.append(seen)
+        request = ReceivedRequest(target, headers)
+        self.seen.append(request)
         try:
-            await self._work(headers)
+            await self._process(headers)
         except asyncio.CancelledError:
-            seen.cancelled = True
+            request.cancelled = True
             return
         except (TimeoutError, _NestedCallError, aiohttp.ClientError) as error:
-            seen.finished = True
+            request.finished = True
             await _send_json(send, 500, {"error": f"a nested call failed: {error}"})
             return
-        seen.finished = True
-        await self._send_response(scope, send, seen, body)
+        request.finished = True
+        await self._send_response(scope, send, request, body)
 
     def _get_refusal(self) -> str | None:
         if self.draining:
@@ -230,7 +232,7 @@
             return "overloaded"
         return None
 
-    async def _work(self, headers: dict[str, str]) -> None:
+    async def _process(self, headers: dict[str, str]) -> None:
         self.queued += 1
         try:
             async with self._slot_freed:
@@ -245,15 +247,15 @@
                 await asyncio.sleep(0.05)
             for path in self.behavior.nested:
                 await self._make_nested_call(path, headers)
-            await asyncio.sleep(self._draw_work_seconds())
+            await asyncio.sleep(self._draw_processing_seconds())
         finally:
             self.in_flight -= 1
             async with self._slot_freed:
                 self._slot_freed.notify()
 
-    def _draw_work_seconds(self) -> float:
+    def _draw_processing_seconds(self) -> float:
         behavior = self.behavior
-        factor = 1 + self._random.uniform(-behavior.spread, behavior.spread)
+        factor = 1 + self._random.uniform(-behavior.jitter_ratio, behavior.jitter_ratio)
         if time.monotonic() - self._started_at < behavior.cold_start_seconds:
             factor *= behavior.cold_start_factor
         return behavior.work * factor
@@ -272,13 +274,13 @@
                 raise _NestedCallError(response.status)
 
     async def _send_response(
-        self, scope: Any, send: Any, seen: ReceivedRequest, body: bytes
+        self, scope: Any, send: Any, request: ReceivedRequest, body: bytes
     ) -> None:
         fields = {
             "service": self.service,
-            "target": seen.target,
-            "workspace": seen.workspace,
-            "echo": seen.headers.get("x-echo", ""),
+            "target": request.target,
+            "workspace": request.workspace,
+            "echo": request.headers.get("x-echo", ""),
             "received": len(body),
         }
         text = json.dumps(fields).encode()
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -15,8 +15,8 @@
 from primroseglade.sidecar.http_messages import Reply, Request
 from primroseglade.stand_ins.mesh_backend import MeshBackend
 
-WORK_SECONDS_RANGE = (0.005, 0.06)
-# Time for which it keeps serving after the node acknowledged its drain.
+PROCESSING_SECONDS_RANGE = (0.005, 0.06)
+# The backend server serves for this long after it has reported its drain.
 LINGER_SECONDS = 2.5
 
 
@@ -27,7 +27,7 @@
 
 
 class SoakBackend(MeshBackend):
-    """Reports each execution and returns the request id in the response body."""
+    """Writes an event for each execution; responds with the request id in the body."""
 
     async def _handle(self, request: Request) -> Reply:
         headers = {name.decode().lower(): v.decode() for name, v in request.headers}
@@ -39,7 +39,7 @@
                 tenant=headers.get("x-primroseglade-tenant", ""),
                 key_seen="authorization" in headers,
             )
-        self.work = random.uniform(*WORK_SECONDS_RANGE)
+        self.processing_seconds = random.uniform(*PROCESSING_SECONDS_RANGE)
         reply = await super()._handle(request)
         return Reply(reply.head, f"{request_id} {'x' * 2000} end".encode())
 
@@ -72,7 +72,7 @@
                 options.address,
                 options.control,
                 start_time_ms=int(time.time() * 1000),
-                reached=options.reached,
+                reported_address=options.reached,
             )
         )
     )
--- a/soak/machines.py
+++ b/soak/machines.py
@@ -1,4 +1,4 @@
-"""A node and its backend server as processes, with methods that disturb them."""
+"""Runs a node and its backend server as processes, and injects faults into them."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 from .proxy import build_fault_proxy, FaultProxy
 
-# The same ports on each machine: every machine has its own loopback address.
+# All machines use the same ports, each on a loopback address of its own.
 (
     OUTBOUND_PORT,
     READY_PORT,
@@ -33,17 +33,19 @@
     """One emulated machine: a node, its backend server and their fault proxies.
 
     Args:
-        number: Index of the machine; determines service, zone and loopback address.
-        network: First three octets of the loopback addresses.
-        store: ``IP:PORT`` of the store.
+        number: Index of the machine, which determines its service, zone and address.
+        network_prefix: First three octets of the loopback addresses.
+        store_address: ``IP:PORT`` of the store.
         folder: Folder for settings and logs.
     """
 
-    def __init__(self, number: int, network: str, store: str, folder: pathlib.Path):
+    def __init__(
+        self, number: int, network_prefix: str, store_address: str, folder: pathlib.Path
+    ):
         self.number = number
         self.service = SERVICES[number % len(SERVICES)]
         self.zone = ZONES[number // len(SERVICES) % len(ZONES)]
-        self.host = f"{network}.{10 + number}"
+        self.host = f"{network_prefix}.{10 + number}"
         self.name = f"node-{number}"
         self.folder = folder
         self.events: asyncio.Queue[dict[str, object]] = asyncio.Queue()
@@ -51,7 +53,7 @@
             self.host, BACKEND_PROXY_PORT, self.address(BACKEND_PORT)
         )
         self.store_proxy: FaultProxy = build_fault_proxy(
-            self.host, STORE_PROXY_PORT, store
+            self.host, STORE_PROXY_PORT, store_address
         )
         self._backend_starts = 0
         self._is_first_start = True
