--- a/bench/choices.py
+++ b/bench/choices.py
@@ -95,7 +95,9 @@
 async def measure_choices(options: argparse.Namespace) -> dict[str, Any]:
     """Measure the choices and their alternatives in turn; return medians."""
     backend = BackendStandIn(
-        "x", behavior=BackendBehavior(work=0, slots=1000), max_seen=1
+        "x",
+        behavior=BackendBehavior(processing_seconds=0, slots=1000),
+        max_seen_requests=1,
     )
     backend_task = asyncio.create_task(backend.run())
     await backend.wait_started()
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -108,10 +108,10 @@
         ]
         slowdown_times["slow"] = time.monotonic()
         for backend in deep_backends:
-            backend.behavior.work *= 8
+            backend.behavior.processing_seconds *= 8
         await asyncio.sleep(slow_seconds)
         for backend in deep_backends:
-            backend.behavior.work /= 8
+            backend.behavior.processing_seconds /= 8
         slowdown_times["well"] = time.monotonic()
 
     await trial.run(before_seconds + slow_seconds + after_seconds, slow_down)
--- a/bench/trial.py
+++ b/bench/trial.py
@@ -171,7 +171,7 @@
         for name, service in workload.services.items():
             for _ in range(service.server_count):
                 behavior = BackendBehavior(
-                    work=service.work_seconds,
+                    processing_seconds=service.work_seconds,
                     slots=service.slots_per_server,
                     nested=service.nested_paths,
                 )
--- a/primroseglade/cli/stand_in.py
+++ b/primroseglade/cli/stand_in.py
@@ -26,10 +26,12 @@
 ) -> ExitStatus:
     """Run the stand-in for a backend server until SIGTERM or SIGINT."""
     behavior = BackendBehavior(
-        work=options.work, slots=options.slots, nested=tuple(options.nested)
+        processing_seconds=options.work,
+        slots=options.slots,
+        nested=tuple(options.nested),
     )
     backend = BackendStandIn(
-        options.service, options.node, behavior, options.listen, max_seen=1000
+        options.service, options.node, behavior, options.listen, max_seen_requests=1000
     )
     environment.warn(f"{options.service} on {backend.address}")
     await _run_until_stopped(backend)
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -96,7 +96,7 @@
         for service, size in self._deployment.services.items():
             for _ in range(size.server_count):
                 behavior = BackendBehavior(
-                    work=PROCESSING_SECONDS,
+                    processing_seconds=PROCESSING_SECONDS,
                     slots=max(MIN_SLOTS, size.slots // SLOTS_DIVISOR),
                     nested=size.nested,
                 )
@@ -141,13 +141,15 @@
         started = time.monotonic()
         for instance in instances:
             assert instance.backend is not None
-            instance.backend.behavior.work = PROCESSING_SECONDS * SLOWDOWN_FACTOR
+            instance.backend.behavior.processing_seconds = (
+                PROCESSING_SECONDS * SLOWDOWN_FACTOR
+            )
         await asyncio.sleep(
             self._duration_seconds * (SLOW_END_RATIO - SLOW_START_RATIO)
         )
         for instance in instances:
             assert instance.backend is not None
-            instance.backend.behavior.work = PROCESSING_SECONDS
+            instance.backend.behavior.processing_seconds = PROCESSING_SECONDS
         evidence.overload = (started, time.monotonic())
         self._report_progress(f"{deep} is as fast as before")
 
--- a/primroseglade/stand_ins/backend.py
+++ b/primroseglade/stand_ins/backend.py
@@ -20,7 +20,7 @@
     """Performance and faults of a backend server; may be changed while it runs.
 
     Args:
-        work: Processing time of a call in seconds.
+        processing_seconds: Processing time of a call in seconds.
         jitter_ratio: Jitter of the processing time, such as 0.2 for 20 % either way.
         slots: Maximum number of calls processed at once; further calls are queued.
         max_queued: Number of queued calls at which new calls are refused, so that 0
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        work: float = 0.005,
+        processing_seconds: float = 0.005,
         jitter_ratio: float = 0.2,
         slots: int = 20,
         max_queued: int | None = None,
@@ -49,7 +49,7 @@
         nested: tuple[str, ...] = (),
         announced_slots: int | None = None,
     ):
-        self.work = work
+        self.processing_seconds = processing_seconds
         self.jitter_ratio = jitter_ratio
         self.slots = slots
         self.max_queued = max_queued
@@ -98,7 +98,7 @@
         address: ``IP:PORT`` to listen on.
         connections: Connection limit that it announces.
         seed: Seed of the jitter of processing times.
-        max_seen: Number of latest requests that ``seen`` keeps; None for all.
+        max_seen_requests: Number of latest requests that ``seen`` keeps; None for all.
     """
 
     def __init__(
@@ -109,12 +109,12 @@
         address: str = "127.0.0.1:0",
         connections: int = 100,
         seed: int = 0,
-        max_seen: int | None = None,
+        max_seen_requests: int | None = None,
     ):
         self.service = service
         self.behavior = behavior or BackendBehavior()
         self.seen: collections.deque[ReceivedRequest] = collections.deque(
-            maxlen=max_seen
+            maxlen=max_seen_requests
         )
         self.draining = False
         self.in_flight = 0
@@ -258,7 +258,7 @@
         factor = 1 + self._random.uniform(-behavior.jitter_ratio, behavior.jitter_ratio)
         if time.monotonic() - self._started_at < behavior.cold_start_seconds:
             factor *= behavior.cold_start_factor
-        return behavior.work * factor
+        return behavior.processing_seconds * factor
 
     async def _make_nested_call(self, path: str, headers: dict[str, str]) -> None:
         assert self._session is not None
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -56,7 +56,7 @@
 
 async def test_withdrawal_refuses_calls_that_are_queued():
     """All slots are in use, and calls with the withdrawn key are queued."""
-    async with run_fleet("a", slots=1, work=1.5, jitter_ratio=0) as fleet:
+    async with run_fleet("a", slots=1, processing_seconds=1.5, jitter_ratio=0) as fleet:
         instance = fleet.instances[0]
         queue = instance.node.backend.queue
         queue._max_wait_seconds = 5.0
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -138,7 +138,7 @@
     Otherwise a slow service would receive each slow call twice, and become even
     slower.
     """
-    async with run_fleet("aa", work=0.001) as fleet:
+    async with run_fleet("aa", processing_seconds=0.001) as fleet:
         instance = fleet.instances[0]
         url = f"http://{instance.caller_address}/archive/x"
         headers = {"Authorization": f"Bearer {KEY}"}
@@ -151,7 +151,7 @@
             await asyncio.gather(*(call() for _ in range(4)))
             before = sum(len(p.backend.seen) for p in fleet.instances)
             for other in fleet.instances:
-                other.backend.behavior.work = 1.0
+                other.backend.behavior.processing_seconds = 1.0
             statuses = await asyncio.gather(*(call() for _ in range(12)))
         assert statuses == [200] * 12
         assert sum(len(p.backend.seen) for p in fleet.instances) == before + 12
@@ -171,7 +171,7 @@
         for number, service in enumerate(services):
             nested = (f"/s{number + 1}/x",) if number < 3 else ()
             for _ in range(5 if service == "s3" else 2):
-                behavior = BackendBehavior(nested=nested, work=0.001)
+                behavior = BackendBehavior(nested=nested, processing_seconds=0.001)
                 instance = await fleet.add("a", service, behavior)
                 backends.append(instance.backend)
         await fleet.wait_ready()
@@ -195,7 +195,7 @@
 
 async def test_retry_budget_of_a_node_holds_when_all_calls_fail():
     """Guards against retries that sustain an overload when all backend servers shed."""
-    async with run_fleet("aaa", max_queued=0, work=0.001) as fleet:
+    async with run_fleet("aaa", max_queued=0, processing_seconds=0.001) as fleet:
         node = fleet.instances[0].node
         async with Client(
             [fleet.instances[0].caller_address], KEY, attempts=1
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -217,7 +217,7 @@
 
 async def test_caller_disconnect_cancels_the_call():
     """A caller disconnects; its call must not go on occupying a slot."""
-    slow = BackendBehavior(work=30)
+    slow = BackendBehavior(processing_seconds=30)
     async with run_fleet(("a", "archive", slow)) as fleet:
         instance = fleet.instances[0]
         async with Client([instance.caller_address], KEY) as client:
@@ -229,7 +229,7 @@
 
 
 async def test_deadline_ends_a_call_and_says_that_it_may_have_run():
-    slow = BackendBehavior(work=30)
+    slow = BackendBehavior(processing_seconds=30)
     async with run_fleet(("a", "archive", slow), ("b", "other", None)) as fleet:
         for instance in fleet.instances:
             url = f"http://{instance.caller_address}/archive/x"
@@ -248,7 +248,7 @@
 
 async def test_graceful_stop_cuts_off_no_call():
     """A node is stopped gracefully while non-idempotent calls are in flight."""
-    slow = BackendBehavior(work=0.5, jitter_ratio=0)
+    slow = BackendBehavior(processing_seconds=0.5, jitter_ratio=0)
     async with run_fleet(("a", "archive", slow), ("a", "archive", slow)) as fleet:
         instance = fleet.instances[0]
         async with Client([instance.caller_address], KEY) as client:
