--- a/primroseglade/sidecar/admission.py
+++ b/primroseglade/sidecar/admission.py
@@ -68,9 +68,9 @@
     def __init__(self) -> None:
         #: Calls that wait for a slot, at all backend servers of the service together.
         self.queued = 0.0
-        # Sums over backend servers of utilization times weight, and of weight. Servers
-        # whose slot time is unknown have their own sums, used only until the first slot
-        # time is known.
+        # Sums over backend servers: [utilization times weight, weight]. Servers whose
+        # slot time is unknown have their own sums, used only until the first slot time
+        # is known.
         self._sums = [0.0, 0.0]
         self._sums_without_slot_time = [0.0, 0.0]
 
--- a/primroseglade/sidecar/backend.py
+++ b/primroseglade/sidecar/backend.py
@@ -123,8 +123,8 @@
         # Start time in ms of the drained incarnation, by instance ID; 0 until a drain
         # request or a report names it.
         self._drained_start_times: dict[str, int] = {}
-        # By instance ID, the time until which a drain request without a start time
-        # applies to the next incarnation that is reported.
+        # By instance ID: a drain request that names no start time applies to the first
+        # incarnation whose report arrives before this time.
         self._unspecified_drain_until: dict[str, float] = {}
         # Start time of the newest incarnation that was drained here. Drains of other
         # nodes' backend servers, which peers relay too, do not count.
@@ -158,7 +158,8 @@
     def slots(self) -> int:
         """Slots to announce to other nodes: the queue's concurrency limit.
 
-        Only a part of the limit is announced while the backend server is cold.
+        The limit is a fraction of the backend server's own slots. Only a part of it is
+        announced while the backend server is cold.
         """
         if time.monotonic() < self._cold_until:
             return max(1, int(self.queue.concurrency_limit * COLD_CAPACITY_RATIO))
@@ -262,7 +263,7 @@
         return True
 
     def _match_drain(self, report: StatusReport) -> bool:
-        """Return whether the reported incarnation was told to drain.
+        """Return whether a drain applies to the reported incarnation.
 
         A pending drain request without a start time is bound to this incarnation.
         """
--- a/primroseglade/sidecar/backend_registration.py
+++ b/primroseglade/sidecar/backend_registration.py
@@ -137,9 +137,9 @@
         try:
             drains = await self._store.list_drains(ACK_TIMEOUT_SECONDS)
         except StoreError as error:
-            # The report is handled without the stored drains. Peers send the drains
-            # that they have recorded when a stream to them opens; a drain that only the
-            # store has recorded is missed.
+            # Handle the report without the stored drains. Drains that peers have
+            # recorded still arrive: each peer sends them in its Hello when this node
+            # opens a stream to it. A drain that only the store has recorded is missed.
             self._journal.emit(STORE_WRITE_FAILED, what="drains", error=str(error))
             return
         self.apply_drains(drains)
--- a/primroseglade/sidecar/call_graph.py
+++ b/primroseglade/sidecar/call_graph.py
@@ -2,9 +2,9 @@
 
 A run is one execution of a call by a backend server. Every node broadcasts how many
 calls its backend server makes per run of each route (`call_ratios.py`). Together these
-call ratios give the whole call tree of each route. With one tree for all routes of a
-service, uploads that make no calls would be refused if look-ups at the same service
-call a service that is overloaded.
+call ratios give the whole call tree of each route. The trees are kept per route because
+a service may serve both uploads that make no calls and look-ups that call an overloaded
+service: with one tree for both, the uploads would be refused, too.
 """
 
 from collections.abc import Iterable, Mapping
@@ -36,9 +36,9 @@
         """Replace the call ratios and routes.
 
         Args:
-            reported_ratios: For each node, its service and, by route of the run, the
-                average number of calls to each other route. The key ``""`` holds the
-                average over all runs.
+            reported_ratios: For each node, its service and the average number of calls
+                per run, by the run's route and then by the called route. The key ``""``
+                holds the average over all runs.
             routes: Routes in force by name, used to split calls of a route among its
                 services.
         """
--- a/primroseglade/sidecar/call_ratios.py
+++ b/primroseglade/sidecar/call_ratios.py
@@ -55,8 +55,9 @@
         self._total_weight = 0.0
         self._runs: dict[str, float] = {}
         self._calls: dict[str, float] = {}
-        # Sums over all intervals, by pair of routes (a, b): runs of a times runs of b,
-        # and runs of a times calls to b. All sums decay with the age of the interval.
+        # Sums for the regression's normal equations, by pair of routes (a, b). For each
+        # interval, the runs of a are multiplied by the runs of b, or by the calls to b.
+        # These sums and the two above decay with the age of the interval.
         self._run_run_products: dict[tuple[str, str], float] = {}
         self._run_call_products: dict[tuple[str, str], float] = {}
         self._estimates: dict[str, CallRatios] = {}
@@ -64,7 +65,8 @@
     def record_start(self, route: str, now: float) -> None:
         """Count half a run at its start; `record_end` counts the other half.
 
-        If the run spans two intervals, its calls are spread over both.
+        A run that starts in one interval and ends in another may make calls in both, so
+        each of them counts half of it.
         """
         runs = self._get_interval(now).runs
         runs[route] = runs.get(route, 0.0) + 0.5
@@ -147,10 +149,11 @@
         self, routes: list[str], called: str, average: float, runs: float
     ) -> list[float]:
         """Return the calls to one route per run of each route, none below zero."""
-        # The variance of an interval's stray calls is their expected number times the
-        # calls per run, because all calls of a run stray together. The ridge term pulls
-        # the ratios towards their average. It is this variance divided by the variance
-        # of the ratios, whose standard deviation is about their average.
+        # Stray calls are those of an interval whose runs are counted in another. All
+        # calls of a run stray together, so the variance of their number is its expected
+        # value times the calls per run. The ridge term pulls the ratios towards their
+        # average. It is the variance of the stray calls divided by that of the ratios,
+        # whose standard deviation is assumed to be about their average.
         stray_variance = (
             STRAY_CALL_RATIO * average * runs / self._total_weight * max(1.0, average)
         )
--- a/primroseglade/sidecar/dispatch.py
+++ b/primroseglade/sidecar/dispatch.py
@@ -253,7 +253,11 @@
     async def _attempt(
         self, call: OutgoingCall, candidate: Candidate, attempts: "Attempts"
     ) -> Outcome | None:
-        """Send the call once; return its outcome, or None if a retry may succeed."""
+        """Send the call once; return its outcome, or None if the attempt failed.
+
+        A failure status is returned, too, if the route's calls are not idempotent: they
+        may not be retried after they ran.
+        """
         attempts.tried.add(candidate.name)
         try:
             outcome = await self._send(call, candidate)
--- a/primroseglade/sidecar/frames.py
+++ b/primroseglade/sidecar/frames.py
@@ -239,8 +239,9 @@
         unspent_tokens: Tokens that the sender was granted ahead of need and still has.
         returned_tokens: Tokens granted earlier that will not be spent.
         loan_tokens: Tokens, possibly a fraction, that the sender wants to borrow if it
-            is itself a token holder; else 0. The lender lends at most its spare tokens
-            if calls wait, and otherwise at most those above half of its capacity.
+            is itself a token holder; else 0. The lender keeps the tokens that it needs
+            soon itself and, if no calls wait at the sender, at least half of its
+            capacity.
     """
 
     id: int
--- a/primroseglade/sidecar/freshness.py
+++ b/primroseglade/sidecar/freshness.py
@@ -8,8 +8,8 @@
 class Freshness:
     """Tracks when the configuration was last known to be the newest.
 
-    Applying a newer version never moves that time back: no version published until then
-    is newer than the one in force.
+    Applying a newer version leaves that time unchanged: it still holds that no version
+    published before that time is newer than the one in force.
 
     Clocks of different instances are never compared. A node answers with the seconds
     since its configuration was last known to be the newest. The receiver of the answer
--- a/primroseglade/sidecar/http_client.py
+++ b/primroseglade/sidecar/http_client.py
@@ -151,7 +151,7 @@
     def on_message_begin(self) -> None:
         """Start a new response (httptools callback)."""
         if self._pending is None:
-            # A second response to one request.
+            # A response that no request is waiting for.
             self._reusable = False
         self._response = Response(0, [])
         self._chunks = []
@@ -252,13 +252,14 @@
         self._response = None
         pending = self._pending
         if pending is None or pending.done():
+            # A second response to one request, or the request has already failed.
             self._reusable = False
             return
         chunks = self._chunks
         response.body = chunks[0] if len(chunks) == 1 else b"".join(chunks)
         self._chunks = []
         if self._accept is not None and not self._accept(response):
-            # A late response to an earlier request; keep waiting for the right one.
+            # Not the response to this request; keep waiting for that one.
             self._reusable = False
             return
         pending.set_result(response)
--- a/primroseglade/sidecar/http_server.py
+++ b/primroseglade/sidecar/http_server.py
@@ -10,7 +10,7 @@
 
 # Interval of timeout checks: short enough for timeouts of whole seconds.
 TIMEOUT_CHECK_SECONDS = 0.5
-# Interval of timeout checks of servers that only processes on this machine call.
+# Interval of timeout checks of servers for processes on this machine and operators.
 LOCAL_TIMEOUT_CHECK_SECONDS = 3.0
 # Connections that the kernel queues until they are accepted. A full queue drops SYN
 # packets, which callers retransmit only after seconds.
@@ -92,7 +92,7 @@
         self._stopping = True
 
     def close_idle(self) -> None:
-        """Close the connections without a request in flight."""
+        """Close the connections on which no request is being read or answered."""
         for connection in list(self._connections):
             if not connection.busy:
                 connection.close()
--- a/primroseglade/sidecar/load_balancing.py
+++ b/primroseglade/sidecar/load_balancing.py
@@ -17,8 +17,9 @@
 # A failed call costs this many latency targets, because its caller gets no answer or
 # has to retry.
 FAILURE_COST_TARGET_RATIO = 2.0
-# Cost of a failed downstream call, as a multiple of its expected time. Used in
-# `estimate_penalty_ms`: it covers calls of all routes, which share no latency target.
+# Cost of a failed downstream call, as a multiple of its expected time. It is used in
+# `estimate_penalty_ms`, which has no latency target to multiply: its result covers the
+# calls of all routes.
 DOWNSTREAM_FAILURE_COST_RATIO = 6.0
 # Maximum random increase of a candidate's cost. Without it, nodes that see the same
 # load would all choose the same backend server: a node sees the calls of other nodes
--- a/primroseglade/sidecar/model.py
+++ b/primroseglade/sidecar/model.py
@@ -9,7 +9,10 @@
 
 
 class RouteKind(enum.Enum):
-    """Whether calls of a route may run more than once."""
+    """Whether calls of a route may run more than once.
+
+    Calls of a ``SAFE`` route may: they are idempotent.
+    """
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -91,7 +94,7 @@
 
 
 class Tenant:
-    """A workspace that holds API keys.
+    """A tenant, that is, a workspace that holds API keys.
 
     Args:
         name: Its name, which is sent to backend servers.
@@ -292,7 +295,7 @@
             state delivered late by a relay is discarded.
         demand: Calls per second caused by requests of callers, admitted or not, by
             service.
-        slot_ms: Typical time for which a call occupies a slot, in milliseconds.
+        slot_ms: Typical time for which a call holds a slot, in milliseconds.
     """
 
     instance: str = ""
--- a/primroseglade/sidecar/policy_tracker.py
+++ b/primroseglade/sidecar/policy_tracker.py
@@ -43,9 +43,9 @@
 PEER_TIMEOUT_SECONDS = 1.0
 # Source that is logged for a policy version read from the store.
 STORE_SOURCE = "store"
-# Maximum age of a policy by which API keys are accepted, as a fraction of the time
-# within which a withdrawn key must stop working. The rest covers the transmission of a
-# request to this node and pauses of this process.
+# A node accepts API keys only while its policy is younger than this fraction of the
+# time within which a withdrawn key must stop working. The rest is a margin for the
+# transmission of a request to this node and for pauses of this process.
 MAX_AGE_RATIO = 0.9
 
 
@@ -184,7 +184,11 @@
 
     @property
     def is_confirmation_overdue(self) -> bool:
-        """Whether the readers usually asked failed to confirm the policy in time."""
+        """Whether the policy has been unconfirmed so long that all readers are asked.
+
+        Until then, a node asks only the readers in its zone, and a reader also asks the
+        first reader.
+        """
         return self._freshness.age > self._schedule.overdue_age_seconds
 
     async def run_long_polls(self) -> None:
--- a/primroseglade/sidecar/quota.py
+++ b/primroseglade/sidecar/quota.py
@@ -147,8 +147,8 @@
         network: Finds the token holders and sends requests to them.
         rate_tolerance: Computes the limits to enforce from the configured ones.
         clock: Returns seconds on the monotonic clock.
-        rng: Decides at random whether the token of a call that admission control
-            refused later is refunded.
+        rng: Decides at random whether a token is refunded if admission control refuses
+            its call.
     """
 
     def __init__(
--- a/primroseglade/sidecar/rate_control.py
+++ b/primroseglade/sidecar/rate_control.py
@@ -23,10 +23,10 @@
 from .token_pool import TokenPool
 
 LEASE_RENEWAL_SECONDS = 0.45
-# For this time after its start, a node lends its share only to the holder that would
-# be assigned to it if all known nodes were reachable. If the node first lent its share
-# to another holder, the share would be missing at the assigned one until that lease
-# ends.
+# After its start, a node does not yet have streams to all known nodes. For this time,
+# it lends its share only to the holder that it would be assigned if all of them were
+# reachable. Otherwise, it might first lend the share to another holder, and the
+# assigned one would lack the share until that lease ends.
 HOLDER_DISCOVERY_SECONDS = 1.0
 
 
@@ -132,7 +132,8 @@
 
         Args:
             lender: The lending node.
-            lease_end_ms: End of the lease on this node's ``read_age_clock``, in ms.
+            lease_end_ms: End of the lease in ms, on the clock that `read_age_clock`
+                reads at this node.
         """
         now = time.monotonic()
         self._lender_starts[lender.name] = lender.start_time_ms
--- a/primroseglade/sidecar/rate_tolerance.py
+++ b/primroseglade/sidecar/rate_tolerance.py
@@ -40,7 +40,7 @@
         self._window = window
 
     def compute_enforced_limits(self, tenant: Tenant, version: int) -> TokenLimits:
-        """Return the limits to enforce.
+        """Return the limits to enforce under a version of the configuration.
 
         >>> tolerance = RateTolerance(0.1, 20)
         >>> tenant = Tenant("north", 1, 100.0, 50.0)
--- a/primroseglade/sidecar/share_leases.py
+++ b/primroseglade/sidecar/share_leases.py
@@ -51,7 +51,7 @@
         self._received_at = 0.0
 
     def record(self, remote_time: float, now: float) -> None:
-        """Record a received reading; the clock has advanced since it was sent."""
+        """Record a reading received at ``now``; it lags by its message's delay."""
         self._remote_time = remote_time
         self._received_at = now
 
--- a/primroseglade/sidecar/token_broker.py
+++ b/primroseglade/sidecar/token_broker.py
@@ -37,7 +37,15 @@
 
 
 class LenderState:
-    """Last known number of a workspace's tokens at another holder; its backoff."""
+    """One other holder, or all of them, as a lender of one workspace's tokens.
+
+    Attributes:
+        remaining_tokens: Tokens left there after its last loan; infinite if it has lent
+            none yet or did not lend when last asked.
+        backoff_until: Time before which it is not asked again, in seconds on the
+            monotonic clock.
+        backoff_seconds: Duration of the last backoff; 0 after a loan.
+    """
 
     __slots__ = ("backoff_seconds", "backoff_until", "remaining_tokens")
 
--- a/primroseglade/sidecar/token_pool.py
+++ b/primroseglade/sidecar/token_pool.py
@@ -233,6 +233,7 @@
             accrued_tokens = limits.rate * self._leases.uninterrupted_full_rate_seconds
             bucket.tokens = min(accrued_tokens, self._get_capacity(bucket, now))
             if not self._leases.no_lease_ended:
+                # Like tokens accrued before a lease ended, initial ones are not added.
                 bucket.initial_share = self._leases.initial_share
         # Tokens borrowed for waiting calls are kept even beyond the capacity.
         max_tokens = max(bucket.tokens, self._get_capacity(bucket, now))
