--- a/primroseglade/calls/dispatch.py
+++ b/primroseglade/calls/dispatch.py
@@ -75,7 +75,7 @@
         backend: The backend server of this node.
         relay: Sends calls to other nodes.
         retry_budget: Limits the retries of this node.
-        throttle: Rejects calls of the kinds that are being shed downstream.
+        throttle: Refuses calls of the kinds that later hops are shedding.
         journal: Logs ejections.
         metrics: Counts relayed, retried and throttled calls.
     """
--- a/primroseglade/calls/handles.py
+++ b/primroseglade/calls/handles.py
@@ -48,9 +48,9 @@
     """Return the context of a call nested in another.
 
     The nested call takes all retry tokens of its parent and returns the unused ones,
-    so that the sum over the whole call tree never exceeds that of the root call. Of
-    concurrent nested calls, the first gets them all: halving them at each hop would
-    leave none three hops down.
+    so that the whole call tree never spends more than the root call was given. They
+    are not split between concurrent nested calls: the first takes all. If each hop
+    passed on only half, none would be left after three hops.
     """
     tokens, parent.retry_tokens = parent.retry_tokens, 0
     span = generate_span_id()
--- a/primroseglade/calls/pool.py
+++ b/primroseglade/calls/pool.py
@@ -58,6 +58,7 @@
         Raises:
             Refusal: ``not run``: no connection could be opened.
         """
+        # In a test's network partition, idle connections must not be used either.
         if self._network.is_cut(self._address):
             return await self._open_connection()
         connection = self._pop_idle()
--- a/primroseglade/calls/routing.py
+++ b/primroseglade/calls/routing.py
@@ -31,6 +31,8 @@
 class BackendStats:
     """Load and failures of one backend server, as this node sees them.
 
+    ``failures`` counts consecutive connection failures.
+
     Args:
         instance: Instance name of the member.
     """
--- a/primroseglade/document/document.py
+++ b/primroseglade/document/document.py
@@ -247,6 +247,7 @@
                 yield name, section
 
 
+# None if the section was removed or did not exist.
 Value = dict[str, Any] | None
 Indexer = Callable[[Document, str, Value, Value], None]
 _indexers: dict[str, Indexer] = {}
--- a/primroseglade/document/fold.py
+++ b/primroseglade/document/fold.py
@@ -18,9 +18,11 @@
 )
 from .schema import check_section, split_section
 
-# Outcomes kept of recent records, for publishers that ask what became of their edit.
+# Maximum number of recent records whose outcomes are kept, for publishers that ask what
+# became of their edit.
 MAX_OUTCOMES = 1024
-# Incomplete snapshots kept: a snapshot whose writer died is never completed.
+# Maximum number of incomplete snapshots kept; the oldest is dropped first. Without a
+# limit, those whose writers died would accumulate, as they are never completed.
 MAX_INCOMPLETE_SNAPSHOTS = 4
 
 
@@ -105,7 +107,7 @@
 
     @property
     def document(self) -> Document:
-        """The document as of ``next_offset``."""
+        """The document after all records before ``next_offset``."""
         return self._document
 
     @property
--- a/primroseglade/emulator/network.py
+++ b/primroseglade/emulator/network.py
@@ -22,8 +22,9 @@
     """Period during which nodes on different sides cannot reach each other.
 
     Args:
-        start: Start of the partition, in seconds of simulated time.
-        end: End of the partition, in seconds of simulated time.
+        start: Start of the partition, in seconds of simulated time; in a `Scenario`,
+            in seconds from the first call.
+        end: End of the partition, likewise.
         get_side: Maps the number of a node to its side of the partition.
     """
 
@@ -90,8 +91,8 @@
             self._reconnect_seconds[b] if self.started_at[b] else 0.0
         ):
             return False
-        # A freeze lasts five seconds. It is detected `FAILURE_DETECTION_SECONDS` after
-        # its start, which is 3.5 s before its end.
+        # Every freeze lasts 5 s and is detected `FAILURE_DETECTION_SECONDS` (1.5 s)
+        # after it begins, so it has been detected when less than 3.5 s of it are left.
         if self.frozen_until[b] > now and now > self.frozen_until[b] - 3.5:
             return False
         for partition in self._partitions:
@@ -126,7 +127,7 @@
         self._simulation.schedule(now + delay, arrive)
 
     def is_reachable(self, a: int, b: int) -> bool:
-        """Return whether node ``b`` is up and not cut off from ``a``."""
+        """Return whether node ``b`` is in fact up and not cut off from ``a``."""
         now = self._simulation.now
         if self.started_at[b] > now:
             return False
--- a/primroseglade/emulator/rates.py
+++ b/primroseglade/emulator/rates.py
@@ -28,8 +28,9 @@
 MAX_FIRST_RENEWAL_SECONDS = 0.1
 # Interval at which a node refreshes its list of reachable nodes.
 VIEW_REFRESH_SECONDS = 0.25
-# In any window of this length, operators tolerate more calls than rate and burst allow:
-# this fraction of the allowed calls, and this number of calls in addition.
+# Operators tolerate that the calls admitted within any `WINDOW_SECONDS` exceed those
+# that rate and burst allow: by `TOLERATED_OVERSHOOT_RATIO` of the allowed calls, plus
+# `TOLERATED_EXTRA_CALLS`.
 WINDOW_SECONDS = 5.0
 TOLERATED_OVERSHOOT_RATIO = 0.1
 TOLERATED_EXTRA_CALLS = 20
@@ -212,8 +213,8 @@
             done(decision.granted)
             return True
 
-        # The priority is passed as the version of the configuration. Any constant would
-        # do, because limits do not change during a simulation.
+        # Limits do not change during a simulation, so any constant does as the version
+        # of the configuration.
         self.nodes[number].quotas.acquire(tenant, tenant.priority or 1, True, take)
 
     def _start(self, number: int) -> None:
--- a/primroseglade/emulator/simulation.py
+++ b/primroseglade/emulator/simulation.py
@@ -19,7 +19,7 @@
         return self._now
 
     def read_clock(self) -> float:
-        """Return the current simulated time."""
+        """Return the current simulated time; the nodes' code gets this as its clock."""
         return self._now
 
     def schedule(self, at: float, event: Callable[[], None]) -> None:
--- a/primroseglade/network.py
+++ b/primroseglade/network.py
@@ -11,14 +11,14 @@
         return False
 
     async def wait_if_cut(self, address: str, timeout: float) -> None:
-        """Return at once; subclasses that inject partitions raise if the link is cut.
+        """Wait for the timeout and raise if the link is cut; here it never is.
 
         Args:
             address: Destination of a message.
-            timeout: Seconds after which subclasses raise.
+            timeout: Seconds to wait before raising.
 
         Raises:
-            TimeoutError: The link is cut; never in the real network.
+            TimeoutError: The link is cut; only in subclasses that inject partitions.
         """
 
 
--- a/primroseglade/node.py
+++ b/primroseglade/node.py
@@ -124,10 +124,10 @@
         return addresses | {"control": self._server.address}
 
     async def start(self) -> None:
-        """Open the listeners, and load the configuration from the log or from peers.
+        """Open the listeners, and load the configuration from its log or from peers.
 
-        Returns when calls are accepted, with or without a configuration: an instance
-        without one refuses every call as not run, with the reason.
+        Also returns if no configuration could be loaded. The instance then refuses
+        every call as ``not run``, with the reason, until it receives one.
         """
         for name, listener in self._listeners.items():
             self._supervisor.start(name, listener.run)
--- a/primroseglade/observe/events.py
+++ b/primroseglade/observe/events.py
@@ -46,7 +46,7 @@
     return EVENT_CATALOG[number]
 
 
-# 1xx: the process.
+# Events 1xx: the process.
 NODE_STARTED = _define(101, "info", "node started", "All listeners accept connections.")
 NODE_STOPPING = _define(
     102,
@@ -76,7 +76,7 @@
     "The process stops so that the platform replaces it.",
 )
 
-# 2xx: configuration.
+# Events 2xx: configuration.
 EDIT_ACCEPTED = _define(
     201, "info", "edit accepted", "The edit is in force on this instance."
 )
@@ -131,7 +131,7 @@
     "The field `what` names the data; the request is repeated until the store answers.",
 )
 
-# 3xx: membership and messages between nodes.
+# Events 3xx: membership and messages between nodes.
 MEMBER_JOINED = _define(301, "info", "member joined", "First contact with a node.")
 MEMBER_SUSPECT = _define(
     302,
@@ -239,7 +239,7 @@
     "Another version or program wrote the entry, which is ignored.",
 )
 
-# 4xx: rates.
+# Events 4xx: rates.
 LEASE_ACQUIRED = _define(
     401, "info", "rate lease acquired", "This instance holds a partition's tokens."
 )
@@ -250,7 +250,7 @@
     "Released, or not renewed in time; another instance may acquire it.",
 )
 
-# 5xx: calls.
+# Events 5xx: calls.
 CALL_REFUSED = _define(
     501, "info", "call refused", "The field `reason` says why; see the runbooks."
 )
--- a/primroseglade/operations/record.py
+++ b/primroseglade/operations/record.py
@@ -1,4 +1,4 @@
-"""The state that a recording node keeps of operations."""
+"""Records on one node which operations have run, so that each runs at most once."""
 
 import collections
 import enum
@@ -14,8 +14,8 @@
 class RunDecision(enum.IntEnum):
     """Whether an attempt may run, and if not, the known state of the operation.
 
-    As an answer, ``UNKNOWN`` refuses a later attempt at an operation that is not
-    recorded. In a recorded operation it means that no attempt has run so far.
+    In an answer, ``UNKNOWN`` refuses a later attempt, because the operation is not
+    recorded here. In a recorded operation, it means that no attempt has run so far.
     """
 
     UNKNOWN = 0
--- a/primroseglade/platform/dialect.py
+++ b/primroseglade/platform/dialect.py
@@ -88,7 +88,8 @@
         if refusal.verdict is not Verdict.NOT_RUN and status in NOT_EXECUTED_STATUSES:
             status = MAY_HAVE_RUN_STATUS
         if refusal.verdict is Verdict.NOT_RUN and status in (502, 504):
-            # 502 and 504 do not say that the request has not run; 503 does.
+            # The caller must learn that the request has not run. On the platform, 503
+            # guarantees this; 502 and 504 do not.
             status = Reason.OVERLOADED.status
         lines = [render_status_line(status)]
         if request_id:
--- a/primroseglade/platform/names.py
+++ b/primroseglade/platform/names.py
@@ -12,6 +12,7 @@
 SIGNATURE = b"x-primroseglade-upstream-seal"
 NOT_EXECUTED = b"x-primroseglade-not-executed"
 AUTHORIZATION = b"authorization"
+# The scheme before an API key in Authorization, with the space that follows it.
 KEY_SCHEME = b"token "
 HOST = b"host"
 CONNECTION = b"connection"
--- a/primroseglade/platform/operator_config.py
+++ b/primroseglade/platform/operator_config.py
@@ -86,7 +86,8 @@
 
 def _decode_route(host: str, value: Any) -> Route:
     fields = Fields(value, f"{ERROR_SOURCE}/paths")
-    # An unknown kind, such as uploads, counts as unsafe: its calls run at most once.
+    # Every kind but "safe" counts as unsafe, also one that this version does not know,
+    # such as uploads: its calls run at most once.
     safe = fields.get_string("kind", "unsafe") == RouteKind.SAFE.value
     timeout = fields.get_seconds("timeout", DEFAULT_TIMEOUT_SECONDS)
     return Route(
--- a/primroseglade/rates/quota.py
+++ b/primroseglade/rates/quota.py
@@ -74,7 +74,8 @@
         self.fleet_rate = fleet_rate
         self.borrowed = TokenReserve()
         self.demand = DemandEstimator(DEMAND_SMOOTHING_SECONDS)
-        # Parts of loans that make up a grant, by grant id, until it is reported spent.
+        # For each grant that contains borrowed tokens, by its id: the parts of loans in
+        # it. Kept until a node reports the grant spent; at most `MAX_TRACKED_GRANTS`.
         self.loans_by_grant: collections.OrderedDict[int, list[LoanPart]] = (
             collections.OrderedDict()
         )
--- a/primroseglade/verdicts.py
+++ b/primroseglade/verdicts.py
@@ -109,7 +109,7 @@
 
 
 def not_run(reason: Reason, detail: str = "", retry_after: float | None = None):
-    """Build a refusal of a call of which nothing was sent to a backend server."""
+    """Build the refusal of a call that no backend server has run."""
     return Refusal(reason, Verdict.NOT_RUN, detail, retry_after)
 
 
