--- a/bench/choices.py
+++ b/bench/choices.py
@@ -31,7 +31,7 @@
 
 
 def build_blacksheep_app() -> Any:
-    """Return a blacksheep application that sends the same response."""
+    """Return a blacksheep application that sends the response of ``answer_asgi``."""
     app = build_application()
 
     async def answer(request: Request) -> Response:
@@ -93,7 +93,7 @@
 
 @benchmark("choices")
 async def measure_choices(options: argparse.Namespace) -> dict[str, Any]:
-    """Measure the choices and their alternatives in turn; return medians."""
+    """Measure listeners and clients, each with its alternative; return medians."""
     backend = BackendStandIn(
         "x",
         behavior=BackendBehavior(processing_seconds=0, slots=1000),
--- a/bench/fleet_rates.py
+++ b/bench/fleet_rates.py
@@ -99,7 +99,7 @@
 
 @benchmark("fleet-rates")
 async def measure_fleet_rates(options: argparse.Namespace) -> dict[str, Any]:
-    """Return the worst window and the served ratio, by scenario and demand."""
+    """Simulate all scenarios and return the figures of each, by demand."""
     figures: dict[str, Any] = {}
     with concurrent.futures.ProcessPoolExecutor(options.jobs) as executor:
         for name in build_scenarios():
--- a/bench/members.py
+++ b/bench/members.py
@@ -113,7 +113,7 @@
 
 
 async def publish_edits(processes: Any, operator_addresses: list[str]) -> None:
-    """Publish edits, and wait until the last node is free to answer a request."""
+    """Publish edits, then wait for an answer from the last node, which may be busy."""
     for number in range(EDIT_COUNT):
         edit = Edit(
             [SectionEdit(f"recalls/r{number}", None, {"keys": [f"k{number}"]})], "bench"
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -154,6 +154,7 @@
                     second_listen["callers"], b"/archive/x", [second_node, first_node]
                 ),
             }
+            # One round to warm up, whose measurements are then discarded.
             for call_path in call_paths.values():
                 await call_path.run_round(in_flight)
                 call_path.__init__(
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -13,8 +13,8 @@
 RECOVERY_STEP_SECONDS = 0.25
 RECOVERED_RATIO = 0.95
 
-# Mechanisms that the two baselines disable: all that limit load, and all except the
-# concurrency limit.
+# What each baseline disables. No control: every mechanism that limits load. Fixed
+# limit, plain retries: every mechanism except the concurrency limit.
 NO_CONTROL = ["limit", "queue", "retry-tokens", "retry-share", "throttle", "doomed"]
 FIXED_LIMIT_PLAIN_RETRIES = [
     "queue",
--- a/bench/rates.py
+++ b/bench/rates.py
@@ -39,7 +39,7 @@
 
 
 class CaseOutcome:
-    """Calls of one case, as the times of sending and of the token (None if refused)."""
+    """Calls of one case: when each was sent and when it got a token (None: refused)."""
 
     def __init__(self, rate: float, burst: float):
         self.rate = rate
--- a/primroseglade/demo/report.py
+++ b/primroseglade/demo/report.py
@@ -14,7 +14,8 @@
 class Report:
     """Measurements and findings of one run.
 
-    Calls sent with the withdrawn key count only in ``outcomes``.
+    Of the measurements, only ``outcomes`` includes the calls that were sent with the
+    withdrawn key after its withdrawal.
     """
 
     __slots__ = (
--- a/primroseglade/demo/run.py
+++ b/primroseglade/demo/run.py
@@ -22,7 +22,9 @@
     "log": {"level": "warning"},
 }
 
-# Times of the events, as fractions of the run's duration.
+# Times of the events, as fractions of the run's duration. The deep service is slow from
+# SLOW_START_RATIO to SLOW_END_RATIO, and the last zone is cut off from CUT_START_RATIO
+# to CUT_END_RATIO.
 WITHDRAW_AT_RATIO = 0.15
 DRAIN_AT_RATIO = 0.25
 SLOW_START_RATIO, SLOW_END_RATIO = 0.4, 0.55
--- a/primroseglade/fleet/members.py
+++ b/primroseglade/fleet/members.py
@@ -10,9 +10,10 @@
 from ..proto import control_pb2 as pb
 
 # A dead or departed member stays in the table this long. Until then, older updates that
-# call the member alive are rejected, and a partitioned part of a zone still counts its
-# dead members in the zone's size.
+# call it alive are rejected, and the nodes of a zone that is split by a network
+# partition count the unreachable ones, so that no minority takes itself for the zone.
 TOMBSTONE_RETENTION_SECONDS = 600.0
+# Number of hash buckets in which two nodes compare their member tables.
 BUCKET_COUNT = 32
 # Each update is sent RETRANSMIT_MULTIPLIER * log2(fleet size) times, as in SWIM.
 RETRANSMIT_MULTIPLIER = 3
@@ -45,8 +46,8 @@
         serving: Whether it accepts new calls.
         serving_since_ms: Unix time in ms since when it accepts calls.
         slots: Concurrent calls that the backend server accepts; 0 if unknown.
-        share: Share of every rate that it applies; negative until its start is
-            complete.
+        share: Its zone's share of every rate, as this member applies it; negative until
+            its start is complete.
     """
 
     __slots__ = (
@@ -260,7 +261,7 @@
         self._change_state(instance, State.SUSPECT, State.DEAD)
 
     def expire(self, suspicion_seconds: float) -> None:
-        """Declare members that were suspect too long dead, and remove old tombstones.
+        """Declare members dead that were suspect too long; remove old tombstones.
 
         Args:
             suspicion_seconds: Time that a suspect member has to refute the suspicion.
--- a/primroseglade/fleet/snapshots.py
+++ b/primroseglade/fleet/snapshots.py
@@ -57,8 +57,9 @@
             self._latest_snapshot_offset = latest_offset
             self._latest_snapshot_seen_at = time.monotonic()
         new_records = self._configuration.next_offset - max(latest_offset, 0)
-        # A snapshot is also due without edits: the last one is itself a record, which
-        # the platform deletes when it is old.
+        # The interval alone can make a snapshot due, even without new edits: the latest
+        # snapshot itself consists of records in the log, and the platform deletes old
+        # records.
         interval_passed = (
             time.monotonic() - self._latest_snapshot_seen_at > self._interval_seconds
         )
--- a/primroseglade/stand_ins/fleet.py
+++ b/primroseglade/stand_ins/fleet.py
@@ -222,7 +222,7 @@
         return self._has_rate_lease_holders()
 
     def _has_rate_lease_holders(self) -> bool:
-        """Return whether each zone with a share of the rates has all lease holders."""
+        """Return whether each rate has a lease holder in every zone with a share."""
         nodes = self.nodes
         document = nodes[0].configuration.document
         for zone in {node.settings.zone for node in nodes}:
--- a/primroseglade/stand_ins/link.py
+++ b/primroseglade/stand_ins/link.py
@@ -90,7 +90,8 @@
     while True:
         data = await reader.read(65536)
         if blackholed.is_set():
-            # The data is lost although the kernel has acknowledged it to the sender.
+            # Unlike at a real blackhole, the sender gets TCP acknowledgments for the
+            # data that is dropped here.
             if not data:
                 return
             continue
